--- a/internal/placer/action.go
+++ b/internal/placer/action.go
@@ -15,24 +15,24 @@
 	task   api.TaskPlacement
 }
 
-// action is something the core wants done outside. The shell runs it in the
-// pool and posts the event that it results in.
+// action is a side effect requested by the core. The shell executes it in the
+// pool and posts the resulting event.
 type action interface{ isAction() }
 
-// reserveAction reserves every part, or none: on a refusal it releases what it
-// got. It results in reservedEvent.
+// reserveAction reserves every part. If a worker refuses, all parts are
+// released. It results in reservedEvent.
 type reserveAction struct {
 	ref     api.GangRef
 	account string
 	parts   []part
-	// ttl is the life of a reservation that is not started. It is far longer
-	// than a start, so that no part lapses while another is being started.
+	// ttl is how long a reservation lasts without a start. It is far longer
+	// than a start takes, so that no part expires while another is started.
 	ttl time.Duration
 }
 
-// grantAction writes the right to start into the job's row. It results in
-// grantedEvent.
-type grantAction struct {
+// recordStartAction stores the start in the job's row before any part is
+// started. It results in startRecordedEvent.
+type recordStartAction struct {
 	record jobstore.Record
 }
 
@@ -45,30 +45,30 @@
 	payload    []byte
 }
 
-// stopAction stops every part, after a checkpoint if one is asked for. It
+// stopAction stops every part, after a checkpoint if one is requested. It
 // results in stoppedEvent.
 type stopAction struct {
 	ref        api.GangRef
 	parts      []part
 	checkpoint bool
-	within     time.Duration
+	timeout    time.Duration
 }
 
-// releaseAction gives up reservations or acknowledges ended ones. It results in
-// nothing: what it misses is found again in the worker's next report.
+// releaseAction releases reservations and acknowledges ended ones. It posts no
+// event: the worker's next report shows any reservation that is left.
 type releaseAction struct {
 	ref   api.GangRef
 	parts []part
 }
 
-// persistAction writes a job's record. It results in persistedEvent.
-type persistAction struct {
+// writeRecordAction writes a job's record. It results in recordWrittenEvent.
+type writeRecordAction struct {
 	record jobstore.Record
 }
 
-// reloadAction reads a job's record after a write whose result is not known. It
-// results in persistedEvent.
-type reloadAction struct {
+// readRecordAction reads a job's record after a write with an unknown result.
+// It results in recordWrittenEvent.
+type readRecordAction struct {
 	record jobstore.Record
 }
 
@@ -78,24 +78,25 @@
 	epoch int64
 }
 
-// reconcileAction reads the open records of the zone again. A submission whose
-// row was written while the lease changed hands is in no placer's memory; this
-// finds it. It results in reconciledEvent.
+// reconcileAction reads the open records of the zone again, to find submissions
+// whose rows were written while the lease changed hands and which no placer has
+// in memory. It results in reconciledEvent.
 type reconcileAction struct {
 	epoch int64
 }
 
-func (reconcileAction) isAction() {}
-func (reserveAction) isAction()   {}
-func (grantAction) isAction()     {}
-func (startAction) isAction()     {}
-func (stopAction) isAction()      {}
-func (releaseAction) isAction()   {}
-func (persistAction) isAction()   {}
-func (reloadAction) isAction()    {}
-func (recoverAction) isAction()   {}
+func (reconcileAction) isAction()   {}
+func (reserveAction) isAction()     {}
+func (recordStartAction) isAction() {}
+func (startAction) isAction()       {}
+func (stopAction) isAction()        {}
+func (releaseAction) isAction()     {}
+func (writeRecordAction) isAction() {}
+func (readRecordAction) isAction()  {}
+func (recoverAction) isAction()     {}
 
-// event is a result or a report that changes the core.
+// event is the result of an action, a worker's report or a call; it changes or
+// reads the core.
 type event interface{ apply(c *core, now time.Time) }
 
 // reservedEvent is the result of a reserveAction. err is nil if every worker
@@ -107,57 +108,57 @@
 	err    error
 }
 
-// grantedEvent is the result of a grantAction.
-type grantedEvent struct {
+// startRecordedEvent is the result of a recordStartAction.
+type startRecordedEvent struct {
 	ref    api.GangRef
 	record jobstore.Record
 	err    error
 }
 
-// startedEvent is the result of a startAction. mayRun says that at least one
-// worker may have started its part.
+// startedEvent is the result of a startAction. mayHaveStarted reports whether
+// at least one worker may have started its part.
 type startedEvent struct {
-	ref    api.GangRef
-	worker string
-	mayRun bool
-	err    error
+	ref            api.GangRef
+	worker         string
+	mayHaveStarted bool
+	err            error
 }
 
 // stoppedEvent is the result of a stopAction. checkpoint is set if every part
-// wrote one. unconfirmed lists the workers that did not confirm; their leases
-// lapse.
+// wrote one. unconfirmed lists the workers that did not confirm the stop; their
+// tasks end when their leases expire.
 type stoppedEvent struct {
 	ref         api.GangRef
 	checkpoint  string
 	unconfirmed []string
 }
 
-// persistedEvent is the result of a persistAction or reloadAction.
-type persistedEvent struct {
+// recordWrittenEvent is the result of a writeRecordAction or readRecordAction.
+type recordWrittenEvent struct {
 	id     string
 	record jobstore.Record
 	err    error
 }
 
-// reportEvent is a worker's report, or its silence (err).
+// reportEvent is a worker's answer to a renewal: its report, or an error.
 type reportEvent struct {
 	worker string
-	// epoch is the one that the renewal was sent under.
+	// epoch is the epoch under which the renewal was sent.
 	epoch  int64
 	report api.WorkerReport
 	err    error
-	// sentAt is when the renewal left; leases count from there.
+	// sentAt is the time at which the renewal was sent; leases start then.
 	sentAt time.Time
 }
 
 // recoveredEvent is the result of a recoverAction.
 type recoveredEvent struct {
 	epoch int64
-	// workers are those that were asked, whether they answered or not.
+	// workers lists all workers that were asked, with or without an answer.
 	workers []model.Worker
 	records []jobstore.Record
-	// recent are the newest jobs of all zones, the newest first: what they really
-	// took corrects the estimates, which a placer keeps only in memory.
+	// recent lists the newest jobs of all zones, newest first. Their run times
+	// correct the estimates, which a placer keeps only in memory.
 	recent  []jobstore.Record
 	reports []reportEvent
 	err     error
@@ -169,12 +170,12 @@
 	records []jobstore.Record
 }
 
-// termEvent says that the instance holds the zone's lease, or does not.
-type termEvent struct {
-	epoch int64
-	held  bool
-	// mayPlace is false while the holder must start nothing new.
+// leaseEvent reports whether the instance holds the zone's lease.
+type leaseEvent struct {
+	epoch      int64
+	holdsLease bool
+	// mayPlace is false while the holder must not start new work.
 	mayPlace bool
-	// platform says whether the store answers.
-	platform bool
+	// platformReachable reports whether the store answers.
+	platformReachable bool
 }
--- a/internal/placer/calls.go
+++ b/internal/placer/calls.go
@@ -11,8 +11,7 @@
 	"github.com/corianderbank/corianderbank/internal/rules"
 )
 
-// Submission is a job that an entry instance hands to the placer, with the
-// verdict of the rules.
+// Submission is a job with the verdict of the rules, as submitted to the placer.
 type Submission struct {
 	ID      string
 	Job     api.JobSubmission
@@ -25,69 +24,72 @@
 	err    error
 }
 
-// admitCall asks whether a submission may be accepted.
-type admitCall struct {
+// admitJobCall checks whether a submission may be accepted.
+type admitJobCall struct {
 	submission Submission
 	reply      chan reply
 }
 
-// acceptedCall adds an accepted record to the queue.
-type acceptedCall struct {
+// jobAcceptedCall adds an accepted record to the queue.
+type jobAcceptedCall struct {
 	record jobstore.Record
 	reply  chan reply
 }
 
-// getCall asks for a job's answer. If the job has not ended, ended is closed
-// when it does, or when this placer's term ends; a forgetCall ends the wait.
-type getCall struct {
+// getJobCall returns a job's answer. If the job has not ended, ended is closed
+// when the job ends or this instance loses the lease; a stopWaitingCall removes
+// the waiter.
+type getJobCall struct {
 	id    string
 	ended chan struct{}
 	reply chan reply
 }
 
-// forgetCall says that nobody waits any more on the ended of a getCall.
-type forgetCall struct {
+// stopWaitingCall removes the waiter of a getJobCall.
+type stopWaitingCall struct {
 	id    string
 	ended chan struct{}
 }
 
-// cancelCall cancels a job.
-type cancelCall struct {
+// cancelJobCall cancels a job.
+type cancelJobCall struct {
 	id    string
 	reply chan reply
 }
 
-// checkCall asks whether guarantees pack into the zone's workers.
-type checkCall struct {
+// checkGuaranteesCall checks whether guarantees pack into the zone's workers.
+type checkGuaranteesCall struct {
 	accounts []model.ClientAccount
 	reply    chan reply
 }
 
-// statusCall asks for the zone's status.
+// statusCall returns the zone's status.
 type statusCall struct {
 	reply chan api.Status
 }
 
 var errNoPlacer = api.NewError(api.KindNoPlacer, "this instance does not hold the placer lease")
 
-func (c *core) ready() error {
-	if !c.held || !c.recovered {
+// checkActive returns an error unless this instance holds the lease and has
+// recovered the zone's jobs.
+func (c *core) checkActive() error {
+	if !c.holdsLease || !c.recovered {
 		return errNoPlacer
 	}
 	return nil
 }
 
-func (call admitCall) apply(c *core, now time.Time) {
+func (call admitJobCall) apply(c *core, now time.Time) {
 	answer, err := c.admit(call.submission, now)
 	call.reply <- reply{answer, err}
 }
 
-// admit refuses at once what can never run, and what cannot finish in time.
+// admit immediately refuses jobs that can never run or cannot finish in time.
 func (c *core) admit(s Submission, now time.Time) (api.JobAnswer, error) {
-	if err := c.ready(); err != nil {
+	if err := c.checkActive(); err != nil {
 		return api.JobAnswer{}, err
 	}
-	if e := c.sameKey(s.Job); e != nil {
+	if e := c.jobByKey(s.Job); e != nil {
 		if !jobstore.Same(e.record.Submission, s.Job) {
 			return api.JobAnswer{}, api.NewError(api.KindKeyReused, "key %s was used for another job", s.Job.IdempotencyKey)
 		}
@@ -96,23 +98,25 @@
 	if open := len(c.jobs) - len(c.ended); open >= c.maxJobs {
 		return api.JobAnswer{}, api.NewError(api.KindQueueFull, "the placer holds %d jobs", open)
 	}
-	if err := c.accountLimit(s); err != nil {
+	if err := c.checkAccountLimits(s); err != nil {
 		return api.JobAnswer{}, err
 	}
-	e := &entry{record: c.record(s, now)}
+	e := &entry{record: c.newRecord(s, now)}
 	finish, refusal := placement.Admit(c.snapshot(now), e.job())
-	if refusal != nil && c.unreported() > 0 {
-		return api.JobAnswer{}, api.NewError(api.KindNoPlacer, "%d workers have not reported their accelerators yet", c.unreported())
+	if refusal != nil && c.unreportedWorkers() > 0 {
+		return api.JobAnswer{}, api.NewError(api.KindNoPlacer, "%d workers have not reported their accelerators yet", c.unreportedWorkers())
 	}
 	if refusal != nil {
 		c.decide(now, e, "admit", "refuse", refusal.Reason, "")
 		return api.JobAnswer{}, api.WithRetryAfter(api.NewError(refusal.Kind, "%s", refusal.Reason), refusal.RetryAfter)
 	}
-	c.decide(now, e, "admit", "accept", fmt.Sprintf("%s, expected to finish by %s", describe(s.Job.Shape), finish.UTC().Format(time.RFC3339)), "")
+	c.decide(now, e, "admit", "accept", fmt.Sprintf("%s, expected to finish by %s", describeShape(s.Job.Shape), finish.UTC().Format(time.RFC3339)), "")
 	return api.JobAnswer{ID: s.ID, Outcome: api.OutcomeAccepted, EstimatedFinish: &finish}, nil
 }
 
-func (c *core) accountLimit(s Submission) error {
+// checkAccountLimits enforces the account's limit on open jobs and the rule's
+// limit on waiting jobs.
+func (c *core) checkAccountLimits(s Submission) error {
 	if c.config == nil {
 		return api.NewError(api.KindNotReady, "no configuration yet")
 	}
@@ -122,7 +126,7 @@
 	}
 	open, waiting := 0, 0
 	for _, e := range c.jobs {
-		if c.chart.Final(e.state) || e.record.Submission.Account != s.Job.Account {
+		if c.gangChart.Final(e.state) || e.record.Submission.Account != s.Job.Account {
 			continue
 		}
 		open++
@@ -139,29 +143,29 @@
 	return nil
 }
 
-func (c *core) record(s Submission, now time.Time) jobstore.Record {
+func (c *core) newRecord(s Submission, now time.Time) jobstore.Record {
 	return jobstore.Record{
 		ID: s.ID, Zone: c.zone, Submission: s.Job, Rule: s.Verdict.Rule, Priority: s.Verdict.Priority,
 		Borrow: s.Verdict.Borrow, MaxWaitMS: s.Verdict.MaxWaitMS, Phase: jobstore.PhaseAccepted, SubmittedAt: now,
 	}
 }
 
-func (call acceptedCall) apply(c *core, _ time.Time) {
-	if err := c.ready(); err != nil {
-		// The row is safe: the zone's next placer finds it.
+func (call jobAcceptedCall) apply(c *core, _ time.Time) {
+	if err := c.checkActive(); err != nil {
+		// The row is stored: the zone's next placer will find it.
 		call.reply <- reply{api.JobAnswer{ID: call.record.ID, Outcome: api.OutcomeAccepted, AvailabilityZone: c.zone}, nil}
 		return
 	}
 	e, known := c.jobs[call.record.ID]
 	if !known {
 		e = c.addWaiting(call.record)
-		e.fenced = true // no other placer has ever seen the row
+		e.writtenThisEpoch = true // no other placer has read the row
 	}
 	call.reply <- reply{c.answer(e), nil}
 }
 
-func (call getCall) apply(c *core, _ time.Time) {
-	if err := c.ready(); err != nil {
+func (call getJobCall) apply(c *core, _ time.Time) {
+	if err := c.checkActive(); err != nil {
 		call.reply <- reply{err: err}
 		return
 	}
@@ -170,20 +174,20 @@
 		call.reply <- reply{err: api.NewError(api.KindNotFound, "no job %q in memory", call.id)}
 		return
 	}
-	if call.ended != nil && !c.settled(e) {
+	if call.ended != nil && !c.outcomeVisible(e) {
 		e.waiters[call.ended] = true
 	}
 	call.reply <- reply{answer: c.answer(e)}
 }
 
-func (call forgetCall) apply(c *core, _ time.Time) {
+func (call stopWaitingCall) apply(c *core, _ time.Time) {
 	if e, ok := c.jobs[call.id]; ok {
 		delete(e.waiters, call.ended)
 	}
 }
 
-func (call cancelCall) apply(c *core, now time.Time) {
-	if err := c.ready(); err != nil {
+func (call cancelJobCall) apply(c *core, now time.Time) {
+	if err := c.checkActive(); err != nil {
 		call.reply <- reply{err: err}
 		return
 	}
@@ -192,35 +196,35 @@
 		call.reply <- reply{err: api.NewError(api.KindNotFound, "no open job %q", call.id)}
 		return
 	}
-	c.cancel(e, now)
+	c.cancelJob(e, now)
 	call.reply <- reply{answer: c.answer(e)}
 }
 
-func (c *core) cancel(e *entry, now time.Time) {
+func (c *core) cancelJob(e *entry, now time.Time) {
 	before := e.state
-	if !c.step(e, evCancel, "cancelled by the caller", now) {
+	if !c.transition(e, evCancel, "cancelled by the caller", now) {
 		return
 	}
 	switch before {
 	case stReserving:
-		c.do(releaseAction{ref: e.ref, parts: e.parts})
+		c.emit(releaseAction{ref: e.ref, parts: e.parts})
 		c.setParts(e, nil)
 	case stStarting, stRunning:
-		c.sendStop(e, false, stopWithin)
+		c.sendStop(e, false, stopTimeout)
 	}
 }
 
-func (call checkCall) apply(c *core, _ time.Time) {
-	if err := c.ready(); err != nil {
+func (call checkGuaranteesCall) apply(c *core, _ time.Time) {
+	if err := c.checkActive(); err != nil {
 		call.reply <- reply{err: err}
 		return
 	}
 	call.reply <- reply{err: c.checkGuarantees(call.accounts)}
 }
 
-// checkGuarantees asks whether guarantees pack. While some workers have not
-// reported, nobody can tell: a placer that has just taken over must not refuse a
-// configuration that fits.
+// checkGuarantees checks whether guarantees pack into the zone's workers. It
+// returns KindNotReady while a worker has not reported, so that a placer that
+// has just taken over does not refuse a configuration that fits.
 func (c *core) checkGuarantees(accounts []model.ClientAccount) error {
 	for _, w := range c.workers {
 		if w.Accelerators == 0 {
@@ -237,7 +241,7 @@
 }
 
 func (call statusCall) apply(c *core, now time.Time) {
-	if c.ready() != nil {
+	if c.checkActive() != nil {
 		call.reply <- api.Status{Instance: c.instance}
 		return
 	}
--- a/internal/placer/core.go
+++ b/internal/placer/core.go
@@ -1,11 +1,11 @@
-// Package placer is the loop that drives placement in one availability zone. It
-// runs on every instance and acts while the instance holds the zone's placer
-// lease.
+// Package placer runs the placement loop of one availability zone. It runs on
+// every instance and is active while the instance holds the zone's placer lease.
 //
-// The core is a state machine without network, clock or locks: events and the
-// time go in, actions come out. The shell (Placer) runs the core in one
-// goroutine, carries out actions in a pool, and posts their results as events
-// through a bounded ring. Gangs move by charts/gang.json.
+// The core is a state machine without network, clock or locks: its inputs are
+// events and the current time, its outputs are actions. The shell (Placer) runs
+// the core in one goroutine, executes the actions in a pool, and posts their
+// results as events through a bounded channel. charts/gang.json defines the
+// transitions of gangs.
 package placer
 
 import (
@@ -55,26 +55,26 @@
 	stUnknown    chart.State = "unknown"
 )
 
-// Limits and times of the loop.
+// Limits, delays and intervals.
 const (
-	// retryPlacementAfter keeps a job whose reservation fell short from asking
-	// the same workers again in every round.
-	retryPlacementAfter = 500 * time.Millisecond
-	// persistRetryAfter paces repeated writes while the store is out.
-	persistRetryAfter = time.Second
+	// placementRetryDelay keeps a job whose reservation was refused from
+	// retrying the same workers in every round.
+	placementRetryDelay = 500 * time.Millisecond
+	// storeRetryDelay is the delay between write retries during a store outage.
+	storeRetryDelay = time.Second
 	// reconcileInterval is the time between reads of the open records, each of
 	// which costs the store one read for each zone.
 	reconcileInterval = 10 * time.Second
-	// idleRound is the longest time between plans while nothing changes:
-	// deadlines and estimates go by seconds.
-	idleRound = time.Second
-	// stopWithin bounds a plain stop of tasks.
-	stopWithin = 2 * time.Second
-	// maxFailures bounds the failed attempts of one job whatever they are put
-	// down to, so that a job cannot restart for ever.
-	maxFailures = 4
-	// keepEnded is how many ended jobs stay in memory for late readers.
-	keepEnded = 4096
+	// maxPlanInterval is the longest time between plans while nothing changes:
+	// deadlines and estimates have a resolution of seconds.
+	maxPlanInterval = time.Second
+	// stopTimeout bounds a stop of tasks without a checkpoint.
+	stopTimeout = 2 * time.Second
+	// maxFailedAttempts bounds the failed attempts of one job, regardless of
+	// their cause, so that a job cannot restart forever.
+	maxFailedAttempts = 4
+	// maxEndedJobs bounds the ended jobs kept in memory for late readers.
+	maxEndedJobs = 4096
 )
 
 // entry is one job in the placer's memory.
@@ -83,69 +83,73 @@
 	state       chart.State
 	ref         api.GangRef
 	parts       []part
-	reports     map[string]seenReport
+	reports     map[string]partReport
 	borrowed    bool
 	expectedEnd time.Time
 	notBefore   time.Time
-	// mayRun says that some part of the present attempt may have started.
-	mayRun bool
-	// ranEver says that an earlier attempt may have run.
-	ranEver bool
-	// checkpointed says that the stop of this attempt wrote a checkpoint.
+	// mayHaveStarted reports whether any part of the current attempt may have
+	// started.
+	mayHaveStarted bool
+	// mayHaveRunBefore reports whether an earlier attempt may have run.
+	mayHaveRunBefore bool
+	// checkpointed reports whether the stop of this attempt wrote a checkpoint.
 	checkpointed bool
-	// stopSent says that a stop is under way; it is sent again if it must be.
-	stopSent bool
-	// lapseAt is when the leases of unconfirmed workers have surely lapsed.
-	lapseAt    time.Time
-	stopReason string
-	// refusal is the kind of a refusal, set before evRefuse.
-	refusal api.Kind
-	// fenced says that the row was written in this term: a write of an earlier
-	// placer, paused until now, can no longer take effect. A job is placed only
-	// then.
-	fenced bool
-	// adopted says that the job was accepted under another placer.
+	// stopInFlight reports whether a stop has been sent and not yet answered.
+	stopInFlight bool
+	// leasesExpireAt is the time by which the leases of workers that did not
+	// confirm the stop have definitely expired.
+	leasesExpireAt time.Time
+	stopReason     string
+	// refusalKind is the error kind of a refusal; it is set before evRefuse.
+	refusalKind api.Kind
+	// writtenThisEpoch reports whether the row was written under the current
+	// epoch, so that a delayed write by an earlier placer can no longer take
+	// effect. A job is placed only after that.
+	writtenThisEpoch bool
+	// adopted reports whether the job was accepted by another placer.
 	adopted bool
-	// dirty records are written when nothing is in flight for the row.
-	// waiters are closed when the job ends or the term does.
-	waiters   map[chan struct{}]bool
-	dirty     bool
-	writing   bool
-	nextWrite time.Time
+	// waiters are closed when the job ends or this instance loses the lease.
+	waiters map[chan struct{}]bool
+	// dirty records are written when no other write of the row is in flight.
+	dirty         bool
+	writeInFlight bool
+	nextWriteAt   time.Time
 }
 
-// seenReport is the last report of a part.
-type seenReport struct {
-	state api.TaskState
-	ranS  float64
-	msg   string
-	// renewedAt is when the renewal that the worker confirmed was sent.
+// partReport is a worker's last report of a part.
+type partReport struct {
+	state      api.TaskState
+	runSeconds float64
+	message    string
+	// renewedAt is the time at which the last confirmed renewal was sent.
 	renewedAt time.Time
 }
 
-// accountKey is an idempotency key, which is unique within its account.
-type accountKey struct {
+// jobKey is an idempotency key, which is unique within its account.
+type jobKey struct {
 	account, key string
 }
 
-func keyOf(job api.JobSubmission) accountKey { return accountKey{job.Account, job.IdempotencyKey} }
+func jobKeyOf(job api.JobSubmission) jobKey { return jobKey{job.Account, job.IdempotencyKey} }
 
-// sameKey returns the job in memory that was submitted under the same key.
-func (c *core) sameKey(job api.JobSubmission) *entry {
+// jobByKey returns the job in memory with the same idempotency key, or nil.
+func (c *core) jobByKey(job api.JobSubmission) *entry {
 	if job.IdempotencyKey == "" {
 		return nil
 	}
-	return c.byKey[keyOf(job)]
+	return c.jobsByKey[jobKeyOf(job)]
 }
 
+// workerState is a worker with the times and chart state that the core tracks.
 type workerState struct {
 	model.Worker
 	lastReport time.Time
 	chartState chart.State
-	// nextRenewal is when the worker is due to be asked again.
-	nextRenewal time.Time
-	// silent are the gangs that were stopped because it fell silent.
-	silent map[*entry]bool
+	// nextRenewalAt is the time at which the worker's next renewal is due.
+	nextRenewalAt time.Time
+	// stoppedGangs are the gangs that were stopped because the worker stopped
+	// responding.
+	stoppedGangs map[*entry]bool
 }
 
 // core is owned by one goroutine; see the package comment.
@@ -153,48 +157,49 @@
 	zone     string
 	instance string
 	epoch    int64
-	// leastEpoch is the highest epoch that a worker has shown.
-	leastEpoch  int64
-	held        bool
-	mayPlace    bool
-	platform    bool
-	recovered   bool
-	recovering  bool
-	recoverAt   time.Time
-	reconcileAt time.Time
-	chart       *chart.Chart
-	workerChart *chart.Chart
-	jobs        map[string]*entry
-	open        []*entry // in order of submission
-	onWorker    map[string]map[*entry]bool
-	unsaved     map[string]*entry
-	ended       []string
-	byKey       map[accountKey]*entry
-	workers     map[string]*workerState
-	runs        estimate.Source
-	health      *quarantine.Tracker
-	config      *config.Snapshot
-	recorder    *decision.Recorder
-	workerLease time.Duration
-	maxJobs     int
-	actions     []action
-	// touched says that something a plan depends on has changed since the last
-	// one, which was made at plannedAt.
-	touched   bool
-	plannedAt time.Time
-	// kept are the regions that the last plan keeps for claims.
-	kept []placement.Kept
+	// minEpoch is the highest epoch that any worker has reported; the core does
+	// not place under a lower one.
+	minEpoch          int64
+	holdsLease        bool
+	mayPlace          bool
+	platformReachable bool
+	recovered         bool
+	recovering        bool
+	nextRecoveryAt    time.Time
+	nextReconcileAt   time.Time
+	gangChart         *chart.Chart
+	workerChart       *chart.Chart
+	jobs              map[string]*entry
+	open              []*entry // in order of submission
+	gangsByWorker     map[string]map[*entry]bool
+	unsaved           map[string]*entry
+	ended             []string
+	jobsByKey         map[jobKey]*entry
+	workers           map[string]*workerState
+	runs              estimate.Source
+	health            *quarantine.Tracker
+	config            *config.Snapshot
+	recorder          *decision.Recorder
+	workerLease       time.Duration
+	maxJobs           int
+	actions           []action
+	// planOutdated reports whether an input of the plan has changed since the
+	// last one, which was made at plannedAt.
+	planOutdated bool
+	plannedAt    time.Time
+	// keptRegions are the regions that the last plan keeps free for claims.
+	keptRegions []placement.Kept
 }
 
-// newCore completes a core with its charts and empty memory.
+// newCore adds the charts and empty job tables to a core.
 func newCore(c core) *core {
-	c.chart, c.workerChart = chart.MustLoad("gang"), chart.MustLoad("worker")
+	c.gangChart, c.workerChart = chart.MustLoad("gang"), chart.MustLoad("worker")
 	c.workers = make(map[string]*workerState)
 	c.clear()
 	return &c
 }
 
-func (c *core) do(a action) { c.actions = append(c.actions, a) }
+func (c *core) emit(a action) { c.actions = append(c.actions, a) }
 
 func (c *core) takeActions() []action {
 	taken := c.actions
@@ -202,10 +207,10 @@
 	return taken
 }
 
-// step moves e by an event of the chart. It returns false if the chart ignores
-// the event in the present state.
-func (c *core) step(e *entry, ev chart.Event, reason string, now time.Time) bool {
-	next, err := c.chart.Next(e.state, ev)
+// transition applies a chart event to e. It returns false if the event does not
+// change the state.
+func (c *core) transition(e *entry, ev chart.Event, reason string, now time.Time) bool {
+	next, err := c.gangChart.Next(e.state, ev)
 	if err != nil {
 		c.decide(now, e, "fault", string(ev), err.Error(), "")
 		return false
@@ -215,10 +220,10 @@
 	}
 	c.decide(now, e, "gang", string(next), reason, "")
 	e.state = next
-	showTransition(e, next, now)
-	c.touched = true
-	if c.chart.Final(next) {
-		c.end(e, reason, now)
+	recordTransitionMetrics(e, next, now)
+	c.planOutdated = true
+	if c.gangChart.Final(next) {
+		c.recordEnd(e, reason, now)
 	}
 	return true
 }
@@ -230,22 +235,22 @@
 	})
 }
 
-// end records the final outcome of e and sees to it that it is written.
-func (c *core) end(e *entry, reason string, now time.Time) {
+// recordEnd sets the final outcome of e and marks its record for writing.
+func (c *core) recordEnd(e *entry, reason string, now time.Time) {
 	e.record.Phase = jobstore.PhaseEnded
 	e.record.EndedAt = now
 	e.record.State = string(e.state)
 	e.record.Message = reason
 	e.record.Outcome, e.record.ErrorKind = finalOutcome(e)
-	showOutcome(e.record.Outcome, e.record.ErrorKind)
+	recordOutcomeMetrics(e.record.Outcome, e.record.ErrorKind)
 	c.markUnsaved(e)
-	c.closeJob(e)
+	c.removeOpen(e)
 	c.health.JobEnded(e.record.ID)
 	c.ended = append(c.ended, e.record.ID)
-	c.forgetOldest()
+	c.evictEnded()
 }
 
-// finalOutcome maps an end of the chart to the outcome that the caller gets.
+// finalOutcome maps a final chart state to the outcome returned to the caller.
 func finalOutcome(e *entry) (api.Outcome, api.Kind) {
 	switch e.state {
 	case stDone:
@@ -255,91 +260,92 @@
 	case stUnknown:
 		return api.OutcomeUnknown, api.KindResultUnknown
 	case stCancelled:
-		return notRunUnlessRan(e), api.KindCancelled
+		return notRunOrUnknown(e), api.KindCancelled
 	default:
-		return notRunUnlessRan(e), e.refusal
+		return notRunOrUnknown(e), e.refusalKind
 	}
 }
 
-// notRunUnlessRan keeps not_run truthful: a job of which an earlier attempt may
-// have run ends as unknown.
-func notRunUnlessRan(e *entry) api.Outcome {
-	if e.ranEver || e.mayRun {
+// notRunOrUnknown returns not_run only if no attempt can have run, and unknown
+// otherwise.
+func notRunOrUnknown(e *entry) api.Outcome {
+	if e.mayHaveRunBefore || e.mayHaveStarted {
 		return api.OutcomeUnknown
 	}
 	return api.OutcomeNotRun
 }
 
-// forgetOldest bounds the ended jobs in memory; their rows stay in the store.
-func (c *core) forgetOldest() {
-	for len(c.ended) > keepEnded {
+// evictEnded bounds the ended jobs in memory; their rows stay in the store.
+func (c *core) evictEnded() {
+	for len(c.ended) > maxEndedJobs {
 		id := c.ended[0]
 		e := c.jobs[id]
-		if e != nil && (e.dirty || e.writing) {
+		if e != nil && (e.dirty || e.writeInFlight) {
 			return
 		}
 		c.ended = c.ended[1:]
 		delete(c.jobs, id)
-		if e != nil && c.byKey[keyOf(e.record.Submission)] == e {
-			delete(c.byKey, keyOf(e.record.Submission))
+		if e != nil && c.jobsByKey[jobKeyOf(e.record.Submission)] == e {
+			delete(c.jobsByKey, jobKeyOf(e.record.Submission))
 		}
 	}
 }
 
 func (c *core) addWaiting(record jobstore.Record) *entry {
-	// Records read from the store have no monotonic time; the order of the open
-	// jobs must compare all of them alike.
+	// Records read from the store have no monotonic clock reading. Strip it from
+	// all, so that the order of the open jobs compares wall clock times only.
 	record.SubmittedAt = record.SubmittedAt.Round(0)
-	e := &entry{record: record, state: c.chart.Initial, reports: make(map[string]seenReport), waiters: make(map[chan struct{}]bool)}
-	c.openJob(e)
+	e := &entry{record: record, state: c.gangChart.Initial, reports: make(map[string]partReport), waiters: make(map[chan struct{}]bool)}
+	c.addOpen(e)
 	if record.Submission.IdempotencyKey != "" {
-		c.byKey[keyOf(record.Submission)] = e
+		c.jobsByKey[jobKeyOf(record.Submission)] = e
 	}
-	c.touched = true
+	c.planOutdated = true
 	return e
 }
 
-// stepDown forgets everything: another instance holds the lease, or may.
+// stepDown discards all job state, because another instance holds or may hold
+// the lease.
 func (c *core) stepDown() {
-	c.held, c.recovered, c.recovering, c.mayPlace = false, false, false, false
+	c.holdsLease, c.recovered, c.recovering, c.mayPlace = false, false, false, false
 	for _, e := range c.open {
-		e.wakeWaiters()
+		e.notifyWaiters()
 	}
 	c.clear()
 }
 
-// settled says whether callers may be told the final outcome of an ended job.
-// That it did not run is said only once its row says so: until then, the next
-// placer would find the job accepted and run it. Other outcomes wait for the row
-// too, unless the store is out.
-func (c *core) settled(e *entry) bool {
-	if !c.chart.Final(e.state) {
+// outcomeVisible reports whether the final outcome of an ended job may be
+// returned to callers. not_run is returned only once it is stored: until then,
+// the next placer would find the job accepted and run it. Other outcomes also
+// wait for the row, except during a store outage.
+func (c *core) outcomeVisible(e *entry) bool {
+	if !c.gangChart.Final(e.state) {
 		return false
 	}
-	durable := !e.dirty && !e.writing
-	return durable || (!c.platform && e.record.Outcome != api.OutcomeNotRun)
+	written := !e.dirty && !e.writeInFlight
+	return written || (!c.platformReachable && e.record.Outcome != api.OutcomeNotRun)
 }
 
-func (e *entry) wakeWaiters() {
+func (e *entry) notifyWaiters() {
 	for ended := range e.waiters {
 		close(ended)
 	}
 	clear(e.waiters)
 }
 
-// clear empties the memory of jobs.
+// clear discards all jobs in memory.
 func (c *core) clear() {
 	c.jobs = make(map[string]*entry)
 	c.open, c.ended = nil, nil
-	c.onWorker = make(map[string]map[*entry]bool)
+	c.gangsByWorker = make(map[string]map[*entry]bool)
 	c.unsaved = make(map[string]*entry)
-	c.byKey = make(map[accountKey]*entry)
+	c.jobsByKey = make(map[jobKey]*entry)
 }
 
 func (c *core) apply(ev event, now time.Time) { ev.apply(c, now) }
 
-// current returns the entry whose present attempt ref names.
-func (c *core) current(ref api.GangRef) (*entry, bool) {
+// entryOfAttempt returns the entry whose current attempt is ref.
+func (c *core) entryOfAttempt(ref api.GangRef) (*entry, bool) {
 	e, ok := c.jobs[ref.Gang]
 	if !ok || e.ref != ref {
 		return nil, false
@@ -347,7 +353,7 @@
 	return e, true
 }
 
-func describe(shape api.Shape) string {
+func describeShape(shape api.Shape) string {
 	text := fmt.Sprintf("%d x %d accelerators", shape.Tasks, shape.AcceleratorsPerTask)
 	if shape.SameRack {
 		return text + " in one rack"
--- a/internal/placer/core_test.go
+++ b/internal/placer/core_test.go
@@ -23,7 +23,7 @@
 
 var testStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// newTestCore returns a core that holds epoch 1 and has recovered with nothing.
+// newTestCore returns a core that holds epoch 1 and has recovered no jobs.
 func newTestCore(workers int) *core {
 	c := newCore(core{
 		zone: "z", instance: "i-1", runs: estimate.Declared{}, health: quarantine.NewTracker(),
@@ -35,7 +35,7 @@
 		id := string(rune('a' + i))
 		list = append(list, model.Worker{ID: id, Addr: id, Zone: "z"})
 	}
-	c.apply(termEvent{epoch: 1, held: true, mayPlace: true, platform: true}, testStart)
+	c.apply(leaseEvent{epoch: 1, holdsLease: true, mayPlace: true, platformReachable: true}, testStart)
 	event := recoveredEvent{epoch: 1, workers: list}
 	for _, w := range list {
 		event.reports = append(event.reports, testReport(w.ID, 1, 1))
@@ -57,58 +57,58 @@
 	}}
 }
 
-func TestAWorkerThatSawALaterEpochEndsTheTerm(t *testing.T) {
+func TestLaterWorkerEpochMakesPlacerStepDown(t *testing.T) {
 	cases := map[string]struct {
-		report reportEvent
-		holds  bool
+		report     reportEvent
+		holdsLease bool
 	}{
-		"a report of the same epoch":              {testReport("a", 1, 1), true},
-		"a report that shows a later epoch":       {testReport("a", 1, 2), false},
-		"a refusal of this epoch":                 {reportEvent{worker: "a", epoch: 1, err: api.NewError(api.KindStaleEpoch, "stale")}, false},
-		"a late refusal of an epoch before":       {reportEvent{worker: "a", epoch: 0, err: api.NewError(api.KindStaleEpoch, "stale")}, true},
-		"a worker that does not answer":           {reportEvent{worker: "a", epoch: 1, err: api.NewError(api.KindResultUnknown, "lost")}, true},
-		"a report of a worker that is not listed": {testReport("x", 1, 9), true},
+		"a report of the same epoch":         {testReport("a", 1, 1), true},
+		"a report that shows a later epoch":  {testReport("a", 1, 2), false},
+		"a refusal of this epoch":            {reportEvent{worker: "a", epoch: 1, err: api.NewError(api.KindStaleEpoch, "stale")}, false},
+		"a late refusal of an earlier epoch": {reportEvent{worker: "a", epoch: 0, err: api.NewError(api.KindStaleEpoch, "stale")}, true},
+		"an unanswered renewal":              {reportEvent{worker: "a", epoch: 1, err: api.NewError(api.KindResultUnknown, "lost")}, true},
+		"a report of an unlisted worker":     {testReport("x", 1, 9), true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := newTestCore(2)
 			c.apply(test.report, testStart)
-			assert.Equal(t, c.held, test.holds)
-			// The store may be out of reach: the old term must not come back.
-			c.apply(termEvent{epoch: 1, held: true, mayPlace: true}, testStart)
-			assert.Equal(t, c.held, test.holds)
-			c.apply(termEvent{epoch: 9, held: true, mayPlace: true}, testStart)
-			assert.Assert(t, c.held)
+			assert.Equal(t, c.holdsLease, test.holdsLease)
+			// The store may be unreachable: the old epoch must not become active again.
+			c.apply(leaseEvent{epoch: 1, holdsLease: true, mayPlace: true}, testStart)
+			assert.Equal(t, c.holdsLease, test.holdsLease)
+			c.apply(leaseEvent{epoch: 9, holdsLease: true, mayPlace: true}, testStart)
+			assert.Assert(t, c.holdsLease)
 		})
 	}
 }
 
-func TestTakenOverGang(t *testing.T) {
+func TestRecoveredGang(t *testing.T) {
 	part := func(worker string, state api.TaskState) reportEvent {
 		ref := api.GangRef{Epoch: 1, Gang: "j", Attempt: 1}
 		return testReport(worker, 2, 2, api.ReservationReport{GangRef: ref, Tasks: 1, Accelerators: 8, State: state})
 	}
 	cases := map[string]struct {
-		phase      jobstore.Phase
-		idempotent bool
-		reports    []reportEvent
-		state      chart.State
-		mayRun     bool
+		phase          jobstore.Phase
+		idempotent     bool
+		reports        []reportEvent
+		state          chart.State
+		mayHaveStarted bool
 	}{
-		"runs on when every part runs":                              {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskRunning), part("b", api.TaskRunning)}, stRunning, true},
-		"ends when every part has finished":                         {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskDone), part("b", api.TaskDone)}, stDone, true},
-		"is stopped when a part is missing":                         {jobstore.PhaseStarted, true, []reportEvent{part("a", api.TaskRunning), testReport("b", 2, 2)}, stStopping, true},
-		"is stopped when a part never started":                      {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskRunning), part("b", api.TaskReserved)}, stStopping, true},
-		"did not run when every part is only reserved":              {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskReserved), part("b", api.TaskReserved)}, stStopping, false},
-		"may have run when a reserved part is missing":              {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskReserved), testReport("b", 2, 2)}, stStopping, true},
-		"may have run when nobody knows it":                         {jobstore.PhaseStarted, false, []reportEvent{testReport("a", 2, 2), testReport("b", 2, 2)}, stStopping, true},
-		"waits when it was only accepted":                           {jobstore.PhaseAccepted, false, []reportEvent{testReport("a", 2, 2), testReport("b", 2, 2)}, stWaiting, false},
-		"gives up a reservation made before its start was recorded": {jobstore.PhaseAccepted, false, []reportEvent{part("a", api.TaskReserved), testReport("b", 2, 2)}, stStopping, false},
+		"continues if every part runs":                              {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskRunning), part("b", api.TaskRunning)}, stRunning, true},
+		"ends if every part has finished":                           {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskDone), part("b", api.TaskDone)}, stDone, true},
+		"is stopped if a part is missing":                           {jobstore.PhaseStarted, true, []reportEvent{part("a", api.TaskRunning), testReport("b", 2, 2)}, stStopping, true},
+		"is stopped if a part never started":                        {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskRunning), part("b", api.TaskReserved)}, stStopping, true},
+		"did not run if every part is only reserved":                {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskReserved), part("b", api.TaskReserved)}, stStopping, false},
+		"may have run if a reserved part is missing":                {jobstore.PhaseStarted, false, []reportEvent{part("a", api.TaskReserved), testReport("b", 2, 2)}, stStopping, true},
+		"may have run if no worker reports it":                      {jobstore.PhaseStarted, false, []reportEvent{testReport("a", 2, 2), testReport("b", 2, 2)}, stStopping, true},
+		"waits if it was only accepted":                             {jobstore.PhaseAccepted, false, []reportEvent{testReport("a", 2, 2), testReport("b", 2, 2)}, stWaiting, false},
+		"releases a reservation made before its start was recorded": {jobstore.PhaseAccepted, false, []reportEvent{part("a", api.TaskReserved), testReport("b", 2, 2)}, stStopping, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := newTestCore(2)
-			c.apply(termEvent{epoch: 2, held: true, mayPlace: true, platform: true}, testStart)
+			c.apply(leaseEvent{epoch: 2, holdsLease: true, mayPlace: true, platformReachable: true}, testStart)
 			var workers []model.Worker
 			for _, id := range []string{"a", "b"} {
 				workers = append(workers, model.Worker{ID: id, Addr: id, Zone: "z"})
@@ -116,7 +116,7 @@
 			record := testRecord("j", test.phase, test.idempotent)
 			c.apply(recoveredEvent{epoch: 2, workers: workers, records: []jobstore.Record{record}, reports: test.reports}, testStart)
 			assert.Equal(t, c.jobs["j"].state, test.state)
-			assert.Equal(t, c.jobs["j"].mayRun, test.mayRun)
+			assert.Equal(t, c.jobs["j"].mayHaveStarted, test.mayHaveStarted)
 		})
 	}
 }
@@ -130,22 +130,22 @@
 	first := testRecord("j-1", jobstore.PhaseAccepted, true)
 	first.Rule = "narrow"
 	c.addWaiting(first)
-	assert.NilError(t, c.accountLimit(submission("acme", "wide", 0)))
-	assert.Assert(t, api.IsKind(c.accountLimit(submission("acme", "narrow", 1)), api.KindQueueFull))
-	assert.Assert(t, api.IsKind(c.accountLimit(submission("orbit", "wide", 0)), api.KindUnknownAccount))
+	assert.NilError(t, c.checkAccountLimits(submission("acme", "wide", 0)))
+	assert.Assert(t, api.IsKind(c.checkAccountLimits(submission("acme", "narrow", 1)), api.KindQueueFull))
+	assert.Assert(t, api.IsKind(c.checkAccountLimits(submission("orbit", "wide", 0)), api.KindUnknownAccount))
 	c.addWaiting(testRecord("j-2", jobstore.PhaseAccepted, true))
-	assert.Assert(t, api.IsKind(c.accountLimit(submission("acme", "wide", 0)), api.KindAccountLimit))
+	assert.Assert(t, api.IsKind(c.checkAccountLimits(submission("acme", "wide", 0)), api.KindAccountLimit))
 }
 
-func TestAStartRecordedByAReplacedPlacerIsNotRepeated(t *testing.T) {
+func TestStartRecordedByReplacedPlacerIsNotRepeated(t *testing.T) {
 	cases := map[string]struct {
 		idempotent bool
 		epoch      int64
 		state      chart.State
 	}{
-		"work that is not idempotent may have run":    {false, 1, stUnknown},
-		"idempotent work may be started again":        {true, 1, stWaiting},
-		"a start of this placer's own is not foreign": {false, 2, stWaiting},
+		"work that is not idempotent may have run": {false, 1, stUnknown},
+		"idempotent work may be started again":     {true, 1, stWaiting},
+		"a start by this placer is not foreign":    {false, 2, stWaiting},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -154,14 +154,14 @@
 			e := c.addWaiting(testRecord("j", jobstore.PhaseAccepted, test.idempotent))
 			found := testRecord("j", jobstore.PhaseStarted, test.idempotent)
 			found.Epoch, found.Version = test.epoch, 7
-			c.apply(persistedEvent{id: "j", record: found}, testStart)
+			c.apply(recordWrittenEvent{id: "j", record: found}, testStart)
 			assert.Equal(t, e.state, test.state)
 			assert.Equal(t, e.record.Version, int64(7))
 		})
 	}
 }
 
-func TestGuaranteesAreCheckedOnceEveryWorkerHasReported(t *testing.T) {
+func TestGuaranteesAreCheckedOnceAllWorkersReported(t *testing.T) {
 	shape := model.GuaranteedShape{Shape: api.Shape{Tasks: 2, AcceleratorsPerTask: 8, SameRack: true}, Count: 1}
 	accounts := func(count int) []model.ClientAccount {
 		wanted := shape
@@ -176,17 +176,17 @@
 	assert.Assert(t, api.IsKind(newTestCore(0).checkGuarantees(accounts(1)), api.KindNotReady))
 }
 
-func TestGangsThatANewConfigurationDoesNotCoverBecomeBorrowers(t *testing.T) {
+func TestGangsBeyondNewGuaranteeBecomeBorrowers(t *testing.T) {
 	shape := api.Shape{Tasks: 2, AcceleratorsPerTask: 8}
 	cases := map[string]struct {
 		guaranteed int
 		idempotent bool
 		borrowed   []bool
 	}{
-		"the guarantee stays":                 {2, true, []bool{false, false}},
-		"half of it stays":                    {1, true, []bool{false, true}},
-		"nothing of it stays":                 {0, true, []bool{true, true}},
-		"gangs that cannot be stopped remain": {0, false, []bool{false, false}},
+		"the guarantee is unchanged":                  {2, true, []bool{false, false}},
+		"half of it remains":                          {1, true, []bool{false, true}},
+		"none of it remains":                          {0, true, []bool{true, true}},
+		"gangs that cannot be stopped are not marked": {0, false, []bool{false, false}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestANewPlacerLearnsRunTimesFromTheTable(t *testing.T) {
+func TestNewPlacerLearnsRunTimesFromStore(t *testing.T) {
 	const runs = 50
 	c := newTestCore(2)
 	c.runs = estimate.NewHistory()
@@ -216,43 +216,43 @@
 	}
 	failed := recent[0]
 	failed.ErrorKind, failed.EndedAt = api.KindJobFailed, testStart.Add(time.Hour)
-	c.learn(append(recent, failed))
+	c.learnRunTimes(append(recent, failed))
 	estimated := c.runs.Run("acme", "k", time.Minute)
 	assert.Assert(t, estimated >= 5*time.Minute && estimated < 10*time.Minute, "%s", estimated)
 }
 
-func TestNotRunIsSaidOnlyOnceItsRowSaysSo(t *testing.T) {
+func TestNotRunIsReturnedOnlyOnceStored(t *testing.T) {
 	cases := map[string]struct {
-		platform bool
-		end      chart.Event
-		state    chart.State
-		atOnce   bool
+		platformReachable bool
+		end               chart.Event
+		state             chart.State
+		atOnce            bool
 	}{
-		"a cancelled job waits for its row":               {true, evCancel, stWaiting, false},
-		"it waits longer while the store is out":          {false, evCancel, stWaiting, false},
-		"a refused job waits for its row":                 {true, evRefuse, stWaiting, false},
-		"a finished job waits for its row":                {true, evFinish, stRunning, false},
-		"a finished job does not wait for a store outage": {false, evFinish, stRunning, true},
+		"a cancelled job waits for its row":                  {true, evCancel, stWaiting, false},
+		"a cancelled job waits during a store outage":        {false, evCancel, stWaiting, false},
+		"a refused job waits for its row":                    {true, evRefuse, stWaiting, false},
+		"a finished job waits for its row":                   {true, evFinish, stRunning, false},
+		"a finished job does not wait during a store outage": {false, evFinish, stRunning, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := newTestCore(2)
-			c.platform = test.platform
+			c.platformReachable = test.platformReachable
 			e := c.addWaiting(testRecord("j", jobstore.PhaseAccepted, true))
 			e.state = test.state
-			assert.Assert(t, c.step(e, test.end, "test", testStart))
+			assert.Assert(t, c.transition(e, test.end, "test", testStart))
 			assert.Equal(t, c.answer(e).Outcome != api.OutcomeAccepted, test.atOnce)
-			c.persist(testStart)
+			c.writeUnsaved(testStart)
 			assert.Equal(t, c.answer(e).Outcome != api.OutcomeAccepted, test.atOnce)
-			c.apply(persistedEvent{id: "j", record: e.record}, testStart)
+			c.apply(recordWrittenEvent{id: "j", record: e.record}, testStart)
 			assert.Equal(t, c.answer(e).Outcome, e.record.Outcome)
 		})
 	}
 }
 
-func TestAnAdoptedJobIsPlacedOnlyOnceItsRowIsThisTerms(t *testing.T) {
+func TestAdoptedJobIsPlacedOnlyOnceItsRowHasThisEpoch(t *testing.T) {
 	c := newTestCore(2)
-	c.apply(termEvent{epoch: 2, held: true, mayPlace: true, platform: true}, testStart)
+	c.apply(leaseEvent{epoch: 2, holdsLease: true, mayPlace: true, platformReachable: true}, testStart)
 	workers := []model.Worker{{ID: "a", Addr: "a", Zone: "z"}, {ID: "b", Addr: "b", Zone: "z"}}
 	record := testRecord("j", jobstore.PhaseAccepted, true)
 	record.Borrow = true
@@ -264,16 +264,16 @@
 	assert.Equal(t, c.jobs["j"].state, stWaiting)
 	written := record
 	written.Epoch, written.Version = 2, 5
-	c.apply(persistedEvent{id: "j", record: written}, testStart)
+	c.apply(recordWrittenEvent{id: "j", record: written}, testStart)
 	c.round(testStart.Add(time.Second))
 	assert.Equal(t, c.jobs["j"].state, stReserving)
 }
 
-func TestCallsToAPlacerThatHasEndedComeBack(t *testing.T) {
+func TestCallsToStoppedPlacerReturn(t *testing.T) {
 	p := New(Options{Zone: "z", Instance: "i-1", WorkerLease: testLease, Interval: time.Second, PlacerLease: time.Second})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	p.loop(ctx)
+	p.eventLoop(ctx)
 	_, err := p.Cancel(context.Background(), "j~z")
 	assert.Assert(t, api.IsKind(err, api.KindNoPlacer), "%v", err)
 	_, err = p.Get(context.Background(), "j~z", time.Hour)
@@ -281,24 +281,24 @@
 	assert.Equal(t, len(p.Status(context.Background()).Zones), 0)
 }
 
-// newLife is a report of a worker's next incarnation, which knows of no gang.
-func newLife(worker string) reportEvent {
+// restartReport returns a report of a worker's next incarnation without any gang.
+func restartReport(worker string) reportEvent {
 	report := testReport(worker, 1, 1)
 	report.sentAt = testStart.Add(3 * testLease)
 	report.report.Incarnation = 2
 	return report
 }
 
-// lostPart is a report of the same life, which knows of no gang any more.
-func lostPart(worker string) reportEvent {
+// lostPartReport returns a report of the same incarnation without any gang.
+func lostPartReport(worker string) reportEvent {
 	report := testReport(worker, 1, 1)
 	report.sentAt = testStart.Add(3 * testLease)
 	return report
 }
 
-// crashedGang is a core with a gang that runs on a and b, and under which other workers
-// went down before.
-func crashedGang(t *testing.T, before ...string) (*core, *entry) {
+// newCoreWithRunningGang returns a core with a gang that runs on a and b and has
+// already crashed the given workers.
+func newCoreWithRunningGang(t *testing.T, before ...string) (*core, *entry) {
 	c := newTestCore(3)
 	record := testRecord("j", jobstore.PhaseStarted, true)
 	record.CrashedOn = before
@@ -313,38 +313,38 @@
 	return c, e
 }
 
-func TestAGangThatTakesDownItsWorkersIsNotStartedWithoutEnd(t *testing.T) {
+func TestGangThatCrashesWorkersIsNotRestartedForever(t *testing.T) {
 	for name, test := range map[string]struct {
-		before []string
-		report reportEvent
-		state  chart.State
-		counts bool
+		before  []string
+		report  reportEvent
+		state   chart.State
+		counted bool
 	}{
-		"the first worker":                        {nil, newLife("a"), stStopping, true},
-		"the second worker":                       {[]string{"x"}, newLife("a"), stStopping, true},
-		"the third worker":                        {[]string{"x", "y"}, newLife("a"), stFailed, true},
-		"a part that is missing on the same life": {[]string{"x", "y"}, lostPart("a"), stStopping, false},
+		"the first crash":  {nil, restartReport("a"), stStopping, true},
+		"the second crash": {[]string{"x"}, restartReport("a"), stStopping, true},
+		"the third crash":  {[]string{"x", "y"}, restartReport("a"), stFailed, true},
+		"a part that is missing in the same incarnation": {[]string{"x", "y"}, lostPartReport("a"), stStopping, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, e := crashedGang(t, test.before...)
+			c, e := newCoreWithRunningGang(t, test.before...)
 			c.apply(test.report, testStart.Add(3*testLease))
 			assert.Equal(t, e.state, test.state)
-			assert.Equal(t, len(e.record.CrashedOn) > len(test.before), test.counts)
+			assert.Equal(t, len(e.record.CrashedOn) > len(test.before), test.counted)
 		})
 	}
 }
 
-func TestAWorkerThatFellSilentAndComesBackNewCountsAsCrashed(t *testing.T) {
+func TestUnresponsiveWorkerThatRestartsCountsAsCrashed(t *testing.T) {
 	for name, test := range map[string]struct {
 		report  reportEvent
 		crashed int
 	}{
-		"its next life": {newLife("a"), 1},
-		"the same life": {lostPart("a"), 0},
+		"its next incarnation": {restartReport("a"), 1},
+		"the same incarnation": {lostPartReport("a"), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, e := crashedGang(t)
-			c.checkSilence(testStart.Add(2 * testLease))
+			c, e := newCoreWithRunningGang(t)
+			c.checkTimeouts(testStart.Add(2 * testLease))
 			assert.Equal(t, e.state, stStopping)
 			c.apply(test.report, testStart.Add(3*testLease))
 			assert.Equal(t, len(e.record.CrashedOn), test.crashed)
--- a/internal/placer/execute.go
+++ b/internal/placer/execute.go
@@ -12,14 +12,15 @@
 // storeCallTimeout bounds a call to the job store.
 const storeCallTimeout = 5 * time.Second
 
-// learntJobs bounds the ended jobs that a new placer learns run times from.
-const learntJobs = 500
+// maxLearnedJobs bounds the ended jobs from which a new placer learns run times.
+const maxLearnedJobs = 500
 
-// carryOut hands the core's actions to the pool. Actions of one gang do not
-// overlap, but for releases: the chart has one call under way for each state.
-func (p *Placer) carryOut(ctx context.Context) {
+// dispatchActions submits the core's actions to the pool. Apart from releases,
+// the actions of one gang do not overlap: in each state of the chart at most one
+// call is in flight.
+func (p *Placer) dispatchActions(ctx context.Context) {
 	for _, a := range p.core.takeActions() {
-		p.submit(func() { p.execute(ctx, a) })
+		p.runInPool(func() { p.execute(ctx, a) })
 	}
 }
 
@@ -27,51 +28,51 @@
 	switch a := a.(type) {
 	case reserveAction:
 		p.post(ctx, p.reserve(ctx, a))
-	case grantAction:
-		record, err := p.update(ctx, a.record)
+	case recordStartAction:
+		record, err := p.updateRecord(ctx, a.record)
 		ref := api.GangRef{Epoch: a.record.Epoch, Gang: a.record.ID, Attempt: a.record.Attempt}
-		p.post(ctx, grantedEvent{ref: ref, record: record, err: err})
+		p.post(ctx, startRecordedEvent{ref: ref, record: record, err: err})
 	case startAction:
 		p.post(ctx, p.start(ctx, a))
 	case stopAction:
 		p.post(ctx, p.stop(ctx, a))
 	case releaseAction:
 		p.release(ctx, a.ref, a.parts)
-	case persistAction:
-		record, err := p.update(ctx, a.record)
-		p.post(ctx, persistedEvent{id: a.record.ID, record: record, err: err})
-	case reloadAction:
-		p.post(ctx, p.reload(ctx, a))
+	case writeRecordAction:
+		record, err := p.updateRecord(ctx, a.record)
+		p.post(ctx, recordWrittenEvent{id: a.record.ID, record: record, err: err})
+	case readRecordAction:
+		p.post(ctx, p.readRecord(ctx, a))
 	case reconcileAction:
-		p.reconcile(ctx, a)
+		p.readOpenRecords(ctx, a)
 	case recoverAction:
 		p.post(ctx, p.recover(ctx, a))
 	}
 }
 
-// each calls f for every part, fanOut at a time, and returns the results in
-// the order of the parts.
-func each[T any](parts []part, f func(part) T) []T {
+// forEachPart calls f for every part, with at most fanOut concurrent calls, and
+// returns the results in the order of the parts.
+func forEachPart[T any](parts []part, f func(part) T) []T {
 	results := make([]T, len(parts))
-	gate := make(chan struct{}, fanOut)
+	semaphore := make(chan struct{}, fanOut)
 	var calls sync.WaitGroup
 	for i, p := range parts {
-		gate <- struct{}{}
+		semaphore <- struct{}{}
 		calls.Go(func() {
 			results[i] = f(p)
-			<-gate
+			<-semaphore
 		})
 	}
 	calls.Wait()
 	return results
 }
 
-// reserve reserves every part, or releases what it got.
+// reserve reserves every part; if one is refused, it releases all of them.
 func (p *Placer) reserve(ctx context.Context, a reserveAction) reservedEvent {
-	errs := each(a.parts, func(one part) error {
-		return p.opts.Workers.Reserve(ctx, one.addr, api.Reserve{
-			GangRef: a.ref, Account: a.account, Accelerators: one.task.Accelerators,
-			Tasks: one.task.Tasks, TTLMS: a.ttl.Milliseconds(),
+	errs := forEachPart(a.parts, func(target part) error {
+		return p.opts.Workers.Reserve(ctx, target.addr, api.Reserve{
+			GangRef: a.ref, Account: a.account, Accelerators: target.task.Accelerators,
+			Tasks: target.task.Tasks, TTLMS: a.ttl.Milliseconds(),
 		})
 	})
 	for i, err := range errs {
@@ -83,11 +84,11 @@
 	return reservedEvent{ref: a.ref, parts: a.parts}
 }
 
-// start starts every part. A part that refused surely does not run; one whose
-// answer was lost may run.
+// start starts every part. A part whose start was refused is definitely not
+// running; one whose answer was lost may be.
 func (p *Placer) start(ctx context.Context, a startAction) startedEvent {
-	errs := each(a.parts, func(one part) error {
-		return p.opts.Workers.Start(ctx, one.addr, api.Start{
+	errs := forEachPart(a.parts, func(target part) error {
+		return p.opts.Workers.Start(ctx, target.addr, api.Start{
 			GangRef: a.ref, LeaseMS: a.lease.Milliseconds(), Checkpoint: a.checkpoint, Payload: a.payload,
 		})
 	})
@@ -97,7 +98,7 @@
 			result.worker, result.err = a.parts[i].worker, err
 		}
 		if err == nil || !worker.Refused(err) {
-			result.mayRun = true
+			result.mayHaveStarted = true
 		}
 	}
 	return result
@@ -110,49 +111,49 @@
 }
 
 func (p *Placer) stop(ctx context.Context, a stopAction) stoppedEvent {
-	results := each(a.parts, func(one part) stopResult { return p.stopPart(ctx, a, one) })
+	results := forEachPart(a.parts, func(target part) stopResult { return p.stopPart(ctx, a, target) })
 	event := stoppedEvent{ref: a.ref}
-	all := a.checkpoint
+	allCheckpointed := a.checkpoint
 	for i, result := range results {
 		if !result.confirmed {
 			event.unconfirmed = append(event.unconfirmed, a.parts[i].worker)
 		}
 		if result.checkpoint == "" {
-			all = false
+			allCheckpointed = false
 		}
 		event.checkpoint = result.checkpoint
 	}
-	if !all {
+	if !allCheckpointed {
 		event.checkpoint = ""
 	}
 	return event
 }
 
-// stopPart takes a checkpoint if asked to, within the time given, and stops
-// the tasks outright in any case.
-func (p *Placer) stopPart(ctx context.Context, a stopAction, one part) stopResult {
+// stopPart takes a checkpoint within the timeout if one is requested, and stops
+// the tasks in any case.
+func (p *Placer) stopPart(ctx context.Context, a stopAction, target part) stopResult {
 	var result stopResult
-	call := api.Stop{GangRef: a.ref, WithinMS: a.within.Milliseconds()}
+	call := api.Stop{GangRef: a.ref, WithinMS: a.timeout.Milliseconds()}
 	if a.checkpoint {
-		checkpointCtx, cancel := context.WithTimeout(ctx, a.within)
-		answer, err := p.opts.Workers.Checkpoint(checkpointCtx, one.addr, call)
+		checkpointCtx, cancel := context.WithTimeout(ctx, a.timeout)
+		answer, err := p.opts.Workers.Checkpoint(checkpointCtx, target.addr, call)
 		cancel()
 		if err == nil {
 			result.checkpoint = answer.Checkpoint
 		}
 	}
-	_, err := p.opts.Workers.Stop(ctx, one.addr, call)
+	_, err := p.opts.Workers.Stop(ctx, target.addr, call)
 	result.confirmed = err == nil || api.IsKind(err, api.KindNotFound)
 	return result
 }
 
 func (p *Placer) release(ctx context.Context, ref api.GangRef, parts []part) {
-	each(parts, func(one part) error {
-		return p.opts.Workers.Release(ctx, one.addr, api.Release{GangRef: ref})
+	forEachPart(parts, func(target part) error {
+		return p.opts.Workers.Release(ctx, target.addr, api.Release{GangRef: ref})
 	})
 }
 
-func (p *Placer) reconcile(ctx context.Context, a reconcileAction) {
+func (p *Placer) readOpenRecords(ctx context.Context, a reconcileAction) {
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	if records, err := p.opts.Jobs.Open(callCtx, p.opts.Zone); err == nil {
@@ -160,8 +161,8 @@
 	}
 }
 
-// recover reads what is open and what the workers hold. The renewal under the
-// new epoch makes the workers refuse the epochs before it.
+// recover reads the open records and renews every worker of the zone. The
+// renewal under the new epoch makes the workers refuse earlier epochs.
 func (p *Placer) recover(ctx context.Context, a recoverAction) recoveredEvent {
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -174,9 +175,9 @@
 	for _, w := range workers {
 		parts = append(parts, part{worker: w.ID, addr: w.Addr})
 	}
-	reports := each(parts, func(one part) reportEvent { return p.renewOne(ctx, one, a.epoch, nil) })
+	reports := forEachPart(parts, func(target part) reportEvent { return p.renewWorker(ctx, target, a.epoch, nil) })
 	event := recoveredEvent{epoch: a.epoch, workers: workers, records: records}
-	if recent, err := p.opts.Jobs.List(callCtx, "", learntJobs); err == nil {
+	if recent, err := p.opts.Jobs.List(callCtx, "", maxLearnedJobs); err == nil {
 		event.recent = recent
 	}
 	for _, report := range reports {
--- a/internal/placer/gangs.go
+++ b/internal/placer/gangs.go
@@ -10,29 +10,29 @@
 	"github.com/corianderbank/corianderbank/internal/placement"
 )
 
-// attemptsPerEpoch is how many attempt numbers belong to each epoch.
+// attemptsPerEpoch is the number of attempt numbers that belong to each epoch.
 const attemptsPerEpoch = 1000
 
-// begin reserves the parts of a placement.
-func (c *core) begin(e *entry, p placement.Placement, now time.Time) {
-	parts, ok := c.partsOf(p.Tasks)
-	if !ok || !c.step(e, evPlace, "placed on "+describeTasks(p.Tasks), now) {
+// reserveGang starts a new attempt by reserving the parts of a placement.
+func (c *core) reserveGang(e *entry, p placement.Placement, now time.Time) {
+	parts, ok := c.partsFor(p.Tasks)
+	if !ok || !c.transition(e, evPlace, "placed on "+describeTasks(p.Tasks), now) {
 		return
 	}
 	e.ref = api.GangRef{Epoch: c.epoch, Gang: e.record.ID, Attempt: e.nextAttempt(c.epoch)}
 	c.setParts(e, parts)
-	e.reports = make(map[string]seenReport)
+	e.reports = make(map[string]partReport)
 	e.borrowed = p.Borrowed
 	e.expectedEnd = p.ExpectedEnd
-	e.mayRun, e.stopSent, e.checkpointed = false, false, false
-	e.lapseAt = time.Time{}
-	c.do(reserveAction{ref: e.ref, account: e.record.Submission.Account, parts: parts, ttl: c.workerLease})
+	e.mayHaveStarted, e.stopInFlight, e.checkpointed = false, false, false
+	e.leasesExpireAt = time.Time{}
+	c.emit(reserveAction{ref: e.ref, account: e.record.Submission.Account, parts: parts, ttl: c.workerLease})
 }
 
-// nextAttempt rises with each reservation, so that a worker can tell a late
-// call for an earlier one. A job that was taken over goes on with numbers of the
-// present epoch: an earlier placer may have used some that no row and no worker
-// within reach tells.
+// nextAttempt returns a number that increases with each reservation, so that a
+// worker can recognize a late call for an earlier attempt. An adopted job
+// continues with numbers of the current epoch: an earlier placer may have used
+// numbers that are found neither in a row nor on a reachable worker.
 func (e *entry) nextAttempt(epoch int64) int {
 	last := max(e.ref.Attempt, e.record.Attempt)
 	if e.adopted {
@@ -41,7 +41,7 @@
 	return last + 1
 }
 
-func (c *core) partsOf(tasks []api.TaskPlacement) ([]part, bool) {
+func (c *core) partsFor(tasks []api.TaskPlacement) ([]part, bool) {
 	parts := make([]part, 0, len(tasks))
 	for _, task := range tasks {
 		w, ok := c.workers[task.Worker]
@@ -54,16 +54,16 @@
 }
 
 func (ev reservedEvent) apply(c *core, now time.Time) {
-	e, ok := c.current(ev.ref)
+	e, ok := c.entryOfAttempt(ev.ref)
 	if !ok || e.state != stReserving {
-		c.do(releaseAction{ref: ev.ref, parts: ev.parts})
+		c.emit(releaseAction{ref: ev.ref, parts: ev.parts})
 		return
 	}
 	if ev.err != nil {
-		c.fallBack(e, fmt.Sprintf("reservation refused by %s: %v", ev.worker, ev.err), now)
+		c.requeue(e, fmt.Sprintf("reservation refused by %s: %v", ev.worker, ev.err), now)
 		return
 	}
-	if !c.step(e, evReserved, "every part is reserved", now) {
+	if !c.transition(e, evReserved, "every part is reserved", now) {
 		return
 	}
 	e.record.Attempt = ev.ref.Attempt
@@ -73,26 +73,26 @@
 	e.record.Borrowed = e.borrowed
 	if e.record.Submission.Idempotent {
 		c.markUnsaved(e)
-		c.start(e)
+		c.startGang(e)
 		return
 	}
-	e.writing = true
-	c.do(grantAction{record: e.record})
+	e.writeInFlight = true
+	c.emit(recordStartAction{record: e.record})
 }
 
-// fallBack returns a gang that never started to the queue.
-func (c *core) fallBack(e *entry, reason string, now time.Time) {
-	c.step(e, evShort, reason, now)
-	e.notBefore = now.Add(retryPlacementAfter)
+// requeue returns a gang that never started to the queue.
+func (c *core) requeue(e *entry, reason string, now time.Time) {
+	c.transition(e, evShort, reason, now)
+	e.notBefore = now.Add(placementRetryDelay)
 	c.setParts(e, nil)
 }
 
-func (ev grantedEvent) apply(c *core, now time.Time) {
+func (ev startRecordedEvent) apply(c *core, now time.Time) {
 	e, ok := c.jobs[ev.ref.Gang]
 	if !ok {
 		return
 	}
-	e.writing = false
+	e.writeInFlight = false
 	if ev.err == nil {
 		e.record.Version = ev.record.Version
 	}
@@ -100,56 +100,56 @@
 		return
 	}
 	if ev.err != nil {
-		c.do(reloadAction{record: e.record})
-		e.writing = true
-		c.stop(e, evStartFailed, fmt.Sprintf("the right to start was not recorded: %v", ev.err), now)
+		c.emit(readRecordAction{record: e.record})
+		e.writeInFlight = true
+		c.stopGang(e, evStartFailed, fmt.Sprintf("the right to start was not recorded: %v", ev.err), now)
 		return
 	}
-	c.start(e)
+	c.startGang(e)
 }
 
-func (c *core) start(e *entry) {
-	e.mayRun = true
-	c.do(startAction{
+func (c *core) startGang(e *entry) {
+	e.mayHaveStarted = true
+	c.emit(startAction{
 		ref: e.ref, parts: e.parts, lease: c.workerLease,
 		checkpoint: e.record.Checkpoint, payload: e.record.Submission.Payload,
 	})
 }
 
 func (ev startedEvent) apply(c *core, now time.Time) {
-	e, ok := c.current(ev.ref)
+	e, ok := c.entryOfAttempt(ev.ref)
 	if !ok || e.state != stStarting {
 		return
 	}
 	if ev.err == nil {
 		for _, p := range e.parts {
-			e.reports[p.worker] = seenReport{state: api.TaskRunning, renewedAt: now}
+			e.reports[p.worker] = partReport{state: api.TaskRunning, renewedAt: now}
 		}
-		c.step(e, evStarted, "every part started", now)
+		c.transition(e, evStarted, "every part started", now)
 		return
 	}
-	e.mayRun = ev.mayRun
-	c.stop(e, evStartFailed, fmt.Sprintf("start refused by %s: %v", ev.worker, ev.err), now)
+	e.mayHaveStarted = ev.mayHaveStarted
+	c.stopGang(e, evStartFailed, fmt.Sprintf("start refused by %s: %v", ev.worker, ev.err), now)
 }
 
-// stop moves e to a stopping state and stops the whole gang.
-func (c *core) stop(e *entry, ev chart.Event, reason string, now time.Time) {
-	if !c.step(e, ev, reason, now) {
+// stopGang moves e to a stopping state and stops the whole gang.
+func (c *core) stopGang(e *entry, ev chart.Event, reason string, now time.Time) {
+	if !c.transition(e, ev, reason, now) {
 		return
 	}
 	e.stopReason = reason
-	c.sendStop(e, false, stopWithin)
+	c.sendStop(e, false, stopTimeout)
 }
 
-func (c *core) sendStop(e *entry, checkpoint bool, within time.Duration) {
-	e.stopSent = true
-	c.do(stopAction{ref: e.ref, parts: e.parts, checkpoint: checkpoint, within: within})
+func (c *core) sendStop(e *entry, checkpoint bool, timeout time.Duration) {
+	e.stopInFlight = true
+	c.emit(stopAction{ref: e.ref, parts: e.parts, checkpoint: checkpoint, timeout: timeout})
 }
 
-// reclaim stops a gang so that another account gets its guarantee.
-func (c *core) reclaim(e *entry, r placement.Reclaim, now time.Time) {
+// reclaimGang stops a gang so that another account gets its guarantee.
+func (c *core) reclaimGang(e *entry, r placement.Reclaim, now time.Time) {
 	reason := fmt.Sprintf("%s within %s for %s", r.Method, r.Within, r.For)
-	if !c.step(e, evReclaim, reason, now) {
+	if !c.transition(e, evReclaim, reason, now) {
 		return
 	}
 	e.stopReason = reason
@@ -157,77 +157,78 @@
 }
 
 func (ev stoppedEvent) apply(c *core, now time.Time) {
-	e, ok := c.current(ev.ref)
+	e, ok := c.entryOfAttempt(ev.ref)
 	if !ok || (e.state != stStopping && e.state != stCancelling) {
 		return
 	}
-	e.stopSent = false
+	e.stopInFlight = false
 	if ev.checkpoint != "" {
 		e.record.Checkpoint = ev.checkpoint
-		e.record.ProgressS += e.ranS()
+		e.record.ProgressS += e.longestRunSeconds()
 	}
 	e.checkpointed = ev.checkpoint != ""
 	if len(ev.unconfirmed) > 0 {
-		c.awaitLapse(e, ev.unconfirmed, now)
+		c.awaitLeaseExpiry(e, ev.unconfirmed, now)
 	}
-	if now.Before(e.lapseAt) {
+	if now.Before(e.leasesExpireAt) {
 		return
 	}
-	c.stopped(e, now)
+	c.completeStop(e, now)
 }
 
-// awaitLapse keeps e stopping until the leases of silent workers have surely
-// lapsed: a worker that no one renews stops its tasks by itself.
-func (c *core) awaitLapse(e *entry, workers []string, now time.Time) {
+// awaitLeaseExpiry keeps e stopping until the leases of workers that did not
+// confirm the stop have definitely expired: a worker stops tasks whose lease is
+// not renewed.
+func (c *core) awaitLeaseExpiry(e *entry, workers []string, now time.Time) {
 	for _, worker := range workers {
 		renewed := e.reports[worker].renewedAt
 		if renewed.IsZero() {
 			renewed = now
 		}
-		if until := renewed.Add(c.workerLease); until.After(e.lapseAt) {
-			e.lapseAt = until
+		if until := renewed.Add(c.workerLease); until.After(e.leasesExpireAt) {
+			e.leasesExpireAt = until
 		}
 	}
-	if e.lapseAt.Before(now.Add(retryPlacementAfter)) {
-		e.lapseAt = now.Add(retryPlacementAfter)
+	if e.leasesExpireAt.Before(now.Add(placementRetryDelay)) {
+		e.leasesExpireAt = now.Add(placementRetryDelay)
 	}
 }
 
-// stopped ends the present attempt: every part is surely not running.
-func (c *core) stopped(e *entry, now time.Time) {
-	c.do(releaseAction{ref: e.ref, parts: e.parts})
+// completeStop ends the current attempt, of which no part is running any more.
+func (c *core) completeStop(e *entry, now time.Time) {
+	c.emit(releaseAction{ref: e.ref, parts: e.parts})
 	c.setParts(e, nil)
-	e.ranEver = e.ranEver || e.mayRun
-	if !e.ranEver {
+	e.mayHaveRunBefore = e.mayHaveRunBefore || e.mayHaveStarted
+	if !e.mayHaveRunBefore {
 		e.record.Phase = jobstore.PhaseAccepted
 	}
 	if e.state == stCancelling {
-		c.step(e, evStopped, "cancelled by the caller", now)
+		c.transition(e, evStopped, "cancelled by the caller", now)
 		return
 	}
-	if e.mayRun && !e.record.Submission.Idempotent && !e.checkpointed {
-		c.step(e, evLose, "stopped while it may have run; not idempotent: "+e.stopReason, now)
+	if e.mayHaveStarted && !e.record.Submission.Idempotent && !e.checkpointed {
+		c.transition(e, evLose, "stopped while it may have run; not idempotent: "+e.stopReason, now)
 		return
 	}
-	e.notBefore = now.Add(retryPlacementAfter)
+	e.notBefore = now.Add(placementRetryDelay)
 	c.markUnsaved(e)
-	c.step(e, evStopped, "waits again: "+e.stopReason, now)
+	c.transition(e, evStopped, "waits again: "+e.stopReason, now)
 }
 
-func (e *entry) ranS() float64 {
+func (e *entry) longestRunSeconds() float64 {
 	longest := 0.0
 	for _, report := range e.reports {
-		longest = max(longest, report.ranS)
+		longest = max(longest, report.runSeconds)
 	}
 	return longest
 }
 
-func (ev persistedEvent) apply(c *core, now time.Time) {
+func (ev recordWrittenEvent) apply(c *core, now time.Time) {
 	e, ok := c.jobs[ev.id]
 	if !ok {
 		return
 	}
-	e.writing = false
+	e.writeInFlight = false
 	if ev.err == nil {
 		if ev.record.Epoch > c.epoch {
 			c.stepDown()
@@ -238,69 +239,70 @@
 			return
 		}
 		e.record.Version = ev.record.Version
-		e.fenced = e.fenced || ev.record.Epoch == c.epoch
-		c.touched = true
-		c.noteForeignStart(e, ev.record, now)
+		e.writtenThisEpoch = e.writtenThisEpoch || ev.record.Epoch == c.epoch
+		c.planOutdated = true
+		c.handleForeignStart(e, ev.record, now)
 		return
 	}
 	c.markUnsaved(e)
-	e.nextWrite = now.Add(persistRetryAfter)
+	e.nextWriteAt = now.Add(storeRetryDelay)
 	if api.IsKind(ev.err, api.KindConflict) || api.IsKind(ev.err, api.KindResultUnknown) {
-		e.writing = true
-		c.do(reloadAction{record: e.record})
+		e.writeInFlight = true
+		c.emit(readRecordAction{record: e.record})
 	}
 }
 
-// noteForeignStart reacts to a row in which an earlier placer, paused until
+// handleForeignStart handles a row in which an earlier placer, paused until
 // after the takeover, recorded a start. The workers that this placer reached
-// refused that start; one that it did not reach may have made it.
-func (c *core) noteForeignStart(e *entry, found jobstore.Record, now time.Time) {
+// refused that start; one that it did not reach may have performed it.
+func (c *core) handleForeignStart(e *entry, found jobstore.Record, now time.Time) {
 	if found.Phase != jobstore.PhaseStarted || found.Epoch == c.epoch || e.record.Submission.Idempotent {
 		return
 	}
 	const reason = "an earlier placer recorded a start after it was replaced"
-	e.mayRun = true
+	e.mayHaveStarted = true
 	e.stopReason = reason
 	if e.state == stWaiting {
-		c.step(e, evLose, reason, now)
+		c.transition(e, evLose, reason, now)
 	}
 }
 
-// persist writes dirty records under the present epoch and releases ended gangs whose outcome is safe.
-func (c *core) persist(now time.Time) {
+// writeUnsaved writes dirty records under the current epoch and releases ended
+// gangs whose outcome is stored.
+func (c *core) writeUnsaved(now time.Time) {
 	for id, e := range c.unsaved {
-		if e.writing {
+		if e.writeInFlight {
 			continue
 		}
 		if e.dirty {
-			c.write(e, now)
+			c.writeRecord(e, now)
 			continue
 		}
 		delete(c.unsaved, id)
-		if c.chart.Final(e.state) {
-			c.acknowledge(e)
-			e.wakeWaiters()
+		if c.gangChart.Final(e.state) {
+			c.releaseEnded(e)
+			e.notifyWaiters()
 		}
 	}
 }
 
-func (c *core) write(e *entry, now time.Time) {
-	if now.Before(e.nextWrite) {
+func (c *core) writeRecord(e *entry, now time.Time) {
+	if now.Before(e.nextWriteAt) {
 		return
 	}
-	e.dirty, e.writing = false, true
-	if !c.platform && c.chart.Final(e.state) && c.settled(e) {
-		e.wakeWaiters()
+	e.dirty, e.writeInFlight = false, true
+	if !c.platformReachable && c.gangChart.Final(e.state) && c.outcomeVisible(e) {
+		e.notifyWaiters()
 	}
 	e.record.Epoch = c.epoch
-	c.do(persistAction{record: e.record})
+	c.emit(writeRecordAction{record: e.record})
 }
 
-// acknowledge releases what an ended gang still holds, now that its outcome is
-// safe: until then its workers keep the news for the next placer.
-func (c *core) acknowledge(e *entry) {
+// releaseEnded releases what an ended gang still holds once its outcome is
+// stored. Until then its workers keep their reports for the next placer.
+func (c *core) releaseEnded(e *entry) {
 	if len(e.parts) > 0 {
-		c.do(releaseAction{ref: e.ref, parts: e.parts})
+		c.emit(releaseAction{ref: e.ref, parts: e.parts})
 		c.setParts(e, nil)
 	}
 }
@@ -319,5 +321,5 @@
 	return text
 }
 
-// maxDescribedTasks bounds a log line for a large gang.
+// maxDescribedTasks bounds the tasks in a log line for a large gang.
 const maxDescribedTasks = 8
--- a/internal/placer/metrics.go
+++ b/internal/placer/metrics.go
@@ -11,56 +11,58 @@
 	"github.com/corianderbank/corianderbank/internal/placement"
 )
 
-// shownStates are the states of charts/gang.json that have a gauge.
-var shownStates = []chart.State{stWaiting, stReserving, stStarting, stRunning, stStopping, stCancelling}
+// gaugedStates are the states of charts/gang.json that have a gauge.
+var gaugedStates = []chart.State{stWaiting, stReserving, stStarting, stRunning, stStopping, stCancelling}
 
-// shownHealth are the states of charts/worker.json that have a gauge.
-var shownHealth = []model.WorkerHealth{
+// gaugedHealth are the states of charts/worker.json that have a gauge.
+var gaugedHealth = []model.WorkerHealth{
 	model.WorkerHealthy, model.WorkerSuspect, model.WorkerQuarantined, model.WorkerProbing, model.WorkerLeaving, model.WorkerLost,
 }
 
 func setGauge(name string, value float64) { metrics.GetOrCreateGauge(name, nil).Set(value) }
 
-// showRound publishes what a round found and how long it took.
-func (c *core) showRound(took time.Duration) {
+// recordRoundMetrics publishes the state after a round and its duration.
+func (c *core) recordRoundMetrics(took time.Duration) {
 	metrics.GetOrCreateHistogram("corianderbank_placement_round_seconds").Update(took.Seconds())
 	byState := make(map[chart.State]int)
 	for _, e := range c.jobs {
 		byState[e.state]++
 	}
-	for _, state := range shownStates {
+	for _, state := range gaugedStates {
 		setGauge(`corianderbank_gangs{state="`+string(state)+`"}`, float64(byState[state]))
 	}
 	byHealth := make(map[model.WorkerHealth]int)
 	for _, w := range c.workers {
 		byHealth[w.Health]++
 	}
-	for _, health := range shownHealth {
+	for _, health := range gaugedHealth {
 		setGauge(`corianderbank_workers{health="`+string(health)+`"}`, float64(byHealth[health]))
 	}
-	setGauge("corianderbank_placer_epoch", float64(c.shownEpoch()))
+	setGauge("corianderbank_placer_epoch", float64(c.activeEpoch()))
 	setGauge("corianderbank_zone_load", c.load())
 }
 
-func (c *core) shownEpoch() int64 {
-	if c.ready() != nil {
+// activeEpoch returns the epoch, or 0 while this instance is not the placer.
+func (c *core) activeEpoch() int64 {
+	if c.checkActive() != nil {
 		return 0
 	}
 	return c.epoch
 }
 
-// showPlan counts the reclaims of a plan and the accounts at risk.
-func showPlan(plan placement.Plan) {
+// recordPlanMetrics counts the reclaims of a plan and the accounts at risk.
+func recordPlanMetrics(plan placement.Plan) {
 	for _, r := range plan.Reclaims {
 		metrics.GetOrCreateCounter(`corianderbank_reclaims_total{method="` + string(r.Method) + `"}`).Inc()
 	}
 	setGauge("corianderbank_client_accounts_at_risk", float64(len(plan.AtRisk)))
 }
 
-// showTransition counts a gang's step, and the wait of one that has started.
-func showTransition(e *entry, next chart.State, now time.Time) {
+// recordTransitionMetrics counts a gang's transition. On the job's first start it
+// also records the time since submission.
+func recordTransitionMetrics(e *entry, next chart.State, now time.Time) {
 	metrics.GetOrCreateCounter(`corianderbank_gang_transitions_total{to="` + string(next) + `"}`).Inc()
-	if next != stRunning || e.ranEver {
+	if next != stRunning || e.mayHaveRunBefore {
 		return
 	}
 	urgent := "false"
@@ -71,7 +73,7 @@
 	metrics.GetOrCreateHistogram(`corianderbank_job_start_wait_seconds{urgent="` + urgent + `"}`).Update(waited.Seconds())
 }
 
-// showOutcome counts a job's end.
-func showOutcome(outcome api.Outcome, kind api.Kind) {
+// recordOutcomeMetrics counts an ended job by outcome and error kind.
+func recordOutcomeMetrics(outcome api.Outcome, kind api.Kind) {
 	metrics.GetOrCreateCounter(`corianderbank_job_outcomes_total{outcome="` + string(outcome) + `",error_kind="` + string(kind) + `"}`).Inc()
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -22,35 +22,37 @@
 	"github.com/corianderbank/corianderbank/internal/worker"
 )
 
-// Bounds of the shell.
+// Limits of the shell.
 const (
-	// eventCapacity bounds the events that wait for the core. A poster waits
-	// when it is full: every event is a result that the core needs.
+	// eventCapacity bounds the queued events. Senders block when the queue is
+	// full, because the core needs every result.
 	eventCapacity = 1024
-	// poolSize bounds the concurrent actions; each is a few calls to workers.
+	// poolSize bounds the concurrent actions; each makes a few calls to workers.
 	poolSize = 64
-	// fanOut bounds the concurrent calls of one gang: 512 parts in 8 rounds.
+	// fanOut bounds the concurrent calls of one gang: 512 parts take 8 rounds.
 	fanOut = 64
-	// leasePart is the part of a lease after which it is renewed. A call may
-	// take two such parts, so that a slow store does not cost the lease.
-	leasePart = 3
-	// steadyPart is the part of a worker lease after which a worker is renewed;
-	// watchPart that while news is expected of it.
-	steadyPart = 5
-	watchPart  = 15
-	// cancelWait is how long a cancellation waits for the final outcome.
+	// leaseRenewalDivisor divides the lease into renewal intervals. A call may
+	// take two of them, so that a slow store does not cost the lease.
+	leaseRenewalDivisor = 3
+	// steadyRenewalDivisor divides a worker lease into the usual renewal
+	// intervals, frequentRenewalDivisor into those used while a change of the
+	// worker's state is expected.
+	steadyRenewalDivisor   = 5
+	frequentRenewalDivisor = 15
+	// cancelWait bounds how long a cancellation waits for the final outcome.
 	cancelWait = 3 * time.Second
-	// overduePart is the part of a gang's run time by which it may be late and
-	// still be expected to end soon.
-	overduePart = 10
+	// overdueDivisor divides a gang's run time into the delay past its expected
+	// end up to which it is still expected to end soon.
+	overdueDivisor = 10
 )
 
-// Options are what a placer works with. Holder and OnEpoch may be left out.
+// Options configures a placer. Holder and OnEpoch are optional.
 type Options struct {
 	Zone     string
 	Instance string
-	// Holder takes the lease. It is unique to the process, so that a process
-	// that comes back under its old name gets a new epoch. Instance by default.
+	// Holder is the name under which the lease is taken. It is unique to the
+	// process, so that a process that restarts under the same instance name gets
+	// a new epoch. The default is Instance.
 	Holder      string
 	Config      config.Source
 	Fleet       membership.View
@@ -65,11 +67,11 @@
 	WorkerLease time.Duration
 	Interval    time.Duration
 	MaxJobs     int
-	// MayPlace says whether a holder whose lease is past its time (the store
-	// does not answer) may still start new work.
+	// MayPlace reports whether a holder whose lease has expired because the
+	// store does not answer may still start new work.
 	MayPlace func() bool
-	// OnEpoch, if set, is told when this instance
-	// becomes the placer, or is no longer: epoch 0 means it is not.
+	// OnEpoch, if set, is called when this instance becomes the placer, with its
+	// epoch, and when it ceases to be, with 0.
 	OnEpoch func(epoch int64)
 }
 
@@ -81,32 +83,32 @@
 	core   *core
 
 	mu    sync.Mutex
-	epoch int64 // epoch while ready; read by other goroutines
-	// load holds the bits of the last round's load level.
+	epoch int64 // 0 while not the active placer; guarded by mu
+	// load holds the float64 bits of the load after the last round.
 	load atomic.Uint64
 
-	// underWay counts the actions in the pool.
-	underWay sync.WaitGroup
+	// inFlight counts the actions in the pool.
+	inFlight sync.WaitGroup
 
-	leaving   chan struct{}
-	leaveOnce sync.Once
-	left      chan struct{}
-	// ended is closed when the loop has ended and answers nobody any more.
-	ended chan struct{}
+	leaveRequested chan struct{}
+	leaveOnce      sync.Once
+	leaseLoopDone  chan struct{}
+	// loopDone is closed when the event loop has ended and answers no more calls.
+	loopDone chan struct{}
 }
 
-// New returns a placer; Run makes it work.
+// New returns a placer that does nothing until Run is called.
 func New(opts Options) *Placer {
 	if opts.Holder == "" {
 		opts.Holder = opts.Instance
 	}
 	return &Placer{
-		opts:    opts,
-		events:  make(chan event, eventCapacity),
-		pool:    pond.NewPool(poolSize),
-		leaving: make(chan struct{}),
-		left:    make(chan struct{}),
-		ended:   make(chan struct{}),
+		opts:           opts,
+		events:         make(chan event, eventCapacity),
+		pool:           pond.NewPool(poolSize),
+		leaveRequested: make(chan struct{}),
+		leaseLoopDone:  make(chan struct{}),
+		loopDone:       make(chan struct{}),
 		core: newCore(core{
 			zone: opts.Zone, instance: opts.Instance, runs: opts.Runs, health: opts.Health, recorder: opts.Recorder,
 			workerLease: opts.WorkerLease, maxJobs: opts.MaxJobs,
@@ -114,46 +116,46 @@
 	}
 }
 
-// Run works until ctx ends. It returns after its goroutines have ended.
+// Run runs the placer until ctx ends and returns after its goroutines have ended.
 func (p *Placer) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { p.leaseDuty(ctx) })
-	duties.Go(func() { p.watchDuty(ctx) })
-	p.loop(ctx)
-	duties.Wait()
-	p.underWay.Wait()
+	var loops sync.WaitGroup
+	loops.Go(func() { p.leaseLoop(ctx) })
+	loops.Go(func() { p.renewalLoop(ctx) })
+	p.eventLoop(ctx)
+	loops.Wait()
+	p.inFlight.Wait()
 }
 
-// submit runs f in the pool. The pool keeps no idle goroutines, so it needs no
-// stop of its own.
-func (p *Placer) submit(f func()) {
-	p.underWay.Add(1)
+// runInPool runs f in the pool. The pool keeps no idle goroutines, so it need
+// not be stopped.
+func (p *Placer) runInPool(f func()) {
+	p.inFlight.Add(1)
 	p.pool.Submit(func() {
-		defer p.underWay.Done()
+		defer p.inFlight.Done()
 		f()
 	})
 }
 
-// Epoch returns the epoch under which this instance places, or 0.
+// Epoch returns the epoch under which this instance is the placer, or 0.
 func (p *Placer) Epoch() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.epoch
 }
 
-// Leave gives the lease up and takes it no more. It returns when the lease is
-// released, or ctx ends.
+// Leave releases the lease and does not acquire it again. It returns when the
+// lease is released or ctx ends.
 func (p *Placer) Leave(ctx context.Context) {
-	p.leaveOnce.Do(func() { close(p.leaving) })
+	p.leaveOnce.Do(func() { close(p.leaveRequested) })
 	select {
-	case <-p.left:
+	case <-p.leaseLoopDone:
 	case <-ctx.Done():
 	}
 }
 
-// loop owns the core.
-func (p *Placer) loop(ctx context.Context) {
-	defer close(p.ended)
+// eventLoop runs in the goroutine that owns the core.
+func (p *Placer) eventLoop(ctx context.Context) {
+	defer close(p.loopDone)
 	ticker := time.NewTicker(p.opts.Interval)
 	defer ticker.Stop()
 	for {
@@ -162,18 +164,19 @@
 			return
 		case ev := <-p.events:
 			p.core.apply(ev, time.Now())
-			p.drain()
-			p.core.persist(time.Now())
+			p.drainEvents()
+			p.core.writeUnsaved(time.Now())
 		case <-ticker.C:
 			p.tick(time.Now())
 		}
-		p.publish()
-		p.carryOut(ctx)
+		p.publishEpoch()
+		p.dispatchActions(ctx)
 	}
 }
 
-// drain applies what else is waiting, so that a burst costs one round.
-func (p *Placer) drain() {
+// drainEvents applies the other queued events, so that a burst is persisted and
+// published once.
+func (p *Placer) drainEvents() {
 	for range len(p.events) {
 		p.core.apply(<-p.events, time.Now())
 	}
@@ -183,13 +186,13 @@
 	p.core.setConfig(p.opts.Config.Current())
 	p.core.setWorkers(p.opts.Fleet.Workers(p.opts.Zone), now)
 	p.core.round(now)
-	p.core.showRound(time.Since(now))
+	p.core.recordRoundMetrics(time.Since(now))
 	p.load.Store(math.Float64bits(p.core.load()))
 }
 
-func (p *Placer) publish() {
+func (p *Placer) publishEpoch() {
 	epoch := int64(0)
-	if p.core.ready() == nil {
+	if p.core.checkActive() == nil {
 		epoch = p.core.epoch
 	}
 	p.mu.Lock()
@@ -204,30 +207,31 @@
 	}
 }
 
-// post hands an event to the core. It waits when the ring is full.
+// post sends an event to the core and blocks while the queue is full. It reports
+// whether the event was sent.
 func (p *Placer) post(ctx context.Context, ev event) bool {
 	select {
 	case p.events <- ev:
 		return true
-	case <-p.ended:
+	case <-p.loopDone:
 		return false
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// leaseDuty takes and keeps the zone's lease.
-func (p *Placer) leaseDuty(ctx context.Context) {
-	defer close(p.left)
+// leaseLoop acquires and renews the zone's lease.
+func (p *Placer) leaseLoop(ctx context.Context) {
+	defer close(p.leaseLoopDone)
 	var held lease.Held
 	for {
-		next := time.Now().Add(p.opts.PlacerLease / leasePart)
+		next := time.Now().Add(p.opts.PlacerLease / leaseRenewalDivisor)
 		held = p.renewLease(ctx, held)
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.leaving:
-			p.post(ctx, termEvent{})
+		case <-p.leaveRequested:
+			p.post(ctx, leaseEvent{})
 			if held.Epoch > 0 {
 				if err := p.opts.Leases.Release(ctx, held, p.opts.Holder); err != nil {
 					p.opts.Logger.Warn("placer lease not released; it lapses", zap.Error(err))
@@ -239,78 +243,81 @@
 	}
 }
 
-// renewLease asks for the lease once and tells the core what is known. While
-// the store does not answer, a holder stays holder: the role changes hands only
-// through the table, and the workers refuse an older epoch.
+// renewLease tries to acquire or renew the lease once and posts the result to
+// the core. While the store does not answer, a holder remains the holder: the
+// role changes hands only through the table, and the workers refuse an older
+// epoch.
 func (p *Placer) renewLease(ctx context.Context, held lease.Held) lease.Held {
-	callCtx, cancel := context.WithTimeout(ctx, p.opts.PlacerLease*2/leasePart)
+	callCtx, cancel := context.WithTimeout(ctx, p.opts.PlacerLease*2/leaseRenewalDivisor)
 	defer cancel()
 	fresh, err := p.opts.Leases.Acquire(callCtx, p.opts.Zone, p.opts.Holder)
 	switch {
 	case err == nil:
-		p.post(ctx, termEvent{epoch: fresh.Epoch, held: true, mayPlace: true, platform: true})
+		p.post(ctx, leaseEvent{epoch: fresh.Epoch, holdsLease: true, mayPlace: true, platformReachable: true})
 		return fresh
 	case api.IsKind(err, api.KindConflict):
-		p.post(ctx, termEvent{platform: true})
+		p.post(ctx, leaseEvent{platformReachable: true})
 		return lease.Held{}
 	}
-	inTime := time.Now().Before(held.Until)
-	p.post(ctx, termEvent{epoch: held.Epoch, held: held.Epoch > 0, mayPlace: inTime || p.opts.MayPlace()})
+	unexpired := time.Now().Before(held.Until)
+	p.post(ctx, leaseEvent{epoch: held.Epoch, holdsLease: held.Epoch > 0, mayPlace: unexpired || p.opts.MayPlace()})
 	return held
 }
 
-// Admit asks whether the job may be accepted. It changes nothing. An answer
-// with another id than the submission's is an earlier job of the same key.
+// Admit checks whether the job may be accepted, without changing anything. An
+// answer with an id other than the submission's describes an earlier job with
+// the same idempotency key.
 func (p *Placer) Admit(ctx context.Context, s Submission) (api.JobAnswer, error) {
-	return p.call(ctx, func(r chan reply) event { return admitCall{s, r} })
+	return p.call(ctx, func(r chan reply) event { return admitJobCall{s, r} })
 }
 
 // Submit admits and durably accepts the job. A submission whose idempotency key
-// names an earlier job gets that job's answer, whether it would be admitted now
-// or not.
+// belongs to an earlier job returns that job's answer, regardless of whether the
+// job would be admitted now.
 func (p *Placer) Submit(ctx context.Context, s Submission) (api.JobAnswer, error) {
 	answer, err := p.Admit(ctx, s)
 	if err != nil {
-		return p.refused(ctx, s, err)
+		return p.refusalOrExisting(ctx, s, err)
 	}
 	if answer.ID != s.ID {
 		return answer, nil
 	}
-	record := p.core.record(s, time.Now())
+	record := p.core.newRecord(s, time.Now())
 	accepted, earlier, err := p.opts.Jobs.Accept(ctx, record)
 	if err != nil {
 		return api.JobAnswer{}, err
 	}
 	if earlier {
-		return p.known(ctx, accepted), nil
+		return p.existingAnswer(ctx, accepted), nil
 	}
-	answer, err = p.call(ctx, func(r chan reply) event { return acceptedCall{accepted, r} })
+	answer, err = p.call(ctx, func(r chan reply) event { return jobAcceptedCall{accepted, r} })
 	if err != nil {
-		// The row is written: the zone's placer finds it.
+		// The row is written: the zone's placer will find it.
 		return jobstore.Answer(accepted), nil
 	}
 	return answer, nil
 }
 
-// refused returns the refusal of a submission, unless its key names a job that
-// was accepted before: then that is the truth about it.
-func (p *Placer) refused(ctx context.Context, s Submission, refusal error) (api.JobAnswer, error) {
+// refusalOrExisting returns the refusal of a submission, unless its key belongs
+// to a job that was accepted before; then it returns that job's answer.
+func (p *Placer) refusalOrExisting(ctx context.Context, s Submission, refusal error) (api.JobAnswer, error) {
 	if s.Job.IdempotencyKey == "" || api.IsKind(refusal, api.KindNoPlacer) || api.IsKind(refusal, api.KindKeyReused) {
 		return api.JobAnswer{}, refusal
 	}
 	found, err := p.opts.Jobs.Find(ctx, s.Job)
 	switch {
 	case err == nil:
-		return p.known(ctx, found), nil
+		return p.existingAnswer(ctx, found), nil
 	case api.IsKind(err, api.KindNotFound):
 		return api.JobAnswer{}, refusal
 	}
 	return api.JobAnswer{}, err
 }
 
-// known is the answer of a job that was accepted before, by this zone or another.
-func (p *Placer) known(ctx context.Context, record jobstore.Record) api.JobAnswer {
-	answer, err := p.call(ctx, func(r chan reply) event { return getCall{record.ID, nil, r} })
+// existingAnswer returns the answer of a job that this zone or another accepted
+// before.
+func (p *Placer) existingAnswer(ctx context.Context, record jobstore.Record) api.JobAnswer {
+	answer, err := p.call(ctx, func(r chan reply) event { return getJobCall{record.ID, nil, r} })
 	if err != nil {
 		return jobstore.Answer(record)
 	}
@@ -320,28 +327,29 @@
 // Get returns the job's answer. It waits up to wait for a final one.
 func (p *Placer) Get(ctx context.Context, id string, wait time.Duration) (api.JobAnswer, error) {
 	ended := make(chan struct{})
-	answer, err := p.call(ctx, func(r chan reply) event { return getCall{id, ended, r} })
+	answer, err := p.call(ctx, func(r chan reply) event { return getJobCall{id, ended, r} })
 	if err != nil || answer.Outcome != api.OutcomeAccepted || wait <= 0 {
-		p.post(ctx, forgetCall{id, ended})
+		p.post(ctx, stopWaitingCall{id, ended})
 		return answer, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-ended:
-		return p.call(ctx, func(r chan reply) event { return getCall{id, nil, r} })
+		return p.call(ctx, func(r chan reply) event { return getJobCall{id, nil, r} })
 	case <-timer.C:
-	case <-p.ended:
+	case <-p.loopDone:
 	case <-ctx.Done():
 	}
-	p.post(context.WithoutCancel(ctx), forgetCall{id, ended})
+	p.post(context.WithoutCancel(ctx), stopWaitingCall{id, ended})
 	return answer, nil
 }
 
-// Cancel cancels the job and returns its answer, which it waits for a while: a
-// gang has to stop, and the outcome has to be written, before it is final.
+// Cancel cancels the job and returns its answer. It waits up to cancelWait for
+// the final outcome, which requires that the gang has stopped and the outcome is
+// stored.
 func (p *Placer) Cancel(ctx context.Context, id string) (api.JobAnswer, error) {
-	answer, err := p.call(ctx, func(r chan reply) event { return cancelCall{id, r} })
+	answer, err := p.call(ctx, func(r chan reply) event { return cancelJobCall{id, r} })
 	if err != nil || answer.Outcome != api.OutcomeAccepted {
 		return answer, err
 	}
@@ -351,16 +359,17 @@
 // CheckGuarantees returns an error of KindShapeNeverFits if the guarantees of
 // all accounts do not pack into the zone's workers.
 func (p *Placer) CheckGuarantees(ctx context.Context, accounts []model.ClientAccount) error {
-	_, err := p.call(ctx, func(r chan reply) event { return checkCall{accounts, r} })
+	_, err := p.call(ctx, func(r chan reply) event { return checkGuaranteesCall{accounts, r} })
 	return err
 }
 
-// Load returns the accelerators that are held or asked for over those that take
-// work, as of the last round; 0 while this instance is not the placer.
+// Load returns the ratio of accelerators that open jobs hold or request to those
+// of workers that accept work, as of the last round, or 0 while this instance is
+// not the placer.
 func (p *Placer) Load() float64 { return math.Float64frombits(p.load.Load()) }
 
-// Status returns the zone as this placer sees it; without zones if it is not
-// the placer.
+// Status returns the zone's state in this placer's memory, or a status without
+// zones if this instance is not the placer.
 func (p *Placer) Status(ctx context.Context) api.Status {
 	answer := make(chan api.Status, 1)
 	if !p.post(ctx, statusCall{answer}) {
@@ -369,7 +378,7 @@
 	select {
 	case status := <-answer:
 		return status
-	case <-p.ended:
+	case <-p.loopDone:
 		return api.Status{Instance: p.opts.Instance}
 	case <-ctx.Done():
 		return api.Status{Instance: p.opts.Instance}
@@ -384,7 +393,7 @@
 	select {
 	case r := <-answer:
 		return r.answer, r.err
-	case <-p.ended:
+	case <-p.loopDone:
 		return api.JobAnswer{}, errNoPlacer
 	case <-ctx.Done():
 		return api.JobAnswer{}, api.NewError(api.KindNoPlacer, "the placer did not answer in time")
--- a/internal/placer/recover.go
+++ b/internal/placer/recover.go
@@ -9,48 +9,49 @@
 	"github.com/corianderbank/corianderbank/internal/jobstore"
 )
 
-// term follows the zone's lease.
-func (ev termEvent) apply(c *core, now time.Time) {
-	c.platform = ev.platform
-	if !ev.held || ev.epoch < c.leastEpoch {
-		if c.held {
+// apply takes over, continues or gives up the placer role, following the zone's
+// lease.
+func (ev leaseEvent) apply(c *core, now time.Time) {
+	c.platformReachable = ev.platformReachable
+	if !ev.holdsLease || ev.epoch < c.minEpoch {
+		if c.holdsLease {
 			c.stepDown()
 		}
 		return
 	}
 	c.mayPlace = ev.mayPlace
-	if c.held && c.epoch == ev.epoch {
-		if !c.recovered && !c.recovering && !now.Before(c.recoverAt) {
+	if c.holdsLease && c.epoch == ev.epoch {
+		if !c.recovered && !c.recovering && !now.Before(c.nextRecoveryAt) {
 			c.recovering = true
-			c.do(recoverAction{epoch: c.epoch})
+			c.emit(recoverAction{epoch: c.epoch})
 		}
-		if c.recovered && ev.platform && !now.Before(c.reconcileAt) {
-			c.reconcileAt = now.Add(reconcileInterval)
-			c.do(reconcileAction{epoch: c.epoch})
+		if c.recovered && ev.platformReachable && !now.Before(c.nextReconcileAt) {
+			c.nextReconcileAt = now.Add(reconcileInterval)
+			c.emit(reconcileAction{epoch: c.epoch})
 		}
 		return
 	}
-	if c.held {
+	if c.holdsLease {
 		c.stepDown()
 	}
-	c.held, c.epoch, c.mayPlace, c.recovering = true, ev.epoch, ev.mayPlace, true
-	c.do(recoverAction{epoch: ev.epoch})
+	c.holdsLease, c.epoch, c.mayPlace, c.recovering = true, ev.epoch, ev.mayPlace, true
+	c.emit(recoverAction{epoch: ev.epoch})
 }
 
-// apply rebuilds the jobs of the zone from the table and the workers.
+// apply rebuilds the jobs of the zone from the table and the workers' reports.
 func (ev recoveredEvent) apply(c *core, now time.Time) {
-	if !c.held || ev.epoch != c.epoch {
+	if !c.holdsLease || ev.epoch != c.epoch {
 		return
 	}
 	c.recovering = false
 	if ev.err != nil {
-		c.recoverAt = now.Add(persistRetryAfter)
+		c.nextRecoveryAt = now.Add(storeRetryDelay)
 		return
 	}
 	c.recovered = true
 	c.setWorkers(ev.workers, now)
-	c.learn(ev.recent)
-	c.reconcileAt = now.Add(reconcileInterval)
+	c.learnRunTimes(ev.recent)
+	c.nextReconcileAt = now.Add(reconcileInterval)
 	held := make(map[string]map[string]api.ReservationReport)
 	for _, report := range ev.reports {
 		for _, r := range report.report.Reservations {
@@ -66,7 +67,7 @@
 		c.adopt(record, held[record.ID], now)
 	}
 	if c.config != nil {
-		c.lowerGuarantees()
+		c.markBorrowers()
 	}
 	for _, report := range ev.reports {
 		report.apply(c, now)
@@ -74,7 +75,7 @@
 }
 
 func (ev reconciledEvent) apply(c *core, now time.Time) {
-	if !c.held || !c.recovered || ev.epoch != c.epoch {
+	if !c.holdsLease || !c.recovered || ev.epoch != c.epoch {
 		return
 	}
 	for _, record := range ev.records {
@@ -84,24 +85,24 @@
 	}
 }
 
-// learn takes the run times of jobs that ended well, the oldest first. Those
-// that were stopped and resumed are left out: their rows do not tell how long
-// each part of them ran.
-func (c *core) learn(recent []jobstore.Record) {
-	learner, ok := c.runs.(observer)
+// learnRunTimes adds the run times of jobs that completed without an error,
+// oldest first. Jobs that were stopped and resumed are left out, because their
+// rows do not record the run time of each attempt.
+func (c *core) learnRunTimes(recent []jobstore.Record) {
+	learner, ok := c.runs.(runObserver)
 	if !ok {
 		return
 	}
 	for _, record := range slices.Backward(recent) {
-		whole := record.Outcome == api.OutcomeDone && record.ErrorKind == "" && record.ProgressS == 0
-		if whole && record.EndedAt.After(record.StartedAt) {
+		completed := record.Outcome == api.OutcomeDone && record.ErrorKind == "" && record.ProgressS == 0
+		if completed && record.EndedAt.After(record.StartedAt) {
 			submission := record.Submission
 			learner.Observe(submission.Account, submission.Kind, seconds(submission.DeclaredRunS), record.EndedAt.Sub(record.StartedAt))
 		}
 	}
 }
 
-// adopt takes over one open record with what the workers hold of it.
+// adopt takes over an open record together with the parts that workers hold.
 func (c *core) adopt(record jobstore.Record, held map[string]api.ReservationReport, now time.Time) {
 	e := c.addWaiting(record)
 	e.adopted = true
@@ -122,21 +123,22 @@
 		}
 		tasks += r.Tasks
 		parts = append(parts, part{worker: worker, addr: w.Addr, task: api.TaskPlacement{Worker: worker, Tasks: r.Tasks, Accelerators: r.Accelerators}})
-		e.reports[worker] = seenReport{state: r.State, ranS: r.RanS, msg: r.Message, renewedAt: now}
+		e.reports[worker] = partReport{state: r.State, runSeconds: r.RanS, message: r.Message, renewedAt: now}
 		if r.State != api.TaskReserved {
-			e.mayRun = true
+			e.mayHaveStarted = true
 		}
 	}
 	c.setParts(e, parts)
 	e.borrowed = c.wasBorrowed(e)
 	c.markUnsaved(e)
-	e.expectedEnd = c.expectedEnd(e, now)
-	c.resume(e, tasks == record.Submission.Shape.Tasks, now)
+	e.expectedEnd = c.estimateEnd(e, now)
+	c.resumeAdopted(e, tasks == record.Submission.Shape.Tasks, now)
 }
 
-// wasBorrowed says whether an adopted gang goes beyond its account's guarantee.
-// Its row tells, unless the store was out when it started: then a gang that can
-// be stopped counts as a borrower, so that no other account's guarantee is lost.
+// wasBorrowed reports whether an adopted gang exceeds its account's guarantee.
+// This is read from the row, unless the store was unavailable when the gang
+// started: then a gang that can be stopped counts as borrowed, so that no other
+// account loses its guarantee.
 func (c *core) wasBorrowed(e *entry) bool {
 	if e.record.Phase == jobstore.PhaseStarted && e.record.Attempt == e.ref.Attempt {
 		return e.record.Borrowed
@@ -144,9 +146,9 @@
 	return e.job().Stoppable()
 }
 
-// expectedEnd estimates the end of an adopted gang; one whose start was not
-// recorded is taken to start now.
-func (c *core) expectedEnd(e *entry, now time.Time) time.Time {
+// estimateEnd estimates the end of an adopted gang. A gang whose start was not
+// recorded is assumed to start now.
+func (c *core) estimateEnd(e *entry, now time.Time) time.Time {
 	started := e.record.StartedAt
 	if started.IsZero() {
 		started = now
@@ -155,24 +157,25 @@
 	return started.Add(c.runs.Run(job.Account, job.Kind, job.DeclaredRun) - job.Progress)
 }
 
-// resume decides what becomes of an adopted gang. Whole gangs that run go on.
-// Gangs of which every part is still only reserved surely never started: every
-// worker refuses the epoch before this one. Others are stopped first; those
-// that hold nothing wait, unless they may have run.
-func (c *core) resume(e *entry, whole bool, now time.Time) {
+// resumeAdopted sets the state of an adopted gang. A complete gang that runs
+// continues. A complete gang of which every part is still only reserved has
+// definitely never started, because every worker refuses earlier epochs; it is
+// stopped. Any other gang that holds parts or may have run is stopped until its
+// leases have expired. A gang that holds nothing and never started waits.
+func (c *core) resumeAdopted(e *entry, complete bool, now time.Time) {
 	started := e.record.Phase == jobstore.PhaseStarted
-	untouched := whole && !e.mayRun && e.ref.Attempt == e.record.Attempt
+	neverStarted := complete && !e.mayHaveStarted && e.ref.Attempt == e.record.Attempt
 	e.record.Attempt = e.ref.Attempt
 	switch {
-	case whole && e.mayRun && !e.anyReserved():
+	case complete && e.mayHaveStarted && !e.hasReservedPart():
 		e.state = stRunning
 		c.decide(now, e, "recover", "running", "every part is held by its worker", "")
-		c.judge(e, now)
-	case untouched:
+		c.evaluateGang(e, now)
+	case neverStarted:
 		c.stopAdopted(e, "every part is reserved and none has started", now)
 	case len(e.parts) > 0 || started:
-		e.mayRun = e.mayRun || started
-		e.lapseAt = now.Add(c.workerLease)
+		e.mayHaveStarted = e.mayHaveStarted || started
+		e.leasesExpireAt = now.Add(c.workerLease)
 		c.stopAdopted(e, fmt.Sprintf("%d parts held by workers that answer, not the whole gang", len(e.parts)), now)
 	default:
 		c.decide(now, e, "recover", "waiting", "holds nothing", "")
@@ -184,11 +187,11 @@
 	e.stopReason = "taken over: " + reason
 	c.decide(now, e, "recover", "stopping", e.stopReason, "")
 	if len(e.parts) > 0 {
-		c.sendStop(e, false, stopWithin)
+		c.sendStop(e, false, stopTimeout)
 	}
 }
 
-func (e *entry) anyReserved() bool {
+func (e *entry) hasReservedPart() bool {
 	for _, report := range e.reports {
 		if report.state == api.TaskReserved {
 			return true
--- a/internal/placer/reports.go
+++ b/internal/placer/reports.go
@@ -13,18 +13,18 @@
 
 // The events of charts/worker.json that the placer raises.
 const (
-	wkReport      chart.Event = "report"
-	wkSilence     chart.Event = "silence"
-	wkLongSilence chart.Event = "long_silence"
-	wkLeave       chart.Event = "leave"
-	wkNew         chart.Event = "new_incarnation"
+	workerEvReport         chart.Event = "report"
+	workerEvSilence        chart.Event = "silence"
+	workerEvLongSilence    chart.Event = "long_silence"
+	workerEvLeave          chart.Event = "leave"
+	workerEvNewIncarnation chart.Event = "new_incarnation"
 )
 
-// silenceFactor is the part of a worker lease after which a silent worker takes
-// no new work: two missed renewals at a fifth of the lease each.
-const silenceFactor = 0.4
+// suspectFraction is the fraction of a worker lease without a report after which
+// a worker takes no new work: two missed renewals at a fifth of the lease each.
+const suspectFraction = 0.4
 
-// setWorkers takes the zone's workers from the membership.
+// setWorkers updates the zone's workers from the membership.
 func (c *core) setWorkers(list []model.Worker, now time.Time) {
 	listed := make(map[string]bool, len(list))
 	for _, w := range list {
@@ -36,7 +36,7 @@
 		}
 		known.Addr = w.Addr
 		if w.Health == model.WorkerLeaving && w.Incarnation >= known.Incarnation {
-			c.stepWorker(known, wkLeave)
+			c.transitionWorker(known, workerEvLeave)
 		}
 	}
 	for id, w := range c.workers {
@@ -46,9 +46,9 @@
 	}
 }
 
-// unreported counts the listed workers whose accelerators are not known yet. A
-// refusal that rests on too few accelerators would not be true meanwhile.
-func (c *core) unreported() int {
+// unreportedWorkers counts the listed workers whose accelerators are not known
+// yet. Until all have reported, a refusal for lack of accelerators may be wrong.
+func (c *core) unreportedWorkers() int {
 	count := 0
 	for _, w := range c.workers {
 		if w.Accelerators == 0 && w.Takes() {
@@ -60,20 +60,20 @@
 
 // holdsGang reports whether a gang that has not ended holds a part of a worker.
 func (c *core) holdsGang(worker string) bool {
-	for e := range c.onWorker[worker] {
-		if !c.chart.Final(e.state) {
+	for e := range c.gangsByWorker[worker] {
+		if !c.gangChart.Final(e.state) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *core) stepWorker(w *workerState, ev chart.Event) {
+func (c *core) transitionWorker(w *workerState, ev chart.Event) {
 	next, err := c.workerChart.Next(w.chartState, ev)
 	if err != nil {
 		return
 	}
-	c.touched = c.touched || w.chartState != next
+	c.planOutdated = c.planOutdated || w.chartState != next
 	w.chartState = next
 	w.Health = model.WorkerHealth(next)
 }
@@ -89,103 +89,107 @@
 	if ev.err != nil {
 		return
 	}
-	newLife := w.Incarnation != 0 && ev.report.Incarnation > w.Incarnation
-	c.noteWorker(w, ev, now)
+	restarted := w.Incarnation != 0 && ev.report.Incarnation > w.Incarnation
+	c.updateWorker(w, ev, now)
 	c.fence(ev.report.HighestEpoch)
-	if !c.held {
+	if !c.holdsLease {
 		return
 	}
-	c.noteReservations(ev, newLife, now)
+	c.compareReservations(ev, restarted, now)
 }
 
-// fence steps down for good under any epoch below least: a worker has seen a
-// later placer. The store may be out of reach and unable to say so.
-func (c *core) fence(least int64) {
-	c.leastEpoch = max(c.leastEpoch, least)
-	if c.held && c.epoch < c.leastEpoch {
+// fence records that a worker has seen the given epoch and steps down for good
+// under any lower one, because a later placer exists. The lease cannot show this
+// while the store is unreachable.
+func (c *core) fence(epoch int64) {
+	c.minEpoch = max(c.minEpoch, epoch)
+	if c.holdsLease && c.epoch < c.minEpoch {
 		c.stepDown()
 	}
 }
 
-// noteWorker updates what is known of the worker itself.
-func (c *core) noteWorker(w *workerState, ev reportEvent, now time.Time) {
+// updateWorker updates the state of the worker itself.
+func (c *core) updateWorker(w *workerState, ev reportEvent, now time.Time) {
 	report := ev.report
 	if w.Incarnation != 0 && report.Incarnation > w.Incarnation {
-		c.stepWorker(w, wkNew)
-		c.countSilent(w)
+		c.transitionWorker(w, workerEvNewIncarnation)
+		c.recordCrash(w)
 	}
-	clear(w.silent)
+	clear(w.stoppedGangs)
 	w.Incarnation = report.Incarnation
 	w.Rack, w.Accelerators = report.Rack, report.Accelerators
 	w.lastReport, w.LastReport = now, now
-	c.stepWorker(w, wkReport)
+	c.transitionWorker(w, workerEvReport)
 	if report.Leaving {
-		c.stepWorker(w, wkLeave)
+		c.transitionWorker(w, workerEvLeave)
 	}
 }
 
-// noteReservations compares a report with what the gangs expect of the worker.
-func (c *core) noteReservations(ev reportEvent, newLife bool, now time.Time) {
-	seen := make(map[string]bool)
+// compareReservations compares a report with the parts that gangs hold on the
+// worker.
+func (c *core) compareReservations(ev reportEvent, restarted bool, now time.Time) {
+	reported := make(map[string]bool)
 	for _, r := range ev.report.Reservations {
 		e, ok := c.jobs[r.Gang]
-		if !ok || e.ref.Attempt != r.Attempt || !e.holds(ev.worker) {
-			c.orphan(ev.worker, r)
+		if !ok || e.ref.Attempt != r.Attempt || !e.holdsPartOn(ev.worker) {
+			c.discardOrphan(ev.worker, r)
 			continue
 		}
-		seen[r.Gang] = true
+		reported[r.Gang] = true
 		renewedAt := e.reports[ev.worker].renewedAt
 		if ev.sentAt.After(renewedAt) {
 			renewedAt = ev.sentAt
 		}
-		e.reports[ev.worker] = seenReport{state: r.State, ranS: r.RanS, msg: r.Message, renewedAt: renewedAt}
+		e.reports[ev.worker] = partReport{state: r.State, runSeconds: r.RanS, message: r.Message, renewedAt: renewedAt}
 	}
 	for _, e := range c.gangsOn(ev.worker) {
 		if e.state == stRunning {
-			if !seen[e.record.ID] && ev.sentAt.After(e.reports[ev.worker].renewedAt) {
-				c.partLost(e, ev.worker, newLife, now)
+			if !reported[e.record.ID] && ev.sentAt.After(e.reports[ev.worker].renewedAt) {
+				c.handleLostPart(e, ev.worker, restarted, now)
 				continue
 			}
-			c.judge(e, now)
+			c.evaluateGang(e, now)
 		}
 	}
 }
 
-// partLost takes that a worker no longer has its part of a gang. A gang may take down each
-// worker that it runs on; it is not started again without end.
-func (c *core) partLost(e *entry, worker string, crashed bool, now time.Time) {
+// handleLostPart stops a gang of which a worker no longer has its part. If the
+// gang has crashed too many workers, it fails permanently instead of being
+// restarted without limit.
+func (c *core) handleLostPart(e *entry, worker string, crashed bool, now time.Time) {
 	reason := "worker " + worker + " no longer has its part"
 	if crashed {
 		e.record.CrashedOn = append(e.record.CrashedOn, worker)
 	}
 	if (quarantine.Crashes{Seen: len(e.record.CrashedOn)}).Decide() != quarantine.GiveUp {
-		c.stop(e, evWorkerLost, reason, now)
+		c.stopGang(e, evWorkerLost, reason, now)
 		return
 	}
-	c.do(stopAction{ref: e.ref, parts: e.parts, within: stopWithin})
-	c.step(e, evFail, reason+"; workers that went down under it: "+strings.Join(e.record.CrashedOn, ", "), now)
+	c.emit(stopAction{ref: e.ref, parts: e.parts, timeout: stopTimeout})
+	c.transition(e, evFail, reason+"; workers that went down under it: "+strings.Join(e.record.CrashedOn, ", "), now)
 }
 
-// noteSilent keeps which gang was stopped because a worker fell silent.
-func (w *workerState) noteSilent(e *entry) {
-	if w.silent == nil {
-		w.silent = make(map[*entry]bool)
+// addStoppedGang records a gang that was stopped because the worker stopped
+// responding.
+func (w *workerState) addStoppedGang(e *entry) {
+	if w.stoppedGangs == nil {
+		w.stoppedGangs = make(map[*entry]bool)
 	}
-	w.silent[e] = true
+	w.stoppedGangs[e] = true
 }
 
-// countSilent counts a worker that had crashed against the gangs that were stopped when
-// it fell silent. They are judged at the next crash.
-func (c *core) countSilent(w *workerState) {
-	for e := range w.silent {
+// recordCrash counts the crash of a worker against the gangs that were stopped
+// when it stopped responding. The count is checked at their next crash.
+func (c *core) recordCrash(w *workerState) {
+	for e := range w.stoppedGangs {
 		e.record.CrashedOn = append(e.record.CrashedOn, w.ID)
-		if !c.chart.Final(e.state) {
+		if !c.gangChart.Final(e.state) {
 			c.markUnsaved(e)
 		}
 	}
 }
 
-func (e *entry) holds(worker string) bool {
+func (e *entry) holdsPartOn(worker string) bool {
 	for _, p := range e.parts {
 		if p.worker == worker {
 			return true
@@ -194,8 +198,9 @@
 	return false
 }
 
-// orphan gives up a reservation that belongs to no present attempt.
-func (c *core) orphan(worker string, r api.ReservationReport) {
+// discardOrphan stops or releases a reservation that belongs to no current
+// attempt.
+func (c *core) discardOrphan(worker string, r api.ReservationReport) {
 	if !c.recovered {
 		return
 	}
@@ -203,14 +208,15 @@
 	parts := []part{{worker: worker, addr: w.Addr}}
 	ref := api.GangRef{Epoch: c.epoch, Gang: r.Gang, Attempt: r.Attempt}
 	if r.State == api.TaskRunning {
-		c.do(stopAction{ref: ref, parts: parts, within: stopWithin})
+		c.emit(stopAction{ref: ref, parts: parts, timeout: stopTimeout})
 		return
 	}
-	c.do(releaseAction{ref: ref, parts: parts})
+	c.emit(releaseAction{ref: ref, parts: parts})
 }
 
-// judge draws the conclusion of a running gang's reports.
-func (c *core) judge(e *entry, now time.Time) {
+// evaluateGang completes, fails or stops a running gang according to the last
+// reports of its parts.
+func (c *core) evaluateGang(e *entry, now time.Time) {
 	done := 0
 	for _, p := range e.parts {
 		report := e.reports[p.worker]
@@ -218,29 +224,29 @@
 		case api.TaskDone:
 			done++
 		case api.TaskFailed:
-			c.taskFailed(e, p.worker, report, now)
+			c.handleTaskFailure(e, p.worker, report, now)
 			return
 		case api.TaskLapsed, api.TaskStopped:
-			c.stop(e, evWorkerLost, fmt.Sprintf("worker %s: tasks %s", p.worker, report.state), now)
+			c.stopGang(e, evWorkerLost, fmt.Sprintf("worker %s: tasks %s", p.worker, report.state), now)
 			return
 		}
 	}
 	if done == len(e.parts) {
-		c.finished(e, now)
+		c.completeGang(e, now)
 	}
 }
 
-func (c *core) finished(e *entry, now time.Time) {
+func (c *core) completeGang(e *entry, now time.Time) {
 	for _, p := range e.parts {
 		c.health.TaskSucceeded(p.worker, e.record.ID, now)
-		c.probePassed(p.worker, now)
+		c.completeProbe(p.worker, now)
 	}
-	c.observe(e)
-	c.step(e, evFinish, finishReason(e, now), now)
+	c.observeRun(e)
+	c.transition(e, evFinish, finishReason(e, now), now)
 }
 
-// finishReason says so when a job finished after its deadline: it was placed in
-// time by an estimate that turned out wrong.
+// finishReason includes by how much a job missed its deadline. This happens when
+// the estimate by which the job was placed was too short.
 func finishReason(e *entry, now time.Time) string {
 	deadline := e.record.Submission.Deadline
 	if deadline == nil || !now.After(*deadline) {
@@ -249,30 +255,31 @@
 	return fmt.Sprintf("every part finished, %s after the deadline", now.Sub(*deadline).Round(time.Millisecond))
 }
 
-// observer learns real run times; estimate.History is one.
-type observer interface {
+// runObserver learns actual run times; estimate.History implements it.
+type runObserver interface {
 	Observe(account, kind string, declared, actual time.Duration)
 }
 
-func (c *core) observe(e *entry) {
-	if learner, ok := c.runs.(observer); ok {
+func (c *core) observeRun(e *entry) {
+	if learner, ok := c.runs.(runObserver); ok {
 		submission := e.record.Submission
 		declared := seconds(submission.DeclaredRunS)
-		learner.Observe(submission.Account, submission.Kind, declared, seconds(e.record.ProgressS+e.ranS()))
+		learner.Observe(submission.Account, submission.Kind, declared, seconds(e.record.ProgressS+e.longestRunSeconds()))
 	}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// taskFailed tells a sick job from a sick worker: the job ends with its
-// evidence, or it is tried again elsewhere if it may be.
-func (c *core) taskFailed(e *entry, worker string, report seenReport, now time.Time) {
+// handleTaskFailure distinguishes an unhealthy job from an unhealthy worker. It
+// either stops the gang to retry it elsewhere, if that is allowed, or fails the
+// job with the evidence.
+func (c *core) handleTaskFailure(e *entry, worker string, report partReport, now time.Time) {
 	e.record.FailedOn = append(e.record.FailedOn, worker)
 	verdict := c.health.TaskFailed(worker, e.record.ID, now)
-	c.judgeWorker(e, worker, verdict, now)
-	reason := fmt.Sprintf("task failed on %s: %s", worker, report.msg)
-	if e.record.Submission.Idempotent && verdict.SickJob == "" && len(e.record.FailedOn) < maxFailures {
-		c.stop(e, evWorkerLost, reason, now)
+	c.applyWorkerVerdict(e, worker, verdict, now)
+	reason := fmt.Sprintf("task failed on %s: %s", worker, report.message)
+	if e.record.Submission.Idempotent && verdict.SickJob == "" && len(e.record.FailedOn) < maxFailedAttempts {
+		c.stopGang(e, evWorkerLost, reason, now)
 		return
 	}
 	if verdict.SickJob != "" {
@@ -281,73 +288,73 @@
 	if len(e.record.FailedOn) > 1 {
 		reason += "; failed on " + strings.Join(e.record.FailedOn, ", ")
 	}
-	c.do(stopAction{ref: e.ref, parts: e.parts, within: stopWithin})
-	c.step(e, evFail, reason, now)
+	c.emit(stopAction{ref: e.ref, parts: e.parts, timeout: stopTimeout})
+	c.transition(e, evFail, reason, now)
 }
 
-// judgeWorker quarantines a worker that the tracker finds sick, and sends a
-// probed one back.
-func (c *core) judgeWorker(e *entry, worker string, verdict quarantine.Verdict, now time.Time) {
+// applyWorkerVerdict quarantines a worker that the tracker finds unhealthy, and
+// returns a worker that is being probed to quarantine.
+func (c *core) applyWorkerVerdict(e *entry, worker string, verdict quarantine.Verdict, now time.Time) {
 	w := c.workers[worker]
 	if w == nil {
 		return
 	}
 	if w.chartState == chart.State(model.WorkerProbing) {
-		c.stepWorker(w, c.health.Probed(worker, false, now))
+		c.transitionWorker(w, c.health.Probed(worker, false, now))
 		return
 	}
 	if verdict.SickWorker == worker {
-		c.stepWorker(w, quarantine.EventSick)
+		c.transitionWorker(w, quarantine.EventSick)
 		c.decide(now, e, "quarantine", worker, verdict.Evidence, "")
 	}
 }
 
-// probePassed returns a probed worker to work after a task ended well there.
-func (c *core) probePassed(worker string, now time.Time) {
+// completeProbe returns a probed worker to service after a task succeeded on it.
+func (c *core) completeProbe(worker string, now time.Time) {
 	if w := c.workers[worker]; w != nil && w.chartState == chart.State(model.WorkerProbing) {
-		c.stepWorker(w, c.health.Probed(worker, true, now))
+		c.transitionWorker(w, c.health.Probed(worker, true, now))
 	}
 }
 
-// checkSilence raises what follows from time alone.
-func (c *core) checkSilence(now time.Time) {
+// checkTimeouts applies the transitions that depend on time alone.
+func (c *core) checkTimeouts(now time.Time) {
 	for _, w := range c.workers {
-		silent := now.Sub(w.lastReport)
-		if silent > c.workerLease {
-			c.stepWorker(w, wkLongSilence)
-		} else if silent > time.Duration(silenceFactor*float64(c.workerLease)) {
-			c.stepWorker(w, wkSilence)
+		sinceReport := now.Sub(w.lastReport)
+		if sinceReport > c.workerLease {
+			c.transitionWorker(w, workerEvLongSilence)
+		} else if sinceReport > time.Duration(suspectFraction*float64(c.workerLease)) {
+			c.transitionWorker(w, workerEvSilence)
 		}
 	}
 	for _, worker := range c.health.Cooled(now) {
 		if w := c.workers[worker]; w != nil {
-			c.stepWorker(w, quarantine.EventCooled)
+			c.transitionWorker(w, quarantine.EventCooled)
 		}
 	}
-	for _, e := range c.live() {
-		c.checkGangSilence(e, now)
+	for _, e := range c.openEntries() {
+		c.checkGangTimeout(e, now)
 	}
 }
 
-func (c *core) checkGangSilence(e *entry, now time.Time) {
+func (c *core) checkGangTimeout(e *entry, now time.Time) {
 	switch e.state {
 	case stRunning:
-		silent := ""
+		unresponsive := ""
 		for _, p := range e.parts {
 			if now.Sub(e.reports[p.worker].renewedAt) <= c.workerLease {
 				continue
 			}
-			silent = p.worker
+			unresponsive = p.worker
 			if w := c.workers[p.worker]; w != nil {
-				w.noteSilent(e)
+				w.addStoppedGang(e)
 			}
 		}
-		if silent != "" {
-			c.stop(e, evWorkerLost, "worker "+silent+" is silent longer than its lease", now)
+		if unresponsive != "" {
+			c.stopGang(e, evWorkerLost, "worker "+unresponsive+" is silent longer than its lease", now)
 		}
 	case stStopping, stCancelling:
-		if !e.lapseAt.IsZero() && now.After(e.lapseAt) && !e.stopSent {
-			c.stopped(e, now)
+		if !e.leasesExpireAt.IsZero() && now.After(e.leasesExpireAt) && !e.stopInFlight {
+			c.completeStop(e, now)
 		}
 	}
 }
--- a/internal/placer/round.go
+++ b/internal/placer/round.go
@@ -9,17 +9,17 @@
 	"github.com/corianderbank/corianderbank/internal/placement"
 )
 
-// snapshot is what the placement decisions see. ready leaves out jobs that must
-// not be placed yet.
+// snapshot returns the input of the placement decisions. Waiting jobs that must
+// not be placed yet are left out.
 func (c *core) snapshot(now time.Time) placement.Snapshot {
-	s := placement.Snapshot{Now: now, Zone: c.zone, Runs: c.runs, Kept: c.kept}
+	s := placement.Snapshot{Now: now, Zone: c.zone, Runs: c.runs, Kept: c.keptRegions}
 	if c.config != nil {
 		s.Accounts = c.config.Document.Accounts
 		s.Objectives = c.config.Document.Objectives
 	}
-	for _, e := range c.live() {
+	for _, e := range c.openEntries() {
 		if e.state == stWaiting {
-			if e.fenced && !now.Before(e.notBefore) {
+			if e.writtenThisEpoch && !now.Before(e.notBefore) {
 				s.Waiting = append(s.Waiting, e.job())
 			}
 			continue
@@ -30,8 +30,9 @@
 	return s
 }
 
-// workerList returns the workers as placement sees them. A worker that is being
-// probed takes one gang, as long as work is waiting that may be run again.
+// workerList returns the workers as placement input. If probe is set, a worker
+// that is being probed and holds no gang counts as healthy, so that it takes one
+// gang. Callers set it while jobs that may be run again are waiting.
 func (c *core) workerList(probe bool) []model.Worker {
 	list := make([]model.Worker, 0, len(c.workers))
 	for _, id := range sortedKeys(c.workers) {
@@ -53,8 +54,9 @@
 	return false
 }
 
-// onProbe reports whether a placement touches a worker that is being probed.
-func (c *core) onProbe(p placement.Placement) bool {
+// usesProbedWorker reports whether a placement includes a worker that is being
+// probed.
+func (c *core) usesProbedWorker(p placement.Placement) bool {
 	for _, task := range p.Tasks {
 		if w := c.workers[task.Worker]; w != nil && w.Health == model.WorkerProbing {
 			return true
@@ -76,8 +78,8 @@
 	if submission.Deadline != nil {
 		job.Deadline = *submission.Deadline
 	}
-	if e.ranEver {
-		// The limit is on the wait for the first start.
+	if e.mayHaveRunBefore {
+		// The limit applies to the wait for the first start only.
 		job.MaxWait = 0
 	}
 	return job
@@ -97,20 +99,20 @@
 	return gang
 }
 
-// setConfig takes the configuration in force.
+// setConfig applies the configuration in force.
 func (c *core) setConfig(snapshot *config.Snapshot) {
 	if snapshot == nil || (c.config != nil && c.config.Version == snapshot.Version) {
 		return
 	}
 	c.config = snapshot
-	c.touched = true
-	c.lowerGuarantees()
+	c.planOutdated = true
+	c.markBorrowers()
 }
 
-// lowerGuarantees makes borrowers of the gangs that a new configuration no
-// longer covers, the latest first: what another account is guaranteed now must
-// be there when it is claimed. Gangs that cannot be stopped keep their place.
-func (c *core) lowerGuarantees() {
+// markBorrowers marks the gangs that the guarantees no longer cover as borrowed,
+// latest first, so that they can be reclaimed when another account claims its
+// guarantee. Gangs that cannot be stopped are not marked.
+func (c *core) markBorrowers() {
 	covered := make(map[string]int)
 	for _, account := range c.config.Document.Accounts {
 		covered[account.Name] = account.GuaranteedAccelerators(c.zone)
@@ -130,22 +132,22 @@
 	}
 }
 
-// round decides and begins what the plan says. The plan is carried out in the
-// same turn of the goroutine that owns the state, so only placements that cannot
-// be undone are checked again; the workers, who hold the truth, check each part
-// when they are asked to reserve it.
+// round makes a plan and carries it out. Both happen in the same turn of the
+// goroutine that owns the state, so only placements that cannot be undone are
+// checked again. The workers are authoritative and check each part when it is
+// reserved.
 func (c *core) round(now time.Time) {
-	c.checkSilence(now)
-	c.persist(now)
-	if !c.held || !c.recovered {
+	c.checkTimeouts(now)
+	c.writeUnsaved(now)
+	if !c.holdsLease || !c.recovered {
 		return
 	}
-	if !c.touched && now.Sub(c.plannedAt) < idleRound {
+	if !c.planOutdated && now.Sub(c.plannedAt) < maxPlanInterval {
 		return
 	}
-	c.touched, c.plannedAt = false, now
+	c.planOutdated, c.plannedAt = false, now
 	plan := placement.Decide(c.snapshot(now))
-	showPlan(plan)
+	recordPlanMetrics(plan)
 	for _, d := range plan.Decisions {
 		if e, ok := c.jobs[d.Subject]; ok && d.Rule == "" {
 			d.Rule = e.record.Rule
@@ -153,16 +155,16 @@
 		c.recorder.Record(d)
 	}
 	for _, refusal := range plan.Refusals {
-		c.refuse(refusal, now)
+		c.refuseWaiting(refusal, now)
 	}
-	c.kept = nil
+	c.keptRegions = nil
 	if !c.mayPlace {
 		return
 	}
-	c.kept = plan.Kept
+	c.keptRegions = plan.Kept
 	for _, r := range plan.Reclaims {
 		if e, ok := c.jobs[r.JobID]; ok {
-			c.reclaim(e, r, now)
+			c.reclaimGang(e, r, now)
 		}
 	}
 	for _, p := range plan.Placements {
@@ -170,13 +172,13 @@
 	}
 }
 
-func (c *core) refuse(r placement.Refusal, now time.Time) {
+func (c *core) refuseWaiting(r placement.Refusal, now time.Time) {
 	e, ok := c.jobs[r.JobID]
 	if !ok || e.state != stWaiting {
 		return
 	}
-	e.refusal = r.Kind
-	c.step(e, evRefuse, r.Reason, now)
+	e.refusalKind = r.Kind
+	c.transition(e, evRefuse, r.Reason, now)
 }
 
 func (c *core) place(p placement.Placement, now time.Time) {
@@ -184,11 +186,11 @@
 	if !ok || e.state != stWaiting {
 		return
 	}
-	if !e.record.Submission.Idempotent && !c.platform {
+	if !e.record.Submission.Idempotent && !c.platformReachable {
 		c.decide(now, e, "wait", "waiting", "the platform is needed to record the start of work that is not idempotent", "")
 		return
 	}
-	if !e.record.Submission.Idempotent && c.onProbe(p) {
+	if !e.record.Submission.Idempotent && c.usesProbedWorker(p) {
 		c.decide(now, e, "wait", "waiting", "a worker of the placement is being probed", "")
 		return
 	}
@@ -196,12 +198,12 @@
 		c.decide(now, e, "recheck", "waiting", err.Error(), "")
 		return
 	}
-	c.begin(e, p, now)
+	c.reserveGang(e, p, now)
 }
 
-// recheck holds the placement of a gang that nobody may stop against the state
-// that the placements before it left: a mistake there would keep another
-// account from its guarantee until the gang ends.
+// recheck checks the placement of a gang that cannot be stopped against the state
+// left by the placements before it. A wrong placement would keep another account
+// from its guarantee until the gang ends.
 func (c *core) recheck(e *entry, p placement.Placement, now time.Time) error {
 	if e.job().Stoppable() {
 		return nil
@@ -209,7 +211,7 @@
 	return placement.Recheck(c.snapshot(now), p)
 }
 
-// answer is what callers are told of a job.
+// answer returns the answer of a job as callers see it.
 func (c *core) answer(e *entry) api.JobAnswer {
 	r := e.record
 	shape := r.Submission.Shape
@@ -218,7 +220,7 @@
 		Attempt: r.Attempt, Account: r.Submission.Account, Kind: r.Submission.Kind, Shape: &shape,
 		SubmittedAt: timeOrNil(r.SubmittedAt), StartedAt: timeOrNil(r.StartedAt), EndedAt: timeOrNil(r.EndedAt),
 	}
-	if c.settled(e) {
+	if c.outcomeVisible(e) {
 		answer.Outcome, answer.ErrorKind, answer.Message = r.Outcome, r.ErrorKind, r.Message
 		answer.RetryAfterS = api.DefaultRetryAfterS(r.ErrorKind)
 		return answer
@@ -237,10 +239,10 @@
 	return &t
 }
 
-// load is the accelerators that are held or asked for, over those that take
-// work.
+// load returns the ratio of accelerators that open jobs hold or request to those
+// of workers that accept work.
 func (c *core) load() float64 {
-	if c.ready() != nil {
+	if c.checkActive() != nil {
 		return 0
 	}
 	capacity, wanted := 0, 0
@@ -250,17 +252,17 @@
 		}
 	}
 	for _, e := range c.jobs {
-		if !c.chart.Final(e.state) {
+		if !c.gangChart.Final(e.state) {
 			wanted += e.record.Submission.Shape.Accelerators()
 		}
 	}
 	return float64(wanted) / float64(max(capacity, 1))
 }
 
-// status is the zone as this placer sees it.
+// status returns the state of the zone in this placer's memory.
 func (c *core) status(now time.Time) api.Status {
 	s := c.snapshot(now)
-	zone := api.ZoneStatus{AvailabilityZone: c.zone, Placer: c.instance, Epoch: c.epoch, PlatformReach: c.platform}
+	zone := api.ZoneStatus{AvailabilityZone: c.zone, Placer: c.instance, Epoch: c.epoch, PlatformReach: c.platformReachable}
 	free := make(map[string]int)
 	for _, w := range s.Workers {
 		zone.Workers++
