--- a/internal/jobs/router.go
+++ b/internal/jobs/router.go
@@ -1,5 +1,6 @@
-// Package jobs takes callers' job calls to the placer of the right availability
-// zone: this instance's own, a peer's, or, for a job that has ended, the table.
+// Package jobs routes callers' job calls to the placer of the responsible
+// availability zone, in this instance or a peer. Jobs that have ended are read
+// from the table.
 package jobs
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/corianderbank/corianderbank/internal/rules"
 )
 
-// The operations of a peerpb.JobCall.
+// Operations of a peerpb.JobCall.
 const (
 	opSubmit = "submit"
 	opGet    = "get"
@@ -28,10 +29,10 @@
 	opCheck  = "check"
 )
 
-// zoneSeparator ends the random part of a job's id; the zone follows.
+// zoneSeparator separates the random part of a job's id from its zone.
 const zoneSeparator = "~"
 
-// Placer is the local placer; package placer implements it.
+// Placer is the placer of this instance's zone; package placer implements it.
 type Placer interface {
 	Epoch() int64
 	Submit(ctx context.Context, s placer.Submission) (api.JobAnswer, error)
@@ -41,7 +42,7 @@
 	CheckGuarantees(ctx context.Context, accounts []model.ClientAccount) error
 }
 
-// Peers tells which instance holds which zone's placer lease.
+// Peers finds the instances that hold the placer leases of the zones.
 type Peers interface {
 	// PlacerOf returns the instance with the highest known epoch of a zone.
 	PlacerOf(zone string) (instance string, ok bool)
@@ -49,7 +50,7 @@
 	Zones() []string
 }
 
-// Router is safe for concurrent use.
+// Router routes job calls. It is safe for concurrent use.
 type Router struct {
 	Zone   string
 	Placer Placer
@@ -60,7 +61,7 @@
 	Evaluate func(job api.JobSubmission, zone string) rules.Verdict
 }
 
-// NewID returns a fresh id of a job in a zone.
+// NewID returns a new job id that names the job's zone.
 func NewID(zone string) string { return "j-" + strings.ToLower(rand.Text()) + zoneSeparator + zone }
 
 func zoneOf(id string) (string, bool) {
@@ -68,36 +69,37 @@
 	return zone, ok && zone != ""
 }
 
-// Submit offers the job to its zone, or to each zone in turn: its own first.
-// The refusal of the first zone is the one that is returned.
+// Submit submits the job to its zone or, if it names none, to each zone in turn,
+// starting with the instance's own. If all refuse, it returns the refusal of the
+// first zone.
 func (r *Router) Submit(ctx context.Context, job api.JobSubmission) (api.JobAnswer, error) {
-	var refusal api.JobAnswer
-	var first error
-	for i, zone := range r.candidates(job) {
+	var firstRefusal api.JobAnswer
+	var firstErr error
+	for i, zone := range r.candidateZones(job) {
 		answer, err := r.submitTo(ctx, zone, job)
 		if err == nil {
 			return answer, nil
 		}
 		if api.IsKind(err, api.KindResultUnknown) {
-			// That zone may have accepted it, whatever others said before.
+			// This zone may have accepted the job, regardless of earlier refusals.
 			return answer, err
 		}
-		if first == nil {
-			refusal, first = answer, err
+		if firstErr == nil {
+			firstRefusal, firstErr = answer, err
 		}
-		if !movable(err) || (i == 0 && !r.Evaluate(job, zone).Spill) {
+		if !mayTryOtherZone(err) || (i == 0 && !r.Evaluate(job, zone).Spill) {
 			break
 		}
 	}
-	if first == nil {
-		first = api.NewError(api.KindNoPlacer, "no availability zone is known")
+	if firstErr == nil {
+		firstErr = api.NewError(api.KindNoPlacer, "no availability zone is known")
 	}
-	return api.JobAnswer{ID: refusal.ID, Rule: refusal.Rule}, first
+	return api.JobAnswer{ID: firstRefusal.ID, Rule: firstRefusal.Rule}, firstErr
 }
 
-// movable reports whether another zone may be asked: the job was surely not
-// accepted by this one, and the reason is this zone's own.
-func movable(err error) bool {
+// mayTryOtherZone reports whether another zone may be tried: this one definitely
+// did not accept the job, and the reason applies to this zone only.
+func mayTryOtherZone(err error) bool {
 	switch api.KindOf(err) {
 	case api.KindNoPlacer, api.KindShapeNeverFits, api.KindDeadlineUnreachable, api.KindNotReady, api.KindStopping, api.KindQueueFull:
 		return true
@@ -105,7 +107,7 @@
 	return false
 }
 
-func (r *Router) candidates(job api.JobSubmission) []string {
+func (r *Router) candidateZones(job api.JobSubmission) []string {
 	if job.AvailabilityZone != "" {
 		return []string{job.AvailabilityZone}
 	}
@@ -119,13 +121,13 @@
 	return zones
 }
 
-// submitTo submits to the zone's placer, where the rules are applied: the load
-// of the zone is known there. The id is made here, so that the caller can
-// follow a job of which the answer was lost.
+// submitTo submits the job to the instance that runs the zone's placer. The rules
+// are applied there, because that instance knows the load of the zone. The id is
+// assigned here, so that the caller can query the job if the answer is lost.
 func (r *Router) submitTo(ctx context.Context, zone string, job api.JobSubmission) (api.JobAnswer, error) {
 	id := NewID(zone)
 	if zone == r.Zone && r.Placer.Epoch() > 0 {
-		return r.submitHere(ctx, id, job)
+		return r.submitLocal(ctx, id, job)
 	}
 	body, err := json.Marshal(job)
 	if err != nil {
@@ -142,7 +144,7 @@
 	return answer, api.WithRetryAfter(refusal, time.Duration(answer.RetryAfterS*float64(time.Second)))
 }
 
-func (r *Router) submitHere(ctx context.Context, id string, job api.JobSubmission) (api.JobAnswer, error) {
+func (r *Router) submitLocal(ctx context.Context, id string, job api.JobSubmission) (api.JobAnswer, error) {
 	verdict := r.Evaluate(job, r.Zone)
 	refusal := api.JobAnswer{ID: id, Rule: verdict.Rule}
 	if verdict.Refuse {
@@ -156,7 +158,8 @@
 	return answer, nil
 }
 
-// Refused is the answer to a job call that failed with err.
+// Refused returns the answer to a job call that failed with err. Its outcome is
+// unknown if the result of the call is unknown, and not_run otherwise.
 func Refused(answer api.JobAnswer, err error) api.JobAnswer {
 	answer.Outcome = api.OutcomeNotRun
 	if api.IsKind(err, api.KindResultUnknown) {
@@ -166,7 +169,7 @@
 	return answer
 }
 
-// Get returns a job's answer, from its placer or from the table.
+// Get returns a job's answer from its placer or, if that fails, from the table.
 func (r *Router) Get(ctx context.Context, id string, wait time.Duration) (api.JobAnswer, error) {
 	zone, ok := zoneOf(id)
 	if !ok {
@@ -193,7 +196,8 @@
 	return r.forward(ctx, zone, &peerpb.JobCall{Op: opGet, JobId: id, WaitMs: wait.Milliseconds()})
 }
 
-// Cancel cancels a job.
+// Cancel cancels a job. If the placer does not know the job, Cancel returns the
+// answer stored in the table.
 func (r *Router) Cancel(ctx context.Context, id string) (api.JobAnswer, error) {
 	zone, ok := zoneOf(id)
 	if !ok {
@@ -230,9 +234,9 @@
 	return answers, nil
 }
 
-// CheckGuarantees asks the placer of a zone whether the guarantees of all
-// accounts pack into its workers. An error of KindShapeNeverFits says that they
-// do not; any other, that the zone could not be asked.
+// CheckGuarantees checks with a zone's placer whether the guarantees of all
+// accounts pack into its workers. It returns KindShapeNeverFits if they do not;
+// any other error means that the zone could not be asked.
 func (r *Router) CheckGuarantees(ctx context.Context, zone string, accounts []model.ClientAccount) error {
 	if zone == r.Zone && r.Placer.Epoch() > 0 {
 		return r.Placer.CheckGuarantees(ctx, accounts)
@@ -245,7 +249,8 @@
 	return err
 }
 
-// Status collects the status of every zone whose placer answers.
+// Status returns the combined status of all zones. Zones whose placer does not
+// answer are listed by name only.
 func (r *Router) Status(ctx context.Context) api.Status {
 	var total api.Status
 	zones := r.Peers.Zones()
@@ -295,12 +300,12 @@
 }
 
 // Handle answers a peer's job call with the local placer only, so that calls
-// never go in a circle.
+// cannot be forwarded in a loop.
 func (r *Router) Handle(ctx context.Context, call *peerpb.JobCall) (*peerpb.JobReply, error) {
 	if r.Placer.Epoch() == 0 {
 		return nil, api.NewError(api.KindNoPlacer, "this instance does not hold the placer lease")
 	}
-	answer, err := r.handle(ctx, call)
+	answer, err := r.execute(ctx, call)
 	if err != nil {
 		return nil, err
 	}
@@ -311,14 +316,14 @@
 	return &peerpb.JobReply{Answer: body}, nil
 }
 
-func (r *Router) handle(ctx context.Context, call *peerpb.JobCall) (any, error) {
+func (r *Router) execute(ctx context.Context, call *peerpb.JobCall) (any, error) {
 	switch call.GetOp() {
 	case opSubmit:
 		var job api.JobSubmission
 		if err := json.Unmarshal(call.GetSubmission(), &job); err != nil {
 			return nil, api.NewError(api.KindMalformedBody, "%v", err)
 		}
-		answer, err := r.submitHere(ctx, call.GetJobId(), job)
+		answer, err := r.submitLocal(ctx, call.GetJobId(), job)
 		if err != nil {
 			return Refused(answer, err), nil
 		}
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -10,39 +10,40 @@
 	"github.com/corianderbank/corianderbank/internal/platform"
 )
 
-// The tables. One transaction changes a job's row and its index rows.
+// Names of the tables. One transaction changes a job's row and its index rows.
 const (
-	// tableJobs holds the records, by id. Rows are never deleted.
+	// tableJobs holds the records, keyed by id. Rows are never deleted.
 	tableJobs = "jobs"
 	// tableOpen has a row "zone/id" for each job that has not ended.
 	tableOpen = "jobs_open"
 	// tableKeys maps "account/key" to the id. Rows are never deleted.
 	tableKeys = "job_keys"
-	// tableRecent has a row for each job that sorts the newest first.
+	// tableRecent has a row for each job, sorted newest first.
 	tableRecent = "jobs_recent"
 )
 
-// The sizes of one call to the store.
+// Limits of calls to the store.
 const (
-	scanPage = 500
-	readPage = 100
-	// maxListPages bounds how far back List looks for an account's jobs.
+	scanPageSize = 500
+	readPageSize = 100
+	// maxListPages bounds the pages that List scans for an account's jobs.
 	maxListPages = 20
 )
 
-// Tables is the implementation of Store. It is safe for concurrent use.
+// Tables implements Store with the platform's tables. It is safe for concurrent
+// use.
 type Tables struct {
 	tables platform.Tables
 }
 
 var _ Store = (*Tables)(nil)
 
-// New returns a store kept in tables, whose Commit must settle lost answers
+// New returns a store on top of tables, whose Commit must resolve lost answers
 // (see platform.Resolving).
 func New(tables platform.Tables) *Tables { return &Tables{tables: tables} }
 
-// index is the value of an index row.
-type index struct {
+// indexEntry is the value of an index row.
+type indexEntry struct {
 	ID      string `json:"id"`
 	Account string `json:"account"`
 	Zone    string `json:"availability_zone"`
@@ -58,11 +59,11 @@
 	return api.Ref{Table: tableKeys, Key: record.Submission.Account + "/" + record.Submission.IdempotencyKey}
 }
 
-// recentRef sorts newer jobs first: the key starts with the time left until
-// the end of the representable times.
+// recentRef returns the reference of the row in tableRecent. Its key starts with
+// the time left until the last representable time, so that newer jobs sort first.
 func recentRef(record Record) api.Ref {
-	left := math.MaxInt64 - record.SubmittedAt.UnixNano()
-	return api.Ref{Table: tableRecent, Key: fmt.Sprintf("%019d/%s", left, record.ID)}
+	remaining := math.MaxInt64 - record.SubmittedAt.UnixNano()
+	return api.Ref{Table: tableRecent, Key: fmt.Sprintf("%019d/%s", remaining, record.ID)}
 }
 
 // Accept implements Store.
@@ -73,21 +74,21 @@
 	}
 	result := t.tables.Commit(ctx, platform.PurposeSubmission, api.Tx{WriteID: platform.NewWriteID(), Ops: ops})
 	if result.State == platform.CommitDone {
-		return t.written(ctx, record), false, nil
+		return t.withStoredVersion(ctx, record), false, nil
 	}
 	for _, conflict := range result.Conflicts {
 		if conflict.Table == tableKeys && conflict.Version != 0 {
-			return t.earlier(ctx, conflict, record)
+			return t.jobOfKey(ctx, conflict, record)
 		}
 	}
 	return Record{}, false, platform.ErrorOf(result)
 }
 
-// written returns the record that a commit wrote, with its version. If the
-// store does not answer any more, or another has changed the row since, the
-// version stays zero: the write took effect, and an Update with version zero
-// conflicts, which makes its caller read again.
-func (t *Tables) written(ctx context.Context, record Record) Record {
+// withStoredVersion returns a committed record with the version of its row. If
+// the row cannot be read or has been changed since, the version stays zero: the
+// write took effect, and an Update with version zero conflicts, which makes the
+// caller read the row again.
+func (t *Tables) withStoredVersion(ctx context.Context, record Record) Record {
 	record.Version = 0
 	read, err := t.Get(ctx, record.ID)
 	if err == nil && sameJSON(read, record) {
@@ -101,7 +102,7 @@
 	if err != nil {
 		return nil, api.NewError(api.KindInternal, "job %s: %w", record.ID, err)
 	}
-	entry, err := json.Marshal(index{ID: record.ID, Account: record.Submission.Account, Zone: record.Zone})
+	entry, err := json.Marshal(indexEntry{ID: record.ID, Account: record.Submission.Account, Zone: record.Zone})
 	if err != nil {
 		return nil, api.NewError(api.KindInternal, "job %s: %w", record.ID, err)
 	}
@@ -126,24 +127,25 @@
 	if read.Rows[0].Version == 0 {
 		return Record{}, api.NewError(api.KindNotFound, "no job has the key %s", submission.IdempotencyKey)
 	}
-	found, _, err := t.earlier(ctx, read.Rows[0], wanted)
+	found, _, err := t.jobOfKey(ctx, read.Rows[0], wanted)
 	return found, err
 }
 
-// earlier returns the job that holds the key, if it asks for the same work.
-func (t *Tables) earlier(ctx context.Context, conflict api.Row, record Record) (Record, bool, error) {
-	var entry index
-	if err := json.Unmarshal(conflict.Value, &entry); err != nil {
-		return Record{}, false, api.NewError(api.KindInternal, "key row %s: %w", conflict.Key, err)
+// jobOfKey returns the job that a key row refers to, or KindKeyReused if that job
+// differs from the submission.
+func (t *Tables) jobOfKey(ctx context.Context, keyRow api.Row, record Record) (Record, bool, error) {
+	var entry indexEntry
+	if err := json.Unmarshal(keyRow.Value, &entry); err != nil {
+		return Record{}, false, api.NewError(api.KindInternal, "key row %s: %w", keyRow.Key, err)
 	}
-	present, err := t.Get(ctx, entry.ID)
+	existing, err := t.Get(ctx, entry.ID)
 	if err != nil {
 		return Record{}, false, err
 	}
-	if !sameJSON(present.Submission, record.Submission) {
+	if !sameJSON(existing.Submission, record.Submission) {
 		return Record{}, false, api.NewError(api.KindKeyReused, "key %s was used for another job", record.Submission.IdempotencyKey)
 	}
-	return present, true, nil
+	return existing, true, nil
 }
 
 func sameJSON(a, b any) bool {
@@ -160,7 +162,7 @@
 	}
 	ops := []api.Op{{Ref: jobRef(record.ID), IfVersion: record.Version, Value: value}}
 	if record.Phase == PhaseEnded {
-		ops, err = t.closing(ctx, record, ops)
+		ops, err = t.addOpenRowDeletion(ctx, record, ops)
 	}
 	if err != nil {
 		return Record{}, err
@@ -169,11 +171,11 @@
 	if err := platform.ErrorOf(t.tables.Commit(ctx, platform.PurposeOutcome, tx)); err != nil {
 		return Record{}, err
 	}
-	return t.written(ctx, record), nil
+	return t.withStoredVersion(ctx, record), nil
 }
 
-// closing adds the removal of the open row to the operations.
-func (t *Tables) closing(ctx context.Context, record Record, ops []api.Op) ([]api.Op, error) {
+// addOpenRowDeletion adds the deletion of the job's row in tableOpen to ops.
+func (t *Tables) addOpenRowDeletion(ctx context.Context, record Record, ops []api.Op) ([]api.Op, error) {
 	rows, err := t.tables.Read(ctx, platform.PurposeOutcome, openRef(record))
 	if err != nil {
 		return nil, err
@@ -193,10 +195,10 @@
 	if rows.Rows[0].Version == 0 {
 		return Record{}, api.NewError(api.KindNotFound, "no job %s", id)
 	}
-	return recordOf(rows.Rows[0])
+	return decodeRecord(rows.Rows[0])
 }
 
-func recordOf(row api.Row) (Record, error) {
+func decodeRecord(row api.Row) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(row.Value, &record); err != nil {
 		return Record{}, api.NewError(api.KindInternal, "job row %s: %w", row.Key, err)
@@ -208,26 +210,26 @@
 // Open implements Store.
 func (t *Tables) Open(ctx context.Context, zone string) ([]Record, error) {
 	var records []Record
-	query := api.ScanQuery{Table: tableOpen, Prefix: zone + "/", Limit: scanPage}
+	query := api.ScanQuery{Table: tableOpen, Prefix: zone + "/", Limit: scanPageSize}
 	for {
 		page, err := t.tables.Scan(ctx, platform.PurposeOther, query)
 		if err != nil {
 			return nil, err
 		}
-		more, err := t.records(ctx, page.Rows, "")
+		more, err := t.readRecords(ctx, page.Rows, "")
 		if err != nil {
 			return nil, err
 		}
 		records = append(records, more...)
 		if !page.More || len(page.Rows) == 0 {
-			return stillOpen(records), nil
+			return withoutEnded(records), nil
 		}
 		query.After = page.Rows[len(page.Rows)-1].Key
 	}
 }
 
-// stillOpen drops the records that ended between the scan and the read.
-func stillOpen(records []Record) []Record {
+// withoutEnded drops the records that ended between the scan and the read.
+func withoutEnded(records []Record) []Record {
 	open := records[:0]
 	for _, record := range records {
 		if record.Phase != PhaseEnded {
@@ -237,17 +239,17 @@
 	return open
 }
 
-// List implements Store. It looks at the newest jobs only, so that an account
-// without any cannot make it read the whole table.
+// List implements Store. It scans at most maxListPages pages of the newest jobs,
+// so that an account without jobs does not make it read the whole table.
 func (t *Tables) List(ctx context.Context, account string, limit int) ([]Record, error) {
 	var records []Record
-	query := api.ScanQuery{Table: tableRecent, Limit: scanPage}
+	query := api.ScanQuery{Table: tableRecent, Limit: scanPageSize}
 	for range maxListPages {
 		page, err := t.tables.Scan(ctx, platform.PurposeOther, query)
 		if err != nil {
 			return nil, err
 		}
-		more, err := t.records(ctx, firstOf(page.Rows, account, limit-len(records)), account)
+		more, err := t.readRecords(ctx, rowsOfAccount(page.Rows, account, limit-len(records)), account)
 		if err != nil {
 			return nil, err
 		}
@@ -260,11 +262,11 @@
 	return records, nil
 }
 
-// firstOf returns at most limit index rows of an account.
-func firstOf(rows []api.Row, account string, limit int) []api.Row {
+// rowsOfAccount returns at most limit index rows of an account.
+func rowsOfAccount(rows []api.Row, account string, limit int) []api.Row {
 	var matching []api.Row
 	for _, row := range rows {
-		var entry index
+		var entry indexEntry
 		if len(matching) == limit {
 			break
 		}
@@ -275,11 +277,11 @@
 	return matching
 }
 
-// records reads the jobs that index rows name, in their order.
-func (t *Tables) records(ctx context.Context, entries []api.Row, account string) ([]Record, error) {
+// readRecords reads the jobs that index rows refer to, in the order of the rows.
+func (t *Tables) readRecords(ctx context.Context, entries []api.Row, account string) ([]Record, error) {
 	var records []Record
-	for start := 0; start < len(entries); start += readPage {
-		refs, err := refsOf(entries[start:min(start+readPage, len(entries))])
+	for start := 0; start < len(entries); start += readPageSize {
+		refs, err := jobRefs(entries[start:min(start+readPageSize, len(entries))])
 		if err != nil {
 			return nil, err
 		}
@@ -288,7 +290,7 @@
 			return nil, err
 		}
 		for _, row := range rows.Rows {
-			record, err := recordOf(row)
+			record, err := decodeRecord(row)
 			if err != nil {
 				return nil, err
 			}
@@ -300,10 +302,10 @@
 	return records, nil
 }
 
-func refsOf(entries []api.Row) ([]api.Ref, error) {
+func jobRefs(entries []api.Row) ([]api.Ref, error) {
 	refs := make([]api.Ref, 0, len(entries))
 	for _, row := range entries {
-		var entry index
+		var entry indexEntry
 		if err := json.Unmarshal(row.Value, &entry); err != nil {
 			return nil, api.NewError(api.KindInternal, "index row %s: %w", row.Key, err)
 		}
--- a/internal/jobstore/store_test.go
+++ b/internal/jobstore/store_test.go
@@ -15,7 +15,7 @@
 	"github.com/corianderbank/corianderbank/internal/platform/fake"
 )
 
-func record(id, account, key string, submitted int64) jobstore.Record {
+func newRecord(id, account, key string, submitted int64) jobstore.Record {
 	return jobstore.Record{
 		ID: id, Zone: "z1", Phase: jobstore.PhaseAccepted, SubmittedAt: time.Unix(submitted, 0).UTC(),
 		Submission: api.JobSubmission{Account: account, Kind: "test", IdempotencyKey: key, Payload: []byte(`{"a": 1}`)},
@@ -29,7 +29,7 @@
 
 func TestAcceptAndEnd(t *testing.T) {
 	_, store := newStore()
-	accepted, replayed, err := store.Accept(t.Context(), record("j1", "acme", "k", 1))
+	accepted, replayed, err := store.Accept(t.Context(), newRecord("j1", "acme", "k", 1))
 	assert.NilError(t, err)
 	assert.Assert(t, !replayed && accepted.Version > 0)
 	accepted.Phase, accepted.Attempt, accepted.Epoch = jobstore.PhaseStarted, 1, 7
@@ -57,7 +57,7 @@
 
 func TestAcceptByKey(t *testing.T) {
 	_, store := newStore()
-	_, _, err := store.Accept(t.Context(), record("j1", "acme", "k", 1))
+	_, _, err := store.Accept(t.Context(), newRecord("j1", "acme", "k", 1))
 	assert.NilError(t, err)
 	cases := map[string]struct {
 		record   jobstore.Record
@@ -65,11 +65,11 @@
 		replayed bool
 		kind     api.Kind
 	}{
-		"the same key and body is the earlier job":    {record("j2", "acme", "k", 2), "j1", true, ""},
-		"the same key of another account is its own":  {record("j3", "other", "k", 3), "j3", false, ""},
-		"another key is another job":                  {record("j4", "acme", "k2", 4), "j4", false, ""},
-		"no key is always another job":                {record("j5", "acme", "", 5), "j5", false, ""},
-		"the same key with another body is a mistake": {changed(record("j6", "acme", "k", 6)), "", false, api.KindKeyReused},
+		"same key and body return the earlier job": {newRecord("j2", "acme", "k", 2), "j1", true, ""},
+		"same key in another account is a new job": {newRecord("j3", "other", "k", 3), "j3", false, ""},
+		"another key is a new job":                 {newRecord("j4", "acme", "k2", 4), "j4", false, ""},
+		"no key is always a new job":               {newRecord("j5", "acme", "", 5), "j5", false, ""},
+		"same key with another body is refused":    {withChangedKind(newRecord("j6", "acme", "k", 6)), "", false, api.KindKeyReused},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func changed(r jobstore.Record) jobstore.Record {
+func withChangedKind(r jobstore.Record) jobstore.Record {
 	r.Submission.Kind = "changed"
 	return r
 }
@@ -97,7 +97,7 @@
 		if i%2 == 1 {
 			account = "other"
 		}
-		_, _, err := store.Accept(t.Context(), record(fmt.Sprintf("j%03d", i), account, "", int64(i)))
+		_, _, err := store.Accept(t.Context(), newRecord(fmt.Sprintf("j%03d", i), account, "", int64(i)))
 		assert.NilError(t, err)
 	}
 	open, err := store.Open(t.Context(), "z1")
@@ -116,28 +116,28 @@
 	assert.Equal(t, list[0].ID, "j619")
 }
 
-// meddling changes the row right after each commit, before the version can be
-// read back.
-type meddling struct {
+// concurrentWriter changes the row directly after each commit, before its version
+// can be read.
+type concurrentWriter struct {
 	*fake.Platform
 }
 
-func (m meddling) Commit(ctx context.Context, purpose platform.Purpose, tx api.Tx) platform.CommitResult {
-	result := m.Platform.Commit(ctx, purpose, tx)
-	rows, _ := m.Read(ctx, purpose, tx.Ops[0].Ref)
-	other := strings.Replace(string(rows.Rows[0].Value), `"epoch":1`, `"epoch":2`, 1)
-	m.Platform.Commit(ctx, purpose, api.Tx{WriteID: platform.NewWriteID(), Ops: []api.Op{
-		{Ref: tx.Ops[0].Ref, IfVersion: rows.Rows[0].Version, Value: []byte(other)},
+func (w concurrentWriter) Commit(ctx context.Context, purpose platform.Purpose, tx api.Tx) platform.CommitResult {
+	result := w.Platform.Commit(ctx, purpose, tx)
+	rows, _ := w.Read(ctx, purpose, tx.Ops[0].Ref)
+	changed := strings.Replace(string(rows.Rows[0].Value), `"epoch":1`, `"epoch":2`, 1)
+	w.Platform.Commit(ctx, purpose, api.Tx{WriteID: platform.NewWriteID(), Ops: []api.Op{
+		{Ref: tx.Ops[0].Ref, IfVersion: rows.Rows[0].Version, Value: []byte(changed)},
 	}})
 	return result
 }
 
-func TestUpdateNeverReturnsAnothersVersion(t *testing.T) {
+func TestUpdateNeverReturnsVersionOfAnotherWrite(t *testing.T) {
 	service, store := newStore()
-	accepted, _, err := store.Accept(t.Context(), record("j1", "acme", "", 1))
+	accepted, _, err := store.Accept(t.Context(), newRecord("j1", "acme", "", 1))
 	assert.NilError(t, err)
 	accepted.Phase, accepted.Epoch = jobstore.PhaseStarted, 1
-	first, err := jobstore.New(meddling{service}).Update(t.Context(), accepted)
+	first, err := jobstore.New(concurrentWriter{service}).Update(t.Context(), accepted)
 	assert.NilError(t, err)
 	assert.Equal(t, first.Epoch, int64(1))
 	_, err = store.Update(t.Context(), first)
@@ -149,15 +149,15 @@
 		fault fake.Fault
 		kind  api.Kind
 	}{
-		"down: nothing was written":       {fake.Fault{Down: true}, api.KindStoreUnavailable},
-		"lost without end: may have been": {fake.Fault{LostAfter: true}, api.KindResultUnknown},
+		"store down, nothing written":      {fake.Fault{Down: true}, api.KindStoreUnavailable},
+		"all answers lost, result unknown": {fake.Fault{LostAfter: true}, api.KindResultUnknown},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			service := fake.New()
 			store := jobstore.New(service)
 			service.SetFault(func(fake.Call) fake.Fault { return test.fault })
-			_, _, err := store.Accept(t.Context(), record("j1", "acme", "", 1))
+			_, _, err := store.Accept(t.Context(), newRecord("j1", "acme", "", 1))
 			assert.Assert(t, api.IsKind(err, test.kind), "%v", err)
 			_, err = store.Open(t.Context(), "z1")
 			assert.Assert(t, api.IsKind(err, api.KindStoreUnavailable), "%v", err)
--- a/internal/placer/calls.go
+++ b/internal/placer/calls.go
@@ -90,7 +90,7 @@
 		return api.JobAnswer{}, err
 	}
 	if e := c.jobByKey(s.Job); e != nil {
-		if !jobstore.Same(e.record.Submission, s.Job) {
+		if !jobstore.SameWork(e.record.Submission, s.Job) {
 			return api.JobAnswer{}, api.NewError(api.KindKeyReused, "key %s was used for another job", s.Job.IdempotencyKey)
 		}
 		return c.answer(e), nil
