--- a/internal/decision/recorder.go
+++ b/internal/decision/recorder.go
@@ -1,6 +1,5 @@
-// Package decision logs every routing and placement decision and keeps the
-// recent ones in memory, so that they can be explained by the id of their
-// request or job.
+// Package decision logs every routing and placement decision and keeps recent ones in
+// memory, so that they can be explained by the ID of their request or job.
 package decision
 
 import (
@@ -12,11 +11,13 @@
 	"github.com/corianderbank/corianderbank/internal/logging"
 )
 
-// maxPerSubject bounds the decisions kept for one request or job. A job that
-// waits for days repeats itself; the first and the last ones explain it.
+// maxPerSubject bounds the decisions kept for one request or job. The decisions on a
+// job that waits for days are repetitive; the first and the last ones are enough to
+// explain it.
 const maxPerSubject = 64
 
-// Recorder is safe for concurrent use.
+// Recorder logs decisions and keeps those of the most recent subjects. It is safe for
+// concurrent use.
 type Recorder struct {
 	logger   *zap.Logger
 	instance string
@@ -28,13 +29,14 @@
 	next      int
 }
 
-// NewRecorder returns a recorder that keeps the newest capacity subjects.
+// NewRecorder returns a Recorder that keeps the decisions on the newest capacity
+// subjects.
 func NewRecorder(logger *zap.Logger, instance string, capacity int) *Recorder {
 	return &Recorder{logger: logger, instance: instance, capacity: capacity, bySubject: make(map[string][]api.Decision)}
 }
 
-// Record logs d and keeps it. A decision that repeats the subject's last one
-// (same step, choice and reason) is neither logged nor kept again.
+// Record logs d and keeps it. If d repeats the last decision on its subject (same
+// step, choice and reason), it is neither logged nor kept.
 func (r *Recorder) Record(d api.Decision) {
 	d.Instance = r.instance
 	if r.keep(d) {
@@ -47,9 +49,9 @@
 	defer r.mu.Unlock()
 	kept, known := r.bySubject[d.Subject]
 	if !known {
-		r.admit(d.Subject)
+		r.addSubject(d.Subject)
 	}
-	if len(kept) > 0 && same(kept[len(kept)-1], d) {
+	if len(kept) > 0 && repeats(kept[len(kept)-1], d) {
 		return false
 	}
 	if len(kept) >= maxPerSubject {
@@ -59,8 +61,9 @@
 	return true
 }
 
-// admit makes room for one more subject. The caller holds mu.
-func (r *Recorder) admit(subject string) {
+// addSubject adds a subject and evicts the oldest one if the recorder is full. The
+// caller must hold mu.
+func (r *Recorder) addSubject(subject string) {
 	if len(r.order) < r.capacity {
 		r.order = append(r.order, subject)
 		return
@@ -70,11 +73,11 @@
 	r.next = (r.next + 1) % r.capacity
 }
 
-func same(a, b api.Decision) bool {
+func repeats(a, b api.Decision) bool {
 	return a.Step == b.Step && a.Choice == b.Choice && a.Reason == b.Reason
 }
 
-// Explain returns the kept decisions on a subject, in order.
+// Explain returns the decisions kept on a subject, in order.
 func (r *Recorder) Explain(subject string) []api.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,17 +1,17 @@
-// Package estimate corrects declared run times by what the same client account
-// and kind of work really took. It is pure: times are passed in.
+// Package estimate corrects declared run times by the run times observed for the same
+// client account and kind of work. It is pure: times are passed in.
 package estimate
 
 import "time"
 
-// Source gives the run time to plan with.
+// Source provides the run time to plan with.
 type Source interface {
-	// Run returns the corrected run time of a job of this account and kind, a
-	// high quantile, for a declared one.
+	// Run returns the corrected run time, a high quantile, for a job of this account
+	// and kind with the given declared run time.
 	Run(account, kind string, declared time.Duration) time.Duration
 }
 
-// Declared takes declared run times as they are. It is the baseline.
+// Declared returns declared run times unchanged. It is the baseline.
 type Declared struct{}
 
 // Run implements Source.
--- a/internal/estimate/history.go
+++ b/internal/estimate/history.go
@@ -5,62 +5,63 @@
 	"time"
 )
 
-// This file answers declared run times that are off by a factor of 0.1 to 10.
-// Without it a deadline is promised by the declared time, and missed; or work
-// that would have made it is refused.
+// History corrects declared run times that are wrong by a factor of 0.1 to 10. Without
+// the correction a deadline is accepted based on the declared time and then missed, or
+// work that would have met it is refused.
 const (
-	// samplesPerKey bounds the ratios kept for one account and kind. The oldest
-	// goes first, so that a caller that mends its declarations is believed
+	// samplesPerKey bounds the ratios kept for one account and kind. The oldest is
+	// replaced first, so that corrected declarations of a caller take full effect
 	// after as many jobs.
 	samplesPerKey = 32
-	// maxKeys bounds the pairs of account and kind. The one that was observed
-	// least recently goes first.
+	// maxKeys bounds the pairs of account and kind. The least recently observed pair
+	// is evicted first.
 	maxKeys = 4096
-	// minSamples is the number of ratios below which a declared time is taken
-	// as it is: fewer say nothing about a high quantile.
+	// minSamples is the number of ratios below which a declared time is used
+	// unchanged, because fewer are not enough to estimate a high quantile.
 	minSamples = 5
-	// quantile is the share of jobs that end within the corrected time.
+	// quantile is the fraction of jobs that end within the corrected time.
 	quantile = 0.9
-	// minRatio and maxRatio bound a ratio, so that one broken clock or a
-	// declaration of next to nothing cannot spoil a kind of work.
+	// minRatio and maxRatio bound a ratio, so that a wrong clock or a declared time
+	// close to zero cannot distort the estimates for a kind of work.
 	minRatio = 0.05
 	maxRatio = 20
 )
 
-// key is an account's kind of work.
+// key identifies a kind of work of an account.
 type key struct {
 	account, kind string
 }
 
-// ratios is the latest ratios of real to declared run time of a key.
+// ratios are the most recent ratios of actual to declared run time for a key.
 type ratios struct {
 	ring []float64
 	next int
-	// corrected is the quantile over the ring.
+	// corrected is the quantile of the ratios in ring.
 	corrected float64
-	// observed numbers the latest observation among all keys.
-	observed int64
+	// lastObserved is the sequence number of the latest observation, counted over all
+	// keys.
+	lastObserved int64
 }
 
-// History is a Source that learns. It holds a bounded number of ratios. It is
-// not safe for concurrent use: one goroutine owns it.
+// History is a Source based on observed run times. It keeps a bounded number of
+// ratios. It is not safe for concurrent use: one goroutine owns it.
 type History struct {
-	byKey    map[key]*ratios
-	observed int64
+	byKey        map[key]*ratios
+	observations int64
 }
 
-// NewHistory returns an empty History, which takes declared times as they are.
+// NewHistory returns an empty History, which returns declared times unchanged.
 func NewHistory() *History { return &History{byKey: make(map[key]*ratios)} }
 
-// Observe records that a job of this account and kind with the declared run
-// time took this long. Times that are not positive are ignored.
+// Observe records the actual run time of a job of this account and kind with the given
+// declared run time. Times that are not positive are ignored.
 func (h *History) Observe(account, kind string, declared, took time.Duration) {
 	if declared <= 0 || took <= 0 {
 		return
 	}
-	h.observed++
-	r := h.ratiosOf(key{account, kind})
-	r.observed = h.observed
+	h.observations++
+	r := h.ratiosFor(key{account, kind})
+	r.lastObserved = h.observations
 	ratio := min(max(took.Seconds()/declared.Seconds(), minRatio), maxRatio)
 	if len(r.ring) < samplesPerKey {
 		r.ring = append(r.ring, ratio)
@@ -68,7 +69,7 @@
 		r.ring[r.next] = ratio
 		r.next = (r.next + 1) % samplesPerKey
 	}
-	r.corrected = quantileOf(r.ring)
+	r.corrected = computeQuantile(r.ring)
 }
 
 // Run implements Source.
@@ -80,32 +81,32 @@
 	return time.Duration(float64(declared) * r.corrected)
 }
 
-func (h *History) ratiosOf(k key) *ratios {
+func (h *History) ratiosFor(k key) *ratios {
 	if r, ok := h.byKey[k]; ok {
 		return r
 	}
 	if len(h.byKey) >= maxKeys {
-		h.forgetOldest()
+		h.evictLeastRecent()
 	}
 	r := &ratios{}
 	h.byKey[k] = r
 	return r
 }
 
-func (h *History) forgetOldest() {
+func (h *History) evictLeastRecent() {
 	var oldest key
-	least := h.observed + 1
+	least := h.observations + 1
 	for k, r := range h.byKey {
-		if r.observed < least {
-			oldest, least = k, r.observed
+		if r.lastObserved < least {
+			oldest, least = k, r.lastObserved
 		}
 	}
 	delete(h.byKey, oldest)
 }
 
-// quantileOf returns the smallest sample that the quantile's share of all
-// samples does not exceed.
-func quantileOf(samples []float64) float64 {
+// computeQuantile returns the smallest sample such that the fraction of samples up to
+// it is about quantile, rounded to the nearest rank.
+func computeQuantile(samples []float64) float64 {
 	sorted := slices.Clone(samples)
 	slices.Sort(sorted)
 	rank := int(quantile*float64(len(sorted)) + 0.5)
--- a/internal/estimate/history_test.go
+++ b/internal/estimate/history_test.go
@@ -14,15 +14,15 @@
 		took []time.Duration
 		want time.Duration
 	}{
-		"without history the declared time stands":          {nil, time.Hour},
-		"a few samples say nothing":                         {repeat(10*time.Hour, minSamples-1), time.Hour},
-		"a caller that declares a tenth is corrected":       {repeat(10*time.Hour, minSamples), 10 * time.Hour},
-		"a caller that declares ten times is corrected":     {repeat(6*time.Minute, minSamples), 6 * time.Minute},
-		"a caller that mends its declarations is believed":  {append(repeat(10*time.Hour, 50), repeat(time.Hour, samplesPerKey)...), time.Hour},
-		"a high quantile is taken":                          {append(repeat(time.Hour, 16), repeat(2*time.Hour, 4)...), 2 * time.Hour},
-		"one outlier among many does not move the quantile": {append(repeat(time.Hour, 19), 9*time.Hour), time.Hour},
-		"a ratio out of bounds is bounded":                  {repeat(1000*time.Hour, minSamples), maxRatio * time.Hour},
-		"times that are not positive are ignored":           {repeat(0, minSamples), time.Hour},
+		"without history the declared time is used":                  {nil, time.Hour},
+		"too few samples are ignored":                                {repeat(10*time.Hour, minSamples-1), time.Hour},
+		"run times declared ten times too short are corrected":       {repeat(10*time.Hour, minSamples), 10 * time.Hour},
+		"run times declared ten times too long are corrected":        {repeat(6*time.Minute, minSamples), 6 * time.Minute},
+		"old samples are replaced once declarations become accurate": {append(repeat(10*time.Hour, 50), repeat(time.Hour, samplesPerKey)...), time.Hour},
+		"a high quantile is used":                                    {append(repeat(time.Hour, 16), repeat(2*time.Hour, 4)...), 2 * time.Hour},
+		"one outlier among many does not move the quantile":          {append(repeat(time.Hour, 19), 9*time.Hour), time.Hour},
+		"a ratio out of bounds is bounded":                           {repeat(1000*time.Hour, minSamples), maxRatio * time.Hour},
+		"times that are not positive are ignored":                    {repeat(0, minSamples), time.Hour},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/quarantine/crashes.go
+++ b/internal/quarantine/crashes.go
@@ -2,65 +2,68 @@
 
 import "time"
 
-// This file tells a task that takes its workers down from workers that go down by
-// themselves. It answers jobs of which each start costs a worker and all that runs
-// there: without it such a job is started again as often as its worker comes back.
-// A crash counts against every task that ran on the worker, since nothing says which one
-// it was; those that are not to blame run on elsewhere. Whoever counts
-// stores the count before the next start of such a task, so that no change of leader
-// begins anew.
+// Crash counts distinguish tasks that crash their workers from workers that crash for
+// other reasons. Without them a job whose every start costs a worker, and everything
+// that runs there, is started again as often as its worker returns. A crash counts
+// against every task that ran on the worker, because it is not known which one caused
+// it; tasks that are not the cause continue to run on other workers. The caller must
+// store the counts before the next start of such a task, so that they survive a change
+// of leader.
 
-// CrashLimit is the number of workers that may go down under a task. A worker had
-// other tasks beside it, and may itself be at fault: one or two say nothing for certain.
+// CrashLimit is the number of workers that may crash under a task. The worker also ran
+// other tasks and may itself be faulty, so one or two crashes are not conclusive.
 const CrashLimit = 3
 
-// LossLimit is the number of starts that may be lost with their workers, also where many
-// went down at once or where nobody knows whether the start was carried out.
+// LossLimit is the number of starts that may be lost together with their workers,
+// including those where many workers crashed at once and those where it is unknown
+// whether the start was carried out.
 const LossLimit = 5
 
-// provenAfter is how long a task runs that surely does not take its worker down: what
-// does so does it sooner.
-const provenAfter = time.Minute
+// provenRunTime is the run time after which a task is known not to crash its worker:
+// tasks that do so do it earlier.
+const provenRunTime = time.Minute
 
-// Crashes is what is known of the workers that went down under a task.
+// Crashes counts the workers that crashed, or may have crashed, under a task.
 type Crashes struct {
-	// Seen have surely crashed, surely ran the task, and fell by themselves.
+	// Seen counts workers that definitely crashed, definitely ran the task, and
+	// crashed independently of others.
 	Seen int
-	// Shared ran the task and crashed among many others: a rack, a zone or a switch may
-	// have been at fault.
+	// Shared counts workers that ran the task and crashed together with many others.
+	// The cause may have been a rack, a zone or a switch.
 	Shared int
-	// Recent crashed just now: whether others did at once is not known yet.
+	// Recent counts workers that crashed recently. It is not known yet whether others
+	// crashed at the same time.
 	Recent int
-	// Unsure have crashed and never answered the task's start: they may have gone down
-	// before it reached them.
+	// Unsure counts workers that crashed without acknowledging the start of the task.
+	// They may have crashed before it reached them.
 	Unsure int
-	// Possible fell silent, and whether they have crashed is not known yet.
+	// Possible counts workers that stopped responding and may or may not have crashed.
 	Possible int
 }
 
-// CrashDecision is what a task's crashes lead to.
+// CrashDecision is the action that follows from the crashes of a task.
 type CrashDecision int
 
-// The decisions.
+// Values of CrashDecision.
 const (
-	// StartFreely: nothing is held against the task.
+	// StartFreely starts the task. No crash counts against it.
 	StartFreely CrashDecision = iota
-	// StartRecorded: the task starts once the store knows what is held against it.
+	// StartRecorded starts the task once its crashes are in the store.
 	StartRecorded
-	// AwaitEvidence: it does not start before it is known whether a worker has crashed.
+	// AwaitEvidence delays the start until it is known whether a worker has crashed.
 	AwaitEvidence
-	// GiveUp: it does not start again.
+	// GiveUp fails the task permanently. It is not started again.
 	GiveUp
 )
 
-// Decide judges a task by its crashes.
+// Decide returns the action for a task with these crashes.
 func (c Crashes) Decide() CrashDecision {
-	worst := c
-	worst.Seen += c.Recent + c.Possible
+	worstCase := c
+	worstCase.Seen += c.Recent + c.Possible
 	switch {
-	case c.tooMany():
+	case c.exceedsLimits():
 		return GiveUp
-	case worst.tooMany():
+	case worstCase.exceedsLimits():
 		return AwaitEvidence
 	case c.Seen+c.Shared+c.Recent+c.Unsure > 0:
 		return StartRecorded
@@ -68,13 +71,13 @@
 	return StartFreely
 }
 
-// tooMany reports whether the task may not be started again. Starts that nobody ever
-// answered say so only beside crashes.
-func (c Crashes) tooMany() bool {
+// exceedsLimits reports whether the task may not be started again. Starts that were
+// never acknowledged count only in addition to crashes.
+func (c Crashes) exceedsLimits() bool {
 	ran := c.Seen + c.Shared
 	return c.Seen >= CrashLimit || ran >= LossLimit || ran >= CrashLimit-1 && ran+c.Unsure >= LossLimit
 }
 
-// Proven reports whether a run was so long that the crash of its worker says nothing
-// against its task.
-func Proven(ran time.Duration) bool { return ran >= provenAfter }
+// Proven reports whether a run lasted so long that a crash of its worker does not
+// count against its task.
+func Proven(ran time.Duration) bool { return ran >= provenRunTime }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -20,32 +20,32 @@
 		succeeded   bool
 	}
 	cases := map[string]struct {
-		failures                []failure
-		wantWorkers, wantedJobs []string
+		failures              []failure
+		wantWorkers, wantJobs []string
 	}{
-		"a worker that fails three jobs is sick": {
+		"a worker that fails three jobs is unhealthy": {
 			[]failure{{worker: "w", job: "a"}, {worker: "w", job: "b"}, {worker: "w", job: "c"}},
 			[]string{"w"},
 			nil,
 		},
-		"a job that fails on three workers is sick": {
+		"a job that fails on three workers is faulty": {
 			[]failure{{worker: "u", job: "a"}, {worker: "v", job: "a"}, {worker: "w", job: "a"}},
 			nil,
 			[]string{"a"},
 		},
-		"one job that fails thrice on one worker proves nothing": {
+		"one job that fails three times on one worker is no evidence": {
 			[]failure{{worker: "w", job: "a"}, {worker: "w", job: "a"}, {worker: "w", job: "a"}},
 			nil, nil,
 		},
-		"failures long ago do not count": {
-			[]failure{{worker: "w", job: "a"}, {worker: "w", job: "b"}, {worker: "w", job: "c", after: 2 * window}},
+		"failures outside the window do not count": {
+			[]failure{{worker: "w", job: "a"}, {worker: "w", job: "b"}, {worker: "w", job: "c", after: 2 * failureWindow}},
 			nil, nil,
 		},
 		"a success clears the worker": {
 			[]failure{{worker: "w", job: "a"}, {worker: "w", job: "b"}, {worker: "w", job: "d", succeeded: true}, {worker: "w", job: "c"}},
 			nil, nil,
 		},
-		"failures on sick workers are no evidence against a job": {
+		"failures on unhealthy workers are no evidence against a job": {
 			[]failure{
 				{worker: "u", job: "a"},
 				{worker: "u", job: "b"},
@@ -58,7 +58,7 @@
 			[]string{"u", "v"},
 			nil,
 		},
-		"sick jobs do not make their workers sick": {
+		"faulty jobs do not make their workers unhealthy": {
 			[]failure{
 				{worker: "u", job: "a"},
 				{worker: "v", job: "a"},
@@ -94,34 +94,34 @@
 				}
 			}
 			assert.DeepEqual(t, workers, c.wantWorkers)
-			assert.DeepEqual(t, jobs, c.wantedJobs)
+			assert.DeepEqual(t, jobs, c.wantJobs)
 		})
 	}
 }
 
-// TestRandomFaults plays sick workers and sick jobs together: in the end every
-// sick one is found, and no healthy one is blamed.
+// TestRandomFaults combines unhealthy workers and faulty jobs and checks that every
+// unhealthy worker is found and that no healthy worker or job is blamed.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		tracker := NewTracker()
-		sickWorkers, sickJobs := map[string]bool{"w0": true, "w1": true}, map[string]bool{}
+		unhealthyWorkers, failingJobs := map[string]bool{"w0": true, "w1": true}, map[string]bool{}
 		found := make(map[string]bool)
 		for i := range 200 {
 			job := fmt.Sprintf("j%d", i)
-			sickJobs[job] = random.IntN(10) == 0
+			failingJobs[job] = random.IntN(10) == 0
 			for attempt := 0; attempt < 6 && !found[job]; attempt++ {
 				worker := fmt.Sprintf("w%d", random.IntN(12))
 				if found[worker] {
 					continue
 				}
-				if !sickWorkers[worker] && !sickJobs[job] {
+				if !unhealthyWorkers[worker] && !failingJobs[job] {
 					tracker.TaskSucceeded(worker, job, start)
 					break
 				}
 				verdict := tracker.TaskFailed(worker, job, start)
-				assert.Assert(t, verdict.SickWorker == "" || sickWorkers[verdict.SickWorker], "seed %d: %s", seed, verdict.Evidence)
-				assert.Assert(t, verdict.SickJob == "" || sickJobs[verdict.SickJob], "seed %d: %s", seed, verdict.Evidence)
+				assert.Assert(t, verdict.SickWorker == "" || unhealthyWorkers[verdict.SickWorker], "seed %d: %s", seed, verdict.Evidence)
+				assert.Assert(t, verdict.SickJob == "" || failingJobs[verdict.SickJob], "seed %d: %s", seed, verdict.Evidence)
 				found[verdict.SickWorker], found[verdict.SickJob] = true, true
 			}
 		}
@@ -134,16 +134,16 @@
 	for _, job := range []string{"a", "b", "c"} {
 		tracker.TaskFailed("w", job, start)
 	}
-	now := start.Add(firstCooling)
+	now := start.Add(initialCooldown)
 	assert.Equal(t, len(tracker.Cooled(now.Add(-time.Second))), 0)
 	assert.DeepEqual(t, tracker.Cooled(now), []string{"w"})
-	assert.Equal(t, len(tracker.Cooled(now)), 0, "a worker is probed once")
+	assert.Equal(t, len(tracker.Cooled(now)), 0, "a worker is probed once per cooldown")
 	assert.Equal(t, tracker.Probed("w", false, now), EventProbeFailed)
-	assert.Equal(t, len(tracker.Cooled(now.Add(firstCooling))), 0, "a relapse cools longer")
-	now = now.Add(2 * firstCooling)
+	assert.Equal(t, len(tracker.Cooled(now.Add(initialCooldown))), 0, "a failed probe doubles the cooldown")
+	now = now.Add(2 * initialCooldown)
 	assert.DeepEqual(t, tracker.Cooled(now), []string{"w"})
 	assert.Equal(t, tracker.Probed("w", true, now), EventProbeOK)
-	assert.Equal(t, tracker.TaskFailed("w", "d", now), Verdict{}, "the worker starts afresh")
+	assert.Equal(t, tracker.TaskFailed("w", "d", now), Verdict{}, "the worker has no earlier failures")
 }
 
 func TestEventsAreInTheChart(t *testing.T) {
