--- a/internal/placement/admit.go
+++ b/internal/placement/admit.go
@@ -9,13 +9,13 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// This file answers jobs that can never run and deadlines that can no longer
-// be met. Without it they wait for hours, take turns from others, and their
-// callers learn too late to go elsewhere. A job is refused only when even the
-// earliest placement cannot make it, so that a refusal is true.
+// Refusal of jobs that can never run and of deadlines that can no longer be met.
+// Without it such jobs wait for hours, delay other jobs, and their callers learn too
+// late that they need to submit elsewhere. A job is refused only if even the earliest
+// possible placement is too late, so that a refusal is always correct.
 
-// Admit judges a job at its submission: it returns the estimated finish, or
-// the refusal.
+// Admit checks a job at submission. It returns the estimated finish time, or the
+// refusal.
 func Admit(s Snapshot, job model.Job) (finish time.Time, refusal *Refusal) {
 	d := newDecider(&s, Off{})
 	if reason := d.neverFits(&job); reason != "" {
@@ -25,7 +25,7 @@
 	if !found {
 		start = s.Now
 	}
-	finish = start.Add(remaining(&s, &job))
+	finish = start.Add(remainingRun(&s, &job))
 	if !job.Deadline.IsZero() && finish.After(job.Deadline) {
 		return time.Time{}, newRefusal(&job, api.KindDeadlineUnreachable, lateReason(finish, job.Deadline))
 	}
@@ -41,27 +41,29 @@
 	return fmt.Sprintf("the earliest finish lies %s after the deadline", finish.Sub(deadline).Round(time.Second))
 }
 
-// neverFits says why a job fits in no state of the zone, or "". Workers that
-// take no tasks at the moment count, since they may return.
+// neverFits returns the reason why a job does not fit into the zone even if all of it
+// is free, or "" if it fits. Workers that take no tasks at the moment count as
+// capacity because they may return.
 func (d *decider) neverFits(job *model.Job) string {
-	every := newZone(d.s.Workers, true)
-	usable := every.capacity
+	emptyZone := newZone(d.snapshot.Workers, true)
+	usable := emptyZone.capacity
 	if !job.Stoppable() {
-		usable = d.unbroken(every, job)
+		usable = d.unstoppableCapacity(emptyZone, job)
 	}
-	if every.fit(usable, nil, job.Shape) != nil {
+	if emptyZone.fit(usable, nil, job.Shape) != nil {
 		return ""
 	}
-	return "no placement in the empty zone holds " + describe(job.Shape)
+	return "no placement in the empty zone holds " + describeShape(job.Shape)
 }
 
-// unbroken is what a job that cannot be stopped may ever use: its account's
-// shapes and what belongs to no shape.
-func (d *decider) unbroken(every *zone, job *model.Job) []int {
-	empty := every.pack(newHoldings(every, len(d.s.Accounts)), d.claims)
-	usable := append([]int(nil), every.capacity...)
-	for account, cells := range empty.cells {
-		if d.s.Accounts[account].Name == job.Account {
+// unstoppableCapacity returns the accelerators by worker that a job that cannot be
+// stopped may use in the empty zone: those of its account's guaranteed shapes and
+// those that belong to no shape.
+func (d *decider) unstoppableCapacity(emptyZone *zone, job *model.Job) []int {
+	emptyPacking := emptyZone.pack(newHoldings(emptyZone, len(d.snapshot.Accounts)), d.guarantees)
+	usable := append([]int(nil), emptyZone.capacity...)
+	for account, cells := range emptyPacking.cells {
+		if d.snapshot.Accounts[account].Name == job.Account {
 			continue
 		}
 		for w, n := range cells {
@@ -71,37 +73,37 @@
 	return usable
 }
 
-// earliestStart returns the time from which the job fits if nothing else is
-// placed before it.
+// earliestStart returns the time from which the job fits if no other job is placed
+// before it.
 func (d *decider) earliestStart(job *model.Job) (time.Time, bool) {
-	if account, known := d.accounts[job.Account]; known && d.entitled(account, job) {
-		return d.s.Now, true
+	if account, known := d.accounts[job.Account]; known && d.withinGuarantee(account, job) {
+		return d.snapshot.Now, true
 	}
 	usable := slices.Clone(d.free)
-	if d.z.fit(usable, nil, job.Shape) != nil {
-		return d.s.Now, true
+	if d.zone.fit(usable, nil, job.Shape) != nil {
+		return d.snapshot.Now, true
 	}
-	for _, end := range d.ends() {
-		add(usable, end.parts, end.perTask)
-		if d.z.fit(d.z.withinCapacity(usable), nil, job.Shape) != nil {
-			return end.at, true
+	for _, r := range d.releases() {
+		addParts(usable, r.parts, r.perTask)
+		if d.zone.fit(d.zone.withinCapacity(usable), nil, job.Shape) != nil {
+			return r.at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// refuseIfLost ends a waiting job that can no longer finish in time, that can
-// never run, or that waited as long as its rule allows. A job that has run is
-// not refused, because not_run would be untrue.
-func (d *decider) refuseIfLost(e *entry) {
+// refuseExpired refuses a waiting job that can no longer meet its deadline or that has
+// waited longer than its rule allows. A job that has already run is not refused,
+// because not_run would be untrue.
+func (d *decider) refuseExpired(e *entry) {
 	if e.job.Attempt > 0 {
 		return
 	}
-	finish := d.s.Now.Add(e.run)
+	finish := d.snapshot.Now.Add(e.runTime)
 	switch {
 	case !e.job.Deadline.IsZero() && finish.After(e.job.Deadline):
 		d.refuse(e, api.KindDeadlineUnreachable, lateReason(finish, e.job.Deadline))
-	case e.job.MaxWait > 0 && d.s.Now.Sub(e.job.SubmittedAt) > e.job.MaxWait:
+	case e.job.MaxWait > 0 && d.snapshot.Now.Sub(e.job.SubmittedAt) > e.job.MaxWait:
 		d.refuse(e, api.KindQueueTimeout, "waited "+e.job.MaxWait.String())
 	}
 }
--- a/internal/placement/avoid.go
+++ b/internal/placement/avoid.go
@@ -2,27 +2,30 @@
 
 import "github.com/corianderbank/corianderbank/internal/model"
 
-// This file answers a job whose task failed on a worker. Without it the same
-// worker is the best fit again, and the job fails there until it is given up:
-// nobody learns whether the job is broken or the worker. Three different
-// workers tell them apart (see package quarantine), so the job is kept off
-// those that it failed on, unless no other workers could hold it even if they
+// Avoidance of workers on which a task of the job has failed. Without it the same
+// worker is again the best fit, and the job fails there until it is abandoned, which
+// does not show whether the job or the worker is faulty. Failures on three different
+// workers distinguish the two (see package quarantine). A job therefore avoids the
+// workers on which it failed, unless the other workers could not hold it even if they
 // were empty.
 
-// fit returns where a job goes when usable accelerators are free; see zone.fit.
-func (d *decider) fit(e *entry, usable, bonus []int) []part {
-	return d.z.fit(d.avoiding(e.job, usable), bonus, e.job.Shape)
+// fit returns the placement of a job on the usable accelerators, without the workers
+// that the job avoids; see zone.fit.
+func (d *decider) fit(e *entry, usable, preferred []int) []part {
+	return d.zone.fit(d.withoutAvoided(e.job, usable), preferred, e.job.Shape)
 }
 
-// avoiding takes the workers that a job is to avoid out of usable.
-func (d *decider) avoiding(job *model.Job, usable []int) []int {
+// withoutAvoided returns usable without the workers that the job avoids. It returns
+// usable unchanged if the other workers could not hold the job even if they were
+// empty.
+func (d *decider) withoutAvoided(job *model.Job, usable []int) []int {
 	if len(job.Avoid) == 0 {
 		return usable
 	}
-	if d.z.fit(d.z.without(d.z.capacity, job.Avoid), nil, job.Shape) == nil {
+	if d.zone.fit(d.zone.without(d.zone.capacity, job.Avoid), nil, job.Shape) == nil {
 		return usable
 	}
-	return d.z.without(usable, job.Avoid)
+	return d.zone.without(usable, job.Avoid)
 }
 
 // without returns a copy of vector that is zero at the named workers.
@@ -36,8 +39,9 @@
 	return rest
 }
 
-// only names the job if what fits it may not fit others of its shape.
-func only(job *model.Job) string {
+// avoidingJob returns the ID of a job that avoids workers, and "" for other jobs. What
+// fits a job that avoids workers may not fit other jobs of the same shape.
+func avoidingJob(job *model.Job) string {
 	if len(job.Avoid) == 0 {
 		return ""
 	}
--- a/internal/placement/avoid_test.go
+++ b/internal/placement/avoid_test.go
@@ -12,19 +12,19 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-func TestJobGoesWhereItHasNotFailed(t *testing.T) {
+func TestJobAvoidsWorkersItFailedOn(t *testing.T) {
 	cases := map[string]struct {
 		workers []string
 		tasks   int
 		avoid   []string
 		want    []string
 	}{
-		"another worker takes it":                     {[]string{"a", "b", "c"}, 1, []string{"a"}, []string{"b"}},
+		"another worker is used":                      {[]string{"a", "b", "c"}, 1, []string{"a"}, []string{"b"}},
 		"two failures leave the third worker":         {[]string{"a", "b", "c"}, 1, []string{"a", "b"}, []string{"c"}},
-		"a gang goes around the worker":               {[]string{"a", "b", "c"}, 2, []string{"b"}, []string{"a", "c"}},
-		"no other workers could hold it":              {[]string{"a", "b"}, 2, []string{"a"}, []string{"a", "b"}},
-		"a worker that left is no obstacle":           {[]string{"a", "b"}, 1, []string{"gone"}, []string{"a"}},
-		"it failed everywhere and is tried once more": {[]string{"a", "b"}, 1, []string{"a", "b"}, []string{"a"}},
+		"a gang avoids the worker":                    {[]string{"a", "b", "c"}, 2, []string{"b"}, []string{"a", "c"}},
+		"the other workers cannot hold the job":       {[]string{"a", "b"}, 2, []string{"a"}, []string{"a", "b"}},
+		"an avoided worker that left is ignored":      {[]string{"a", "b"}, 1, []string{"gone"}, []string{"a"}},
+		"all workers are used after failures on each": {[]string{"a", "b"}, 1, []string{"a", "b"}, []string{"a"}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestClaimStopsBorrowersWhereTheJobHasNotFailed(t *testing.T) {
+func TestClaimStopsBorrowersOutsideAvoidedWorkers(t *testing.T) {
 	shape := api.Shape{Tasks: 1, AcceleratorsPerTask: 8}
 	s := Snapshot{Now: time.Unix(1000, 0), Zone: "z1", Runs: estimate.Declared{}, Accounts: []model.ClientAccount{
 		{Name: "acme", Guarantees: map[string][]model.GuaranteedShape{"z1": {{Shape: shape, Count: 1}}}}, {Name: "orbit"},
--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// This file answers large gangs among a stream of small ones. Without it small
-// gangs take each accelerator that comes free, and a large gang never finds its
-// whole shape. The jobs that are due first among those that do not fit get a
-// reservation in time: the region that comes free first by the corrected run
-// times. Other jobs may take the region only if they end before the reservation
-// starts (EASY backfill, Lifka 1995). A claim of a guarantee uses the region
-// last. Jobs that wait for their own account's guarantee need no reservation:
-// see head.go.
+// Reservations and backfill for large gangs among many small ones. Without them small
+// gangs take each accelerator that becomes free, and a large gang never finds its
+// whole shape. Among the jobs that do not fit, those with the earliest latest start
+// get a reservation: the region that, by the corrected run times, becomes free first.
+// Other jobs may use the region only if they end before the reservation starts (EASY
+// backfill, Lifka 1995). A claim of a guarantee uses the region last. Jobs that wait
+// for the guarantee of their own account need no reservation: see head.go.
 
-// overdueShare is how much longer a gang that has outlived its estimate is
-// taken to run, as a share of its run so far. A quarter: an estimate that was
-// wrong says little, and a larger share would open the reservation's region to
-// backfill that does not end in time.
-const overdueShare = 4
+// overdueDivisor determines the expected remaining run time of a gang that has
+// exceeded its estimate: its run time so far divided by overdueDivisor, i.e. a
+// quarter. An estimate that was already wrong contains little information, and a
+// larger share would open the region of the reservation to backfill that does not end
+// in time.
+const overdueDivisor = 4
 
-// maxReservations bounds the regions that are reserved at the same time. In a
-// zone of two whole racks a third region of half a rack would leave hardly
-// anything to backfill; in the measured patterns two did better than one, and
-// four no better than two.
+// maxReservations bounds the number of regions reserved at the same time. In a zone of
+// two whole racks a third region of half a rack would leave hardly anything to
+// backfill. In the measured workloads two reservations were better than one, and four
+// were no better than two.
 const maxReservations = 2
 
-// reservation keeps a region for one job from a time on.
+// reservation keeps a region for one job from a start time on.
 type reservation struct {
 	start time.Time
-	// spare is what a job that runs past start may use, by worker.
+	// spare is, by worker, what jobs that run past start may use.
 	spare []int
-	// parts are the region.
+	// parts is the reserved region.
 	parts   []part
 	perTask int
 }
 
-// reserve makes reservations for the jobs that do not fit now and are due
-// first, as far as maxReservations allows.
+// reserve makes up to maxReservations reservations for the jobs that do not fit now,
+// in order of their latest start.
 func (d *decider) reserve(q *queue) {
 	if d.off.Reservation {
 		return
 	}
-	for _, e := range q.byDue() {
+	for _, e := range q.byLatestStart() {
 		if len(d.reserved) == maxReservations {
 			return
 		}
@@ -52,56 +52,56 @@
 	}
 }
 
-// needsReservation reports whether a job waits for accelerators beyond its
-// account's guarantee.
+// needsReservation reports whether a job waits for accelerators beyond the guarantee
+// of its account.
 func (d *decider) needsReservation(e *entry) bool {
-	if e.done || d.barred(e) || d.heads[e.account].entry == e || d.entitled(e.account, e.job) {
+	if e.done || d.confinedToGuarantee(e) || d.heads[e.account].entry == e || d.withinGuarantee(e.account, e.job) {
 		return false
 	}
 	return d.fit(e, d.free, nil) == nil
 }
 
-// reserveFor reserves the region that comes free first. Without a time at which
-// the job would fit, nothing is reserved.
+// reserveFor reserves the region that becomes free first for the job. It reserves
+// nothing if the job does not fit at any time.
 func (d *decider) reserveFor(e *entry) {
 	usable := slices.Clone(d.free)
 	for _, r := range d.reserved {
-		add(usable, r.parts, -r.perTask)
+		addParts(usable, r.parts, -r.perTask)
 	}
-	for _, end := range d.ends() {
-		add(usable, end.parts, end.perTask)
-		parts := d.fit(e, d.z.withinCapacity(usable), nil)
+	for _, r := range d.releases() {
+		addParts(usable, r.parts, r.perTask)
+		parts := d.fit(e, d.zone.withinCapacity(usable), nil)
 		if parts == nil {
 			continue
 		}
-		spare := d.z.withinCapacity(usable)
-		add(spare, parts, -e.job.Shape.AcceleratorsPerTask)
+		spare := d.zone.withinCapacity(usable)
+		addParts(spare, parts, -e.job.Shape.AcceleratorsPerTask)
 		d.reserved = append(d.reserved, reservation{
-			start: end.at, spare: spare, parts: parts, perTask: e.job.Shape.AcceleratorsPerTask,
+			start: r.at, spare: spare, parts: parts, perTask: e.job.Shape.AcceleratorsPerTask,
 		})
 		return
 	}
 }
 
-// available is what a job may use beside the reservations that it would outlast.
+// available returns the free accelerators that the job may use without delaying the
+// reservations that it would outlast.
 func (d *decider) available(e *entry) []int {
 	usable := d.free
 	for i := range d.reserved {
 		if d.outlasts(e, i) {
-			usable = minimum(usable, d.reserved[i].spare)
+			usable = minVector(usable, d.reserved[i].spare)
 		}
 	}
 	return usable
 }
 
-// outlasts reports whether a job placed now would run past the start of a
-// reservation.
+// outlasts reports whether a job placed now would run past the start of reservation i.
 func (d *decider) outlasts(e *entry, i int) bool {
-	return d.s.Now.Add(e.run).After(d.reserved[i].start)
+	return d.snapshot.Now.Add(e.runTime).After(d.reserved[i].start)
 }
 
-// outlasted counts the reservations that the job would outlast.
-func (d *decider) outlasted(e *entry) int {
+// countOutlasted returns the number of reservations that the job would outlast.
+func (d *decider) countOutlasted(e *entry) int {
 	count := 0
 	for i := range d.reserved {
 		if d.outlasts(e, i) {
@@ -111,38 +111,39 @@
 	return count
 }
 
-// end is the release of a gang's accelerators.
-type end struct {
+// release is the point in time at which a gang returns its accelerators.
+type release struct {
 	at      time.Time
 	parts   []part
 	perTask int
 }
 
-// ends lists the releases that are to come, in order of time: of the gangs of
-// the snapshot and of those that this decision places.
-func (d *decider) ends() []end {
-	ends := make([]end, 0, len(d.holders)+len(d.placed))
+// releases returns the expected releases in order of time: those of the gangs in the
+// snapshot and those of the gangs that this decision places.
+func (d *decider) releases() []release {
+	releases := make([]release, 0, len(d.holders)+len(d.placedReleases))
 	for i := range d.holders {
 		h := &d.holders[i]
-		ends = append(ends, end{at: d.expectedEnd(h), parts: h.parts, perTask: h.gang.Job.Shape.AcceleratorsPerTask})
+		releases = append(releases, release{at: d.expectedEnd(h), parts: h.parts, perTask: h.gang.Job.Shape.AcceleratorsPerTask})
 	}
-	ends = append(ends, d.placed...)
-	slices.SortStableFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
-	return ends
+	releases = append(releases, d.placedReleases...)
+	slices.SortStableFunc(releases, func(a, b release) int { return a.at.Compare(b.at) })
+	return releases
 }
 
-// expectedEnd is when a gang is expected to give its accelerators back.
+// expectedEnd returns the time at which a gang is expected to return its accelerators.
 func (d *decider) expectedEnd(h *holder) time.Time {
-	if h.ending {
-		return d.s.Now
+	if h.stopping {
+		return d.snapshot.Now
 	}
-	if h.gang.ExpectedEnd.After(d.s.Now) {
+	if h.gang.ExpectedEnd.After(d.snapshot.Now) {
 		return h.gang.ExpectedEnd
 	}
-	return d.s.Now.Add(d.s.Now.Sub(h.gang.StartedAt) / overdueShare)
+	return d.snapshot.Now.Add(d.snapshot.Now.Sub(h.gang.StartedAt) / overdueDivisor)
 }
 
-// withinCapacity returns a copy bounded by the workers that take tasks.
+// withinCapacity returns a copy of usable, limited to the capacity of each worker,
+// which is zero for workers that take no new tasks.
 func (z *zone) withinCapacity(usable []int) []int {
-	return minimum(usable, z.capacity)
+	return minVector(usable, z.capacity)
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// benchSnapshot is a full zone: gangs on most accelerators, half of them
-// borrowing, and a queue, in the proportions of 640 workers with about 2,100
-// running tasks and 500 waiting jobs.
+// benchSnapshot returns a full zone: gangs on most accelerators, half of them
+// borrowing, and a queue, in the proportions of 640 workers with about 2,100 running
+// tasks and 500 waiting jobs.
 func benchSnapshot(workers int) Snapshot {
 	random := rand.New(rand.NewPCG(1, uint64(workers)))
 	s := testSnapshot(workers/8, 8)
@@ -24,7 +24,7 @@
 	for i := range 4 * workers {
 		s.Waiting = append(s.Waiting, benchJob(random, fmt.Sprintf("r%d", i)))
 	}
-	s = apply(s, Decide(s))
+	s = applyPlan(s, Decide(s))
 	for i := range s.Gangs {
 		s.Gangs[i].ExpectedEnd = s.Now.Add(time.Duration(1+random.IntN(7200)) * time.Second)
 	}
@@ -46,7 +46,8 @@
 	return job
 }
 
-// benchShape draws mostly small gangs: about 2.4 accelerators for each task.
+// benchShape draws mostly small gangs, with about 2.4 accelerators per task on
+// average.
 func benchShape(random *rand.Rand) api.Shape {
 	switch n := random.IntN(20); {
 	case n < 12:
@@ -62,8 +63,8 @@
 	}
 }
 
-// BenchmarkDecide measures one decision. The bodies of 50 workers and of 640
-// are the sizes of today and of one zone of the target.
+// BenchmarkDecide measures one decision. The cases around 50 workers correspond to the
+// current size, 640 workers to one zone of the target size.
 func BenchmarkDecide(b *testing.B) {
 	for _, workers := range []int{16, 48, 80, 160, 320, 640} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -82,7 +83,7 @@
 	}
 }
 
-// BenchmarkAdmit measures the judgement of one submission.
+// BenchmarkAdmit measures the admission of one submission.
 func BenchmarkAdmit(b *testing.B) {
 	for _, workers := range []int{48, 640} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/internal/placement/claim.go
+++ b/internal/placement/claim.go
@@ -10,37 +10,37 @@
 	"github.com/corianderbank/corianderbank/internal/reclaim"
 )
 
-// This file answers accounts that claim their guarantee, at any load. Without
-// it they wait for the end of other accounts' work. A claim goes into free
-// accelerators if some do; else the borrowers on the cheapest adjacent region
-// are stopped, and the region is kept for the claim until they are gone.
-
-// maxRegions bounds the regions that are tried for one claim, the cheapest
-// first. Each costs one packing; the first does in nearly every case, because
-// guarantees leave few regions that break another's shape.
+// Claims of guaranteed capacity, at any load. Without them an account waits for the
+// work of other accounts to end. A claim is placed on free accelerators if possible.
+// Otherwise the borrowers on the cheapest adjacent region are stopped, and the region
+// is kept for the claim until they have ended.
+
+// maxRegions bounds the number of regions tried for one claim, cheapest first. Each
+// attempt costs one packing. The first one succeeds in nearly every case, because the
+// guarantees leave few regions that break the shape of another account.
 const maxRegions = 8
 
-// region is where a claim could go once its borrowers are stopped.
+// region is a possible placement of a claim and the gangs to stop for it.
 type region struct {
 	parts   []part
 	victims []reclaim.Victim
 	cost    float64
 }
 
-// claimUrgent is claimGuarantee for urgent jobs, which go before those of all
-// accounts that are not.
+// claimUrgent calls claimGuarantee for urgent jobs, which precede the other jobs of
+// all accounts.
 func (d *decider) claimUrgent(e *entry) {
 	if e.job.Urgent {
 		d.claimGuarantee(e)
 	}
 }
 
-// borrowUrgent has an urgent job that its account's scattered gangs keep out of
-// the guarantee borrow any free accelerators, reserved ones too. It comes after
-// the claims of all accounts: what it took of their shapes would have to be
-// reclaimed from it in the next round.
+// borrowUrgent places an urgent job as a borrower on any free accelerators, including
+// reserved ones, if the scattered gangs of its own account keep it out of the
+// guarantee. It runs after the claims of all accounts, because accelerators that it
+// took from their shapes would have to be reclaimed from it in the next round.
 func (d *decider) borrowUrgent(e *entry) {
-	if !e.job.Urgent || !e.job.Stoppable() || !e.job.MayBorrow || d.overLimit(e) || !d.entitled(e.account, e.job) {
+	if !e.job.Urgent || !e.job.Stoppable() || !e.job.MayBorrow || d.overLimit(e) || !d.withinGuarantee(e.account, e.job) {
 		return
 	}
 	if parts := d.fit(e, d.free, nil); parts != nil {
@@ -48,184 +48,189 @@
 	}
 }
 
-// claimGuarantee places a job inside its account's guarantee, or stops the
-// borrowers that stand in its way. A job that would borrow in place of that is
-// left for claimOrBorrow: it must not take what was freed for another claim. A
-// job that the guarantee does not cover is left for placeBeyondGuarantee.
+// claimGuarantee places a job inside the guarantee of its account, or stops the
+// borrowers that occupy the guarantee. A job that could borrow instead is left to
+// claimOrBorrow, because it must not take accelerators that were freed for another
+// claim. A job that the guarantee does not cover is left to placeBeyondGuarantee.
 func (d *decider) claimGuarantee(e *entry) {
 	if !d.mayClaim(e) {
 		return
 	}
 	available := d.available(e)
-	if d.claimOn(e, minimum(available, d.packed.begun[e.account])) || d.claimBegun(e) {
+	if d.claimOn(e, minVector(available, d.packed.partlyUsed[e.account])) || d.claimPartlyUsed(e) {
 		return
 	}
-	if e.borrows = d.fitsToBorrow(e, d.usedWorkers(e, available)); e.borrows || d.claimUnused(e, available) {
+	if e.mayBorrowLater = d.canBorrow(e, d.partlyUsedCapacity(e, available)); e.mayBorrowLater || d.claimUnused(e, available) {
 		return
 	}
-	if e.borrows = d.fitsToBorrow(e, available); !e.borrows {
-		d.claimOthers(e)
+	if e.mayBorrowLater = d.canBorrow(e, available); !e.mayBorrowLater {
+		d.tryReclaim(e)
 	}
 }
 
-// claimOrBorrow starts a job as a borrower in place of a claim that would take
-// an unused worker or stop others, or makes the claim after all.
+// claimOrBorrow places a job as a borrower if its claim would use an unused worker or
+// stop other gangs. If the job cannot borrow, it makes the claim.
 func (d *decider) claimOrBorrow(e *entry) {
-	if !e.borrows || !d.mayClaim(e) {
+	if !e.mayBorrowLater || !d.mayClaim(e) {
 		return
 	}
 	available := d.available(e)
 	switch {
-	case d.borrowOn(e, d.usedWorkers(e, available), "borrows the rest of workers in use"):
+	case d.borrowOn(e, d.partlyUsedCapacity(e, available), "borrows the rest of workers in use"):
 	case d.claimUnused(e, available):
 	case d.borrowOn(e, available, "borrows free accelerators in place of a reclaim"):
 	default:
-		d.claimOthers(e)
+		d.tryReclaim(e)
 	}
 }
 
-// mayClaim reports whether the guarantee covers a job and the same did not fail
-// before.
+// mayClaim reports whether the guarantee covers a job and no equivalent claim has
+// failed in this decision.
 func (d *decider) mayClaim(e *entry) bool {
-	return !d.failed[claimFailure(e)] && !d.yields(e) && d.entitled(e.account, e.job) && !d.overLimit(e)
+	return !d.failed[claimKey(e)] && !d.yieldsToHead(e) && d.withinGuarantee(e.account, e.job) && !d.overLimit(e)
 }
 
-func claimFailure(e *entry) failure {
-	return failure{
-		account: e.account, only: only(e.job), shape: e.job.Shape, claims: true, urgent: e.job.Urgent,
+func claimKey(e *entry) placementKey {
+	return placementKey{
+		account: e.account, avoidingJob: avoidingJob(e.job), shape: e.job.Shape, claim: true, urgent: e.job.Urgent,
 		stoppable: e.job.Stoppable() && e.job.MayBorrow,
 	}
 }
 
-// claimOthers stops others for a claim if it may.
-func (d *decider) claimOthers(e *entry) {
-	if d.off.Reclaim || !d.mayReclaim(e) || !d.claimHeld(e) {
-		d.failed[claimFailure(e)] = true
+// tryReclaim stops other gangs for a claim if it may, and otherwise records that the
+// claim failed.
+func (d *decider) tryReclaim(e *entry) {
+	if d.off.Reclaim || !d.mayReclaim(e) || !d.reclaimFor(e) {
+		d.failed[claimKey(e)] = true
 	}
 }
 
-// claimUnused places a job on the free accelerators of shapes that its account
-// does not use, else on any others around which everything packs again.
+// claimUnused places a job on free accelerators of shapes that its account does not
+// use, or else on any free accelerators around which all guarantees still pack.
 func (d *decider) claimUnused(e *entry, available []int) bool {
-	return d.claimOn(e, minimum(available, d.packed.cells[e.account])) || d.claimOn(e, available) || d.claimOn(e, d.free)
+	return d.claimOn(e, minVector(available, d.packed.cells[e.account])) || d.claimOn(e, available) || d.claimOn(e, d.free)
 }
 
-// entitled reports whether the job stays within its account's guarantee by
-// the count of accelerators. Gangs outside the account's shapes do not count,
-// nor do for an urgent job the account's gangs that it may stop.
-func (d *decider) entitled(account int, job *model.Job) bool {
+// withinGuarantee reports whether the account's use, including this job, stays within
+// its guaranteed number of accelerators. Gangs outside the account's shapes do not
+// count. For an urgent job, gangs of the account that it may stop do not count either.
+func (d *decider) withinGuarantee(account int, job *model.Job) bool {
 	inside := d.fixedUse[account] - d.packed.outside[account]
 	if job.Urgent {
-		inside -= d.givesWay[account]
+		inside -= d.stoppableByUrgent[account]
 	}
 	return inside+job.Shape.Accelerators() <= d.guaranteed[account]
 }
 
-// mayReclaim reports whether others are stopped for a claim. An account that
-// already uses its guarantee, as a borrower elsewhere, has others stopped only
-// for urgent jobs and whole shapes: small jobs would stop large gangs for
-// nothing but a change of place.
+// mayReclaim reports whether a claim may stop other gangs. If the account already uses
+// its guaranteed number of accelerators, because it borrows elsewhere, only urgent
+// jobs and whole shapes may. Otherwise small jobs would stop large gangs only to run
+// on different workers.
 func (d *decider) mayReclaim(e *entry) bool {
 	size := e.job.Shape.Accelerators()
 	if e.job.Urgent || d.use[e.account]+size <= d.guaranteed[e.account] {
 		return true
 	}
-	return slices.ContainsFunc(d.s.Accounts[e.account].Guarantees[d.s.Zone], func(g model.GuaranteedShape) bool {
+	return slices.ContainsFunc(d.snapshot.Accounts[e.account].Guarantees[d.snapshot.Zone], func(g model.GuaranteedShape) bool {
 		return size >= g.Accelerators()
 	})
 }
 
-// claimHeld stops others for a claim: borrowers, and for urgent jobs the gangs
-// of their own account that are not urgent, where these fill the account's shapes
-// or lie scattered over them.
-func (d *decider) claimHeld(e *entry) bool {
-	if d.claimRegion(e) {
+// reclaimFor stops borrowers for a claim. For an urgent job that finds no region this
+// way, it also stops gangs of the job's own account that are not urgent and that fill
+// the account's shapes or are scattered over them.
+func (d *decider) reclaimFor(e *entry) bool {
+	if d.claimCheapestRegion(e) {
 		return true
 	}
 	if !e.job.Urgent {
 		return false
 	}
-	d.overOwn = true
-	defer func() { d.overOwn = false }()
-	return d.claimRegion(e)
+	d.mayStopOwn = true
+	defer func() { d.mayStopOwn = false }()
+	return d.claimCheapestRegion(e)
 }
 
-// claimOn places a job inside its guarantee on the given accelerators.
+// claimOn places a job inside its guarantee on the given accelerators and reports
+// whether it fits.
 func (d *decider) claimOn(e *entry, usable []int) bool {
 	parts := d.fit(e, usable, nil)
-	if parts == nil || !d.fix(e.account, e.job, parts, true) {
+	if parts == nil || !d.addFixed(e.account, e.job, parts, true) {
 		return false
 	}
 	d.place(e, parts, false, "lies within the account's guarantee")
 	return true
 }
 
-// usedWorkers is what a claim may borrow on workers that are used in part,
-// before it would take an unused worker of its guarantee. That keeps workers
-// whole at the cost of more reclaims, so it is left to deployments that weigh
-// fragmentation above completion time.
-func (d *decider) usedWorkers(e *entry, available []int) []int {
-	used := d.z.vector()
-	if d.off.Objectives || d.s.Objectives.Fragmentation <= d.s.Objectives.CompletionTime || e.job.Urgent {
+// partlyUsedCapacity returns what a claim may borrow on partly used workers before it
+// takes an unused worker of its guarantee. This keeps whole workers free but causes
+// more reclaims, so it applies only to deployments that weight fragmentation above
+// completion time. For urgent jobs it returns nothing.
+func (d *decider) partlyUsedCapacity(e *entry, available []int) []int {
+	used := d.zone.zeroVector()
+	if d.off.Objectives || d.snapshot.Objectives.Fragmentation <= d.snapshot.Objectives.CompletionTime || e.job.Urgent {
 		return used
 	}
 	for w := range used {
-		if d.free[w] < d.z.capacity[w] {
+		if d.free[w] < d.zone.capacity[w] {
 			used[w] = available[w]
 		}
 	}
 	return used
 }
 
-// fitsToBorrow reports whether a job would start as a borrower on the given
-// accelerators. Urgent jobs do not, where they can claim.
-func (d *decider) fitsToBorrow(e *entry, usable []int) bool {
+// canBorrow reports whether a job would start as a borrower on the given accelerators.
+// Urgent jobs do not borrow where they can claim.
+func (d *decider) canBorrow(e *entry, usable []int) bool {
 	return !e.job.Urgent && e.job.Stoppable() && e.job.MayBorrow && d.fit(e, usable, nil) != nil
 }
 
-// borrowOn places a job as a borrower on the given accelerators.
+// borrowOn places a job as a borrower on the given accelerators and reports whether it
+// fits.
 func (d *decider) borrowOn(e *entry, usable []int, reason string) bool {
-	if !d.fitsToBorrow(e, usable) {
+	if !d.canBorrow(e, usable) {
 		return false
 	}
 	d.place(e, d.fit(e, usable, nil), true, reason)
 	return true
 }
 
-// claimRegion takes the cheapest region that holds nothing but gangs that may
-// be stopped, and stops these.
-func (d *decider) claimRegion(e *entry) bool {
-	return d.takeRegion(e, d.regions(e))
+// claimCheapestRegion claims the cheapest region on which all gangs may be stopped,
+// and stops them.
+func (d *decider) claimCheapestRegion(e *entry) bool {
+	return d.claimFirstRegion(e, d.regions(e))
 }
 
-// claimBegun keeps a job that nothing stops, because it cannot be or because it
-// is urgent, inside shapes that its account uses in part, even if borrowers there
-// have to stop: it would spoil a whole shape of its account while it runs.
-func (d *decider) claimBegun(e *entry) bool {
+// claimPartlyUsed places a job that cannot be stopped or is urgent inside shapes that
+// its account already uses in part, even if borrowers there must be stopped. Elsewhere
+// such a job would occupy part of another whole shape of its account for as long as it
+// runs.
+func (d *decider) claimPartlyUsed(e *entry) bool {
 	if (e.job.Stoppable() && !e.job.Urgent) || d.off.Reclaim {
 		return false
 	}
-	parts := d.fit(e, d.packed.begun[e.account], sumOf(d.free, d.coming))
-	return parts != nil && d.takeRegion(e, []region{d.price(e, parts)})
+	parts := d.fit(e, d.packed.partlyUsed[e.account], sumVectors(d.free, d.releasing))
+	return parts != nil && d.claimFirstRegion(e, []region{d.priceRegion(e, parts)})
 }
 
-// takeRegion takes the first of the regions around which the guarantees pack.
-func (d *decider) takeRegion(e *entry, regions []region) bool {
+// claimFirstRegion claims the first of the regions around which all guarantees still
+// pack.
+func (d *decider) claimFirstRegion(e *entry, regions []region) bool {
 	for _, r := range regions[:min(len(regions), maxRegions)] {
-		d.release(r.victims, 1)
-		if !d.fix(e.account, e.job, r.parts, true) {
-			d.release(r.victims, -1)
+		d.adjustHoldings(r.victims, 1)
+		if !d.addFixed(e.account, e.job, r.parts, true) {
+			d.adjustHoldings(r.victims, -1)
 			continue
 		}
-		d.takeFixed(e, r)
+		d.startOrKeep(e, r)
 		return true
 	}
 	return false
 }
 
-// release takes the fixed gangs among victims off the holdings, or puts them
-// back with sign -1.
-func (d *decider) release(victims []reclaim.Victim, sign int) {
+// adjustHoldings removes the fixed gangs among victims from the holdings if sign is 1,
+// and adds them again if it is -1.
+func (d *decider) adjustHoldings(victims []reclaim.Victim, sign int) {
 	for _, v := range victims {
 		h := &d.holders[v.Index]
 		if !h.fixed {
@@ -233,16 +238,16 @@
 		}
 		d.held.add(h.account, h.parts, -sign*h.gang.Job.Shape.AcceleratorsPerTask)
 		d.fixedUse[h.account] -= sign * h.gang.Job.Shape.Accelerators()
-		d.givesWay[h.account] -= sign * h.gang.Job.Shape.Accelerators()
+		d.stoppableByUrgent[h.account] -= sign * h.gang.Job.Shape.Accelerators()
 	}
 }
 
 // mayStop reports whether a holder may be stopped for a claim.
 func (d *decider) mayStop(h *holder, e *entry) bool {
-	if h.ending {
+	if h.stopping {
 		return false
 	}
-	return !h.fixed || (d.overOwn && h.account == e.account && h.givesWay())
+	return !h.fixed || (d.mayStopOwn && h.account == e.account && h.stoppableByUrgent())
 }
 
 // isFree reports whether the job can start on the parts now.
@@ -252,22 +257,22 @@
 	})
 }
 
-// regions lists where a job could go if others were stopped, the cheapest
-// first: the cheapest workers of each rack that would hold it whole, and the
-// ways that fit finds in the account's shapes and anywhere.
+// regions returns the regions where a job could be placed if other gangs were stopped,
+// cheapest first: the cheapest workers of each rack that would hold it whole, and the
+// placements that fit finds in the account's shapes and anywhere.
 func (d *decider) regions(e *entry) []region {
-	unfixed := d.avoiding(e.job, d.unfixed(e))
-	prices := d.taskPrices(e, unfixed)
+	reclaimable := d.withoutAvoided(e.job, d.reclaimableCapacity(e))
+	prices := d.taskPrices(e, reclaimable)
 	var regions []region
-	for _, r := range d.z.racks {
-		if d.z.slots(r, unfixed, e.job.Shape.AcceleratorsPerTask) >= e.job.Shape.Tasks {
-			regions = append(regions, d.price(e, fillCheapest(r, unfixed, prices, e.job.Shape)))
+	for _, r := range d.zone.racks {
+		if d.zone.slots(r, reclaimable, e.job.Shape.AcceleratorsPerTask) >= e.job.Shape.Tasks {
+			regions = append(regions, d.priceRegion(e, fillCheapest(r, reclaimable, prices, e.job.Shape)))
 		}
 	}
-	idle := sumOf(d.free, d.coming)
-	for _, usable := range [][]int{d.packed.cells[e.account], unfixed} {
+	idle := sumVectors(d.free, d.releasing)
+	for _, usable := range [][]int{d.packed.cells[e.account], reclaimable} {
 		if parts := d.fit(e, usable, idle); parts != nil {
-			regions = append(regions, d.price(e, parts))
+			regions = append(regions, d.priceRegion(e, parts))
 		}
 	}
 	if d.off.CheapestReclaim {
@@ -277,18 +282,19 @@
 	return regions
 }
 
-// taskPrices is, by worker, what it costs to make room for one task.
-func (d *decider) taskPrices(e *entry, unfixed []int) []float64 {
-	prices := make([]float64, len(unfixed))
+// taskPrices returns, by worker, the cost of freeing the accelerators of one task.
+func (d *decider) taskPrices(e *entry, reclaimable []int) []float64 {
+	prices := make([]float64, len(reclaimable))
 	for w := range prices {
-		if unfixed[w] >= e.job.Shape.AcceleratorsPerTask {
-			prices[w] = d.price(e, []part{{worker: w, tasks: 1}}).cost
+		if reclaimable[w] >= e.job.Shape.AcceleratorsPerTask {
+			prices[w] = d.priceRegion(e, []part{{worker: w, tasks: 1}}).cost
 		}
 	}
 	return prices
 }
 
-// fillCheapest fills a rack's workers by rising price, then the tightest.
+// fillCheapest places the tasks of a gang on the workers of one rack by rising price,
+// and among equal prices by rising usable accelerators.
 func fillCheapest(r rack, usable []int, prices []float64, shape api.Shape) []part {
 	workers := make([]int, 0, r.end-r.first)
 	for w := r.first; w < r.end; w++ {
@@ -311,46 +317,48 @@
 	return parts
 }
 
-// unfixed is what no gang holds that may not be stopped, and no earlier claim
-// waits for. An urgent claim over its own account's gangs looks only at the
-// account's shapes, where it takes the place of one of them.
-func (d *decider) unfixed(e *entry) []int {
-	if d.overOwn {
+// reclaimableCapacity returns, by worker, the accelerators that are neither held by
+// gangs that may not be stopped nor assigned to an earlier claim. An urgent claim that
+// may stop gangs of its own account considers only the account's shapes, because it
+// replaces one of these gangs there.
+func (d *decider) reclaimableCapacity(e *entry) []int {
+	if d.mayStopOwn {
 		return d.ownShapes(e.account)
 	}
-	usable := d.z.vector()
+	usable := d.zone.zeroVector()
 	for w := range usable {
-		usable[w] = max(0, d.z.capacity[w]-d.held.total[w])
+		usable[w] = max(0, d.zone.capacity[w]-d.held.total[w])
 	}
 	return usable
 }
 
-// ownShapes is what an account's shapes have left, with what its gangs hold
-// that give way to urgent jobs.
+// ownShapes returns the unused accelerators of an account's shapes plus those held by
+// gangs of the account that urgent jobs may stop.
 func (d *decider) ownShapes(account int) []int {
 	usable := slices.Clone(d.packed.cells[account])
 	for i := range d.holders {
-		if h := &d.holders[i]; h.account == account && h.givesWay() {
-			add(usable, h.parts, h.gang.Job.Shape.AcceleratorsPerTask)
+		if h := &d.holders[i]; h.account == account && h.stoppableByUrgent() {
+			addParts(usable, h.parts, h.gang.Job.Shape.AcceleratorsPerTask)
 		}
 	}
-	return d.z.withinCapacity(usable)
+	return d.zone.withinCapacity(usable)
 }
 
-// price finds the borrowers to stop on a region, and what that loses. A gang
-// that is stopped for one worker frees its part on the next as well.
-func (d *decider) price(e *entry, parts []part) region {
+// priceRegion determines the gangs to stop on a region and the cost of stopping them.
+// A gang that is stopped for one worker also frees its accelerators on the region's
+// other workers.
+func (d *decider) priceRegion(e *entry, parts []part) region {
 	r := region{parts: parts}
 	chosen := make(map[int]bool)
 	for _, p := range parts {
-		want := p.tasks*e.job.Shape.AcceleratorsPerTask - d.free[p.worker] - d.coming[p.worker]
+		want := p.tasks*e.job.Shape.AcceleratorsPerTask - d.free[p.worker] - d.releasing[p.worker]
 		var victims []reclaim.Victim
 		for _, index := range d.onWorker[p.worker] {
 			victim := d.victim(index, p.worker)
 			switch {
 			case !d.mayStop(&d.holders[index], e):
 			case chosen[index]:
-				want -= victim.Here
+				want -= victim.OnWorker
 			default:
 				victims = append(victims, victim)
 			}
@@ -358,71 +366,72 @@
 		if want <= 0 {
 			continue
 		}
-		for _, victim := range reclaim.Cheapest(victims, want, d.s.Now) {
+		for _, victim := range reclaim.Cheapest(victims, want, d.snapshot.Now) {
 			chosen[victim.Index] = true
 			r.victims = append(r.victims, victim)
-			r.cost += reclaim.Cost(victim.Gang, d.s.Now)
+			r.cost += reclaim.Cost(victim.Gang, d.snapshot.Now)
 		}
 	}
 	return r
 }
 
-// victim is a holder that may be stopped, seen from one of its workers.
+// victim returns a holder as a candidate for reclaim on one of its workers.
 func (d *decider) victim(index, worker int) reclaim.Victim {
 	h := &d.holders[index]
 	v := reclaim.Victim{Gang: h.gang, Index: index}
 	for _, p := range h.parts {
 		if p.worker == worker {
-			v.Here += p.tasks * h.gang.Job.Shape.AcceleratorsPerTask
+			v.OnWorker += p.tasks * h.gang.Job.Shape.AcceleratorsPerTask
 		}
 	}
 	return v
 }
 
-// keepFor stops the borrowers on a region and keeps the region for the job.
-func (d *decider) keepFor(e *entry, r region) {
+// keepRegion stops the victims of a region and keeps the region for the job.
+func (d *decider) keepRegion(e *entry, r region) {
 	for _, victim := range r.victims {
 		d.stop(victim, e)
 	}
 	for _, p := range r.parts {
 		need := p.tasks * e.job.Shape.AcceleratorsPerTask
 		need -= takeFrom(d.free, p.worker, need)
-		takeFrom(d.coming, p.worker, need)
+		takeFrom(d.releasing, p.worker, need)
 	}
 	d.use[e.account] += e.job.Shape.Accelerators()
 	e.done = true
-	d.plan.Kept = append(d.plan.Kept, Kept{JobID: e.job.ID, Tasks: d.z.placements(r.parts, e.job.Shape)})
+	d.plan.Kept = append(d.plan.Kept, Kept{JobID: e.job.ID, Tasks: d.zone.placements(r.parts, e.job.Shape)})
 	d.decided("reclaim", e.job, fmt.Sprintf("stop %d gangs", len(r.victims)), "the account claims its guarantee")
 }
 
-// stop enters a reclaim into the plan; the whole gang ends.
+// stop adds a reclaim to the plan. The whole gang is stopped.
 func (d *decider) stop(victim reclaim.Victim, claimant *entry) {
 	h := &d.holders[victim.Index]
-	h.ending, h.fixed = true, false
-	add(d.coming, h.parts, h.gang.Job.Shape.AcceleratorsPerTask)
+	h.stopping, h.fixed = true, false
+	addParts(d.releasing, h.parts, h.gang.Job.Shape.AcceleratorsPerTask)
 	if h.account >= 0 {
 		d.use[h.account] -= h.gang.Job.Shape.Accelerators()
 	}
-	order := Reclaim{JobID: h.gang.Job.ID, For: claimant.job.ID, Method: MethodStop, Within: reclaim.StopWithin}
+	reclaimed := Reclaim{JobID: h.gang.Job.ID, For: claimant.job.ID, Method: MethodStop, Within: reclaim.StopTimeout}
 	if h.gang.Job.Checkpointable {
-		order.Method, order.Within = MethodCheckpoint, reclaim.CheckpointWithin
+		reclaimed.Method, reclaimed.Within = MethodCheckpoint, reclaim.CheckpointTimeout
 	}
-	d.plan.Reclaims = append(d.plan.Reclaims, order)
+	d.plan.Reclaims = append(d.plan.Reclaims, reclaimed)
 	d.plan.Decisions = append(d.plan.Decisions, api.Decision{
-		At: d.s.Now, Step: "stop", Subject: h.gang.Job.ID, Account: h.gang.Job.Account, Choice: string(order.Method),
+		At: d.snapshot.Now, Step: "stop", Subject: h.gang.Job.ID, Account: h.gang.Job.Account, Choice: string(reclaimed.Method),
 		Reason: fmt.Sprintf("holds what job %s of account %s claims", claimant.job.ID, claimant.job.Account),
 	})
 }
 
-// takeFrom takes up to want from one worker's entry and returns what it took.
+// takeFrom subtracts up to want from the entry of one worker and returns the amount
+// subtracted.
 func takeFrom(vector []int, worker, want int) int {
 	taken := min(want, vector[worker])
 	vector[worker] -= taken
 	return taken
 }
 
-// minimum returns the smaller of two vectors, entry by entry.
-func minimum(a, b []int) []int {
+// minVector returns the element-wise minimum of two vectors.
+func minVector(a, b []int) []int {
 	out := make([]int, len(a))
 	for i := range a {
 		out[i] = min(a[i], b[i])
@@ -430,8 +439,8 @@
 	return out
 }
 
-// sumOf returns the sum of two vectors, entry by entry.
-func sumOf(a, b []int) []int {
+// sumVectors returns the element-wise sum of two vectors.
+func sumVectors(a, b []int) []int {
 	out := make([]int, len(a))
 	for i := range a {
 		out[i] = a[i] + b[i]
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -9,93 +9,95 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// holder is a gang of the snapshot in the terms of a zone.
+// holder is a gang of the snapshot, with its tasks given by worker index.
 type holder struct {
 	gang    *model.Gang
 	account int
 	parts   []part
-	// fixed gangs may not be stopped for a claim.
+	// fixed is true if the gang may not be stopped for a claim of another account.
 	fixed bool
-	// ending gangs are being stopped already.
-	ending bool
+	// stopping is true if the gang is already being stopped.
+	stopping bool
 }
 
-// givesWay reports whether urgent jobs of its own account may stop a fixed gang.
-func (h *holder) givesWay() bool {
+// stoppableByUrgent reports whether urgent jobs of the same account may stop a fixed
+// gang.
+func (h *holder) stoppableByUrgent() bool {
 	return h.fixed && h.gang.Job.Stoppable() && !h.gang.Job.Urgent
 }
 
-// decider is the state of one decision: what is held, what is free and what
-// was decided so far.
+// decider is the state of one decision: what is held, what is free and what has been
+// decided so far.
 type decider struct {
-	s        *Snapshot
-	off      Off
-	z        *zone
-	accounts map[string]int
-	claims   []claim
-	holders  []holder
-	// held is what fixed gangs hold, those placed by this decision included.
+	snapshot   *Snapshot
+	off        Off
+	zone       *zone
+	accounts   map[string]int
+	guarantees []guarantee
+	holders    []holder
+	// held is what fixed gangs hold, including those placed by this decision.
 	held *holdings
-	// packed is how the guarantees fit around held.
+	// packed is the packing of the guarantees around held.
 	packed packing
-	// free is what no gang holds and no claim waits for; coming is what ending
-	// gangs are about to give back and no claim waits for.
-	free, coming []int
-	// use counts the accelerators of each account, fixedUse those of its fixed
-	// gangs, guaranteed its guarantee.
+	// free is, by worker, what no gang holds and no claim waits for. releasing is what
+	// stopping gangs are about to return and no claim waits for.
+	free, releasing []int
+	// use counts the accelerators of each account, fixedUse those of its fixed gangs,
+	// guaranteed those of its guarantee.
 	use, fixedUse, guaranteed []int
-	// givesWay is the part of fixedUse that urgent jobs of the account may stop.
-	givesWay []int
-	// onWorker lists the holders that can be stopped, by worker.
+	// stoppableByUrgent is the part of fixedUse that urgent jobs of the account may
+	// stop.
+	stoppableByUrgent []int
+	// onWorker lists, by worker, the indices of the holders that can be stopped.
 	onWorker [][]int
-	// placed are the releases of the gangs that this decision places.
-	placed   []end
-	reserved []reservation
-	// heads are, by account, the jobs that wait for their account's own gangs.
+	// placedReleases are the releases of the gangs that this decision places.
+	placedReleases []release
+	reserved       []reservation
+	// heads are, by account, the jobs that wait for gangs of their own account.
 	heads []head
-	// overOwn is set while an urgent claim may stop its own account's gangs.
-	overOwn bool
+	// mayStopOwn is set while an urgent claim may stop gangs of its own account.
+	mayStopOwn bool
 	// blocked is set once a job did not fit.
 	blocked bool
-	// failed remembers what did not fit: free accelerators only get fewer
-	// during a decision, so the same does not fit later either.
-	failed map[failure]bool
+	// failed contains the placements that did not fit. Free accelerators only decrease
+	// during a decision, so these do not fit later in the same decision either.
+	failed map[placementKey]bool
 	plan   Plan
 }
 
-// failure is a kind of placement that does not fit.
-type failure struct {
+// placementKey identifies a class of placements that fit or fail alike.
+type placementKey struct {
 	account int
-	// only names a job that avoids workers.
-	only  string
-	shape api.Shape
-	// stoppable jobs beyond a guarantee fail for every account alike.
+	// avoidingJob is the ID of a job that avoids workers, see func avoidingJob.
+	avoidingJob string
+	shape       api.Shape
+	// stoppable jobs beyond a guarantee fail alike for every account.
 	stoppable bool
-	claims    bool
+	claim     bool
 	urgent    bool
-	// outlasted counts the reservations that the job runs past: those with the
-	// earliest starts.
+	// outlasted is the number of reservations that the job outlasts, which are those
+	// with the earliest starts.
 	outlasted int
 }
 
-// Decide returns what is to be done now: gangs to place, borrowers to stop,
-// jobs to refuse, each with its reason.
+// Decide returns the actions to take now, each with its reason: gangs to place,
+// borrowers to stop and jobs to refuse.
 func Decide(s Snapshot) Plan {
 	return newDecider(&s, Off{}).decide()
 }
 
 func (d *decider) decide() Plan {
 	q := newQueue(d)
-	q.each(d.use, d.refuseIfLost)
+	q.forEach(d.use, d.refuseExpired)
 	d.findHeads(q)
-	d.listStoppable()
+	d.indexStoppable()
 	d.reserve(q)
 	d.resumeKept(q)
-	q.each(d.use, d.claimUrgent)
-	q.each(d.use, d.claimGuarantee)
-	q.each(d.use, d.borrowUrgent)
-	q.each(d.use, d.claimOrBorrow)
-	q.each(d.use, d.placeBeyondGuarantee)
+	q.forEach(d.use, d.claimUrgent)
+	q.forEach(d.use, d.claimGuarantee)
+	q.forEach(d.use, d.borrowUrgent)
+	q.forEach(d.use, d.claimOrBorrow)
+	q.forEach(d.use, d.placeBeyondGuarantee)
 	d.plan.AtRisk = d.atRisk()
 	return d.plan
 }
@@ -104,40 +106,40 @@
 	z := newZone(s.Workers, false)
 	z.firstFit = off.BestFit
 	d := &decider{
-		s: s, off: off, z: z,
-		accounts:   make(map[string]int, len(s.Accounts)),
-		claims:     claimsOf(s.Zone, s.Accounts),
-		held:       newHoldings(z, len(s.Accounts)),
-		free:       append([]int(nil), z.capacity...),
-		coming:     z.vector(),
-		use:        make([]int, len(s.Accounts)),
-		fixedUse:   make([]int, len(s.Accounts)),
-		givesWay:   make([]int, len(s.Accounts)),
-		guaranteed: make([]int, len(s.Accounts)),
-		onWorker:   make([][]int, len(z.workers)),
-		heads:      make([]head, len(s.Accounts)),
-		failed:     make(map[failure]bool),
+		snapshot: s, off: off, zone: z,
+		accounts:          make(map[string]int, len(s.Accounts)),
+		guarantees:        guaranteesOf(s.Zone, s.Accounts),
+		held:              newHoldings(z, len(s.Accounts)),
+		free:              append([]int(nil), z.capacity...),
+		releasing:         z.zeroVector(),
+		use:               make([]int, len(s.Accounts)),
+		fixedUse:          make([]int, len(s.Accounts)),
+		stoppableByUrgent: make([]int, len(s.Accounts)),
+		guaranteed:        make([]int, len(s.Accounts)),
+		onWorker:          make([][]int, len(z.workers)),
+		heads:             make([]head, len(s.Accounts)),
+		failed:            make(map[placementKey]bool),
 	}
 	for i := range s.Accounts {
 		d.accounts[s.Accounts[i].Name] = i
 		d.guaranteed[i] = s.Accounts[i].GuaranteedAccelerators(s.Zone)
 	}
 	for i := range s.Gangs {
-		d.hold(&s.Gangs[i])
+		d.addGang(&s.Gangs[i])
 	}
 	for w := range d.free {
 		d.free[w] = max(0, d.free[w])
 	}
 	if off.Repack {
-		d.packed = z.packFixed(d.held, d.claims)
+		d.packed = z.packFixed(d.held, d.guarantees)
 	} else {
-		d.packed = z.pack(d.held, d.claims)
+		d.packed = z.pack(d.held, d.guarantees)
 	}
 	return d
 }
 
-// hold enters a gang of the snapshot.
-func (d *decider) hold(gang *model.Gang) {
+// addGang adds a gang of the snapshot to the state.
+func (d *decider) addGang(gang *model.Gang) {
 	if gang.State == model.GangWaiting {
 		return
 	}
@@ -145,34 +147,34 @@
 	if !known {
 		account = -1
 	}
-	h := holder{gang: gang, account: account, parts: d.z.holding(gang.Placements)}
-	h.ending = gang.State == model.GangStopping
-	h.fixed = !h.ending && (!gang.Borrowed || !gang.Job.Stoppable())
+	h := holder{gang: gang, account: account, parts: d.zone.partsOf(gang.Placements)}
+	h.stopping = gang.State == model.GangStopping
+	h.fixed = !h.stopping && (!gang.Borrowed || !gang.Job.Stoppable())
 	perTask := gang.Job.Shape.AcceleratorsPerTask
-	add(d.free, h.parts, -perTask)
-	if h.ending {
-		add(d.coming, h.parts, perTask)
+	addParts(d.free, h.parts, -perTask)
+	if h.stopping {
+		addParts(d.releasing, h.parts, perTask)
 	}
 	if h.fixed {
 		d.held.add(account, h.parts, perTask)
 	}
-	if known && !h.ending {
+	if known && !h.stopping {
 		d.use[account] += gang.Job.Shape.Accelerators()
 	}
 	if known && h.fixed {
 		d.fixedUse[account] += gang.Job.Shape.Accelerators()
 	}
-	if known && h.givesWay() {
-		d.givesWay[account] += gang.Job.Shape.Accelerators()
+	if known && h.stoppableByUrgent() {
+		d.stoppableByUrgent[account] += gang.Job.Shape.Accelerators()
 	}
 	d.holders = append(d.holders, h)
 }
 
-// listStoppable enters the gangs that can be stopped by worker.
-func (d *decider) listStoppable() {
+// indexStoppable lists the gangs that can be stopped by worker in onWorker.
+func (d *decider) indexStoppable() {
 	for i := range d.holders {
 		h := &d.holders[i]
-		if h.ending || !h.gang.Job.Stoppable() {
+		if h.stopping || !h.gang.Job.Stoppable() {
 			continue
 		}
 		for _, p := range h.parts {
@@ -181,80 +183,83 @@
 	}
 }
 
-// placeBeyondGuarantee places a job that its account's guarantee does not
-// cover: as a borrower if it can be stopped, else where it breaks no shape.
+// placeBeyondGuarantee places a job that the guarantee of its account does not cover:
+// as a borrower if it can be stopped, otherwise where it leaves every guaranteed shape
+// intact.
 func (d *decider) placeBeyondGuarantee(e *entry) {
-	if d.barred(e) {
+	if d.confinedToGuarantee(e) {
 		return
 	}
 	stoppable := e.job.Stoppable()
-	attempt := failure{account: e.account, only: only(e.job), shape: e.job.Shape, stoppable: stoppable, outlasted: d.outlasted(e)}
+	key := placementKey{account: e.account, avoidingJob: avoidingJob(e.job), shape: e.job.Shape, stoppable: stoppable, outlasted: d.countOutlasted(e)}
 	if stoppable {
-		attempt.account = -1
+		key.account = -1
 	}
-	if d.failed[attempt] || (d.off.Backfill && d.blocked) {
+	if d.failed[key] || (d.off.Backfill && d.blocked) {
 		return
 	}
 	parts := d.fit(e, d.available(e), nil)
 	switch {
 	case parts != nil && stoppable:
 		d.place(e, parts, true, "borrows free accelerators")
-	case parts != nil && d.fix(e.account, e.job, parts, false):
+	case parts != nil && d.addFixed(e.account, e.job, parts, false):
 		d.place(e, parts, false, "fits beside every guarantee")
 	default:
-		d.failed[attempt] = true
+		d.failed[key] = true
 		d.blocked = true
 	}
 }
 
-// barred reports whether a job may not go beyond its account's guarantee.
-func (d *decider) barred(e *entry) bool {
+// confinedToGuarantee reports whether a job may not exceed the guarantee of its
+// account.
+func (d *decider) confinedToGuarantee(e *entry) bool {
 	return d.overLimit(e) || (e.job.Stoppable() && !e.job.MayBorrow)
 }
 
-// overLimit reports whether the job would take its account over its bound.
+// overLimit reports whether the job would take its account over its MaxAccelerators.
 func (d *decider) overLimit(e *entry) bool {
-	limit := d.s.Accounts[e.account].MaxAccelerators
+	limit := d.snapshot.Accounts[e.account].MaxAccelerators
 	return limit > 0 && d.use[e.account]+e.job.Shape.Accelerators() > limit
 }
 
-// place enters a placement into the plan.
+// place adds a placement to the plan.
 func (d *decider) place(e *entry, parts []part, borrowed bool, reason string) {
 	perTask := e.job.Shape.AcceleratorsPerTask
 	second := d.secondBest(e, parts)
-	add(d.free, parts, -perTask)
+	addParts(d.free, parts, -perTask)
 	for i := range d.reserved {
 		if d.outlasts(e, i) {
-			add(d.reserved[i].spare, parts, -perTask)
+			addParts(d.reserved[i].spare, parts, -perTask)
 		}
 	}
-	d.placed = append(d.placed, end{at: d.s.Now.Add(e.run), parts: parts, perTask: perTask})
+	d.placedReleases = append(d.placedReleases, release{at: d.snapshot.Now.Add(e.runTime), parts: parts, perTask: perTask})
 	d.use[e.account] += e.job.Shape.Accelerators()
 	e.done = true
 	d.plan.Placements = append(d.plan.Placements, Placement{
 		JobID:       e.job.ID,
-		Tasks:       d.z.placements(parts, e.job.Shape),
+		Tasks:       d.zone.placements(parts, e.job.Shape),
 		Borrowed:    borrowed,
-		ExpectedEnd: d.s.Now.Add(e.run),
+		ExpectedEnd: d.snapshot.Now.Add(e.runTime),
 	})
-	d.decided("place", e.job, d.z.describe(parts), reason)
+	d.decided("place", e.job, d.zone.describe(parts), reason)
 	d.plan.Decisions[len(d.plan.Decisions)-1].SecondBest = second
 }
 
-// secondBest describes where the job would go if the workers of its placement
-// were not there; for the log.
+// secondBest describes where the job would be placed without the workers of its
+// placement. It is recorded with the decision.
 func (d *decider) secondBest(e *entry, parts []part) string {
 	usable := append([]int(nil), d.free...)
 	for _, p := range parts {
 		usable[p.worker] = 0
 	}
 	if other := d.fit(e, usable, nil); other != nil {
-		return d.z.describe(other)
+		return d.zone.describe(other)
 	}
 	return "nowhere else now"
 }
 
-// describe names the first worker of a placement and counts the others.
+// describe returns the ID of the first worker of a placement and the number of the
+// other workers.
 func (z *zone) describe(parts []part) string {
 	first := z.workers[parts[0].worker].ID
 	switch len(parts) {
@@ -266,54 +271,56 @@
 	return fmt.Sprintf("%s and %d more workers", first, len(parts)-1)
 }
 
-// fix enters the parts of a job as fixed holdings of its account, if then every
-// guarantee still packs as far as it did before. With inside, the job must lie
-// in its own account's shapes too. It reports whether it did.
-func (d *decider) fix(account int, job *model.Job, parts []part, inside bool) bool {
+// addFixed adds the parts of a job to the fixed holdings of its account and reports
+// whether it did. It does so only if the guarantees still pack, with no account
+// missing more shapes than before. With inside, the job must also lie inside its own
+// account's shapes.
+func (d *decider) addFixed(account int, job *model.Job, parts []part, inside bool) bool {
 	perTask := job.Shape.AcceleratorsPerTask
-	if !d.fixInside(account, parts, perTask) && !d.fixRepacked(account, parts, perTask, inside) {
+	if !d.addFixedInside(account, parts, perTask) && !d.addFixedRepacked(account, parts, perTask, inside) {
 		return false
 	}
 	d.fixedUse[account] += job.Shape.Accelerators()
 	return true
 }
 
-// fixRepacked packs the guarantees anew around the parts.
-func (d *decider) fixRepacked(account int, parts []part, perTask int, inside bool) bool {
+// addFixedRepacked packs the guarantees again around the parts. On failure it changes
+// nothing.
+func (d *decider) addFixedRepacked(account int, parts []part, perTask int, inside bool) bool {
 	if d.off.Repack {
-		return !inside && d.fixBeside(account, parts, perTask)
+		return !inside && d.addFixedOutside(account, parts, perTask)
 	}
 	d.held.add(account, parts, perTask)
-	after := d.z.pack(d.held, d.claims)
-	if !after.keeps(&d.packed) || (inside && after.outside[account] > d.packed.outside[account]) {
+	repacked := d.zone.pack(d.held, d.guarantees)
+	if !repacked.noWorseThan(&d.packed) || (inside && repacked.outside[account] > d.packed.outside[account]) {
 		d.held.add(account, parts, -perTask)
 		return false
 	}
-	d.packed = after
+	d.packed = repacked
 	return true
 }
 
-// fixInside enters parts that lie in the account's shapes as they are packed
-// now: then the packing stands as it is.
-func (d *decider) fixInside(account int, parts []part, perTask int) bool {
+// addFixedInside adds parts that lie inside the account's shapes as currently packed,
+// so that the packing remains valid.
+func (d *decider) addFixedInside(account int, parts []part, perTask int) bool {
 	cells := d.packed.cells[account]
 	if slices.ContainsFunc(parts, func(p part) bool { return cells[p.worker] < p.tasks*perTask }) {
 		return false
 	}
-	add(cells, parts, -perTask)
+	addParts(cells, parts, -perTask)
 	for _, p := range parts {
-		takeFrom(d.packed.begun[account], p.worker, p.tasks*perTask)
+		takeFrom(d.packed.partlyUsed[account], p.worker, p.tasks*perTask)
 	}
 	d.held.add(account, parts, perTask)
 	return true
 }
 
-// atRisk names the accounts whose guarantee cannot be given.
+// atRisk maps each account whose guarantee cannot be provided to the reason.
 func (d *decider) atRisk() map[string]string {
 	risks := make(map[string]string)
 	for i, missing := range d.packed.missing {
 		if missing > 0 {
-			risks[d.s.Accounts[i].Name] = fmt.Sprintf(
+			risks[d.snapshot.Accounts[i].Name] = fmt.Sprintf(
 				"%d of its guaranteed shapes do not pack into the workers that take tasks", missing)
 		}
 	}
@@ -323,11 +330,11 @@
 // decided records one decision.
 func (d *decider) decided(step string, job *model.Job, choice, reason string) {
 	d.plan.Decisions = append(d.plan.Decisions, api.Decision{
-		At: d.s.Now, Step: step, Subject: job.ID, Account: job.Account, Choice: choice, Reason: reason,
+		At: d.snapshot.Now, Step: step, Subject: job.ID, Account: job.Account, Choice: choice, Reason: reason,
 	})
 }
 
-// refuse enters a refusal into the plan.
+// refuse adds a refusal to the plan.
 func (d *decider) refuse(e *entry, kind api.Kind, reason string) {
 	e.done = true
 	after := time.Duration(api.AnswerFor(kind).RetryAfterS * float64(time.Second))
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -30,13 +30,14 @@
 	return workers
 }
 
-// testAccount guarantees count times tasks of 8 accelerators in one rack.
+// testAccount returns an account with count guaranteed shapes of the given tasks of 8
+// accelerators in one rack.
 func testAccount(name string, count, tasks int) model.ClientAccount {
 	shape := model.GuaranteedShape{Shape: api.Shape{Tasks: tasks, AcceleratorsPerTask: 8, SameRack: true}, Count: count}
 	return model.ClientAccount{Name: name, Guarantees: map[string][]model.GuaranteedShape{testZone: {shape}}}
 }
 
-// testJob is a stoppable job that may borrow.
+// testJob returns a stoppable job that may borrow.
 func testJob(id, account string, tasks, perTask int) model.Job {
 	return model.Job{
 		ID: id, Account: account, Kind: "k", Shape: api.Shape{Tasks: tasks, AcceleratorsPerTask: perTask, SameRack: true},
@@ -51,8 +52,9 @@
 	}
 }
 
-// apply moves the placements of a plan into running gangs and marks reclaimed ones.
-func apply(s Snapshot, plan Plan) Snapshot {
+// applyPlan returns the snapshot after a plan: placed jobs run, reclaimed gangs are
+// stopping and refused jobs are removed.
+func applyPlan(s Snapshot, plan Plan) Snapshot {
 	jobs := make(map[string]model.Job)
 	for _, job := range s.Waiting {
 		jobs[job.ID] = job
@@ -85,8 +87,8 @@
 	return s
 }
 
-// stopped removes the gangs that are being stopped.
-func stopped(s Snapshot) Snapshot {
+// completeStops returns the snapshot without the gangs that are being stopped.
+func completeStops(s Snapshot) Snapshot {
 	var gangs []model.Gang
 	for _, gang := range s.Gangs {
 		if gang.State != model.GangStopping {
@@ -102,7 +104,7 @@
 	for i := range 4 {
 		s.Waiting = append(s.Waiting, testJob(fmt.Sprintf("a%d", i), "a", 1, 8))
 	}
-	s = apply(s, Decide(s))
+	s = applyPlan(s, Decide(s))
 	assert.Equal(t, len(s.Gangs), 4, "a borrows what b does not use")
 
 	claim := testJob("claim", "b", 2, 8)
@@ -112,17 +114,17 @@
 	assert.Equal(t, len(plan.Reclaims), 2)
 	assert.Equal(t, len(plan.Placements), 0)
 
-	s = apply(s, plan)
+	s = applyPlan(s, plan)
 	again := Decide(s)
-	assert.Equal(t, len(again.Reclaims), 0, "borrowers that are being stopped are waited for")
-	plan = Decide(stopped(s))
+	assert.Equal(t, len(again.Reclaims), 0, "the claim waits for borrowers that are being stopped")
+	plan = Decide(completeStops(s))
 	assert.Equal(t, len(plan.Placements), 1)
 	assert.Equal(t, plan.Placements[0].JobID, "claim")
 	assert.Assert(t, !plan.Placements[0].Borrowed)
-	assert.NilError(t, Recheck(stopped(s), plan.Placements[0]))
+	assert.NilError(t, Recheck(completeStops(s), plan.Placements[0]))
 }
 
-func TestWorkThatCannotBeStoppedBreaksNoGuarantee(t *testing.T) {
+func TestUnstoppableJobsBreakNoGuarantee(t *testing.T) {
 	s := testSnapshot(2, 2, testAccount("a", 1, 2), testAccount("b", 1, 2))
 	for i := range 4 {
 		job := testJob(fmt.Sprintf("a%d", i), "a", 1, 8)
@@ -130,7 +132,7 @@
 		s.Waiting = append(s.Waiting, job)
 	}
 	plan := Decide(s)
-	assert.Equal(t, len(plan.Placements), 2, "only its own guarantee is left to it")
+	assert.Equal(t, len(plan.Placements), 2, "such jobs are confined to the guarantee of their account")
 }
 
 func TestCheckGuarantees(t *testing.T) {
@@ -143,15 +145,15 @@
 		accounts       []model.ClientAccount
 		want           string
 	}{
-		"whole workers may be guaranteed to the last": {2, 4, []model.ClientAccount{testAccount("a", 2, 2), testAccount("b", 2, 2)}, ""},
-		"racks that leave a worker each hold no more pairs": {
+		"all whole workers may be guaranteed": {2, 4, []model.ClientAccount{testAccount("a", 2, 2), testAccount("b", 2, 2)}, ""},
+		"a pair of workers cannot use one remaining worker in each of two racks": {
 			2, 3,
 			[]model.ClientAccount{testAccount("a", 2, 2), testAccount("b", 1, 2)},
 			"no room for 2 tasks of 8 accelerators in one rack of account b",
 		},
-		"more than there is":                      {1, 2, []model.ClientAccount{testAccount("a", 1, 3)}, "of account a"},
-		"parts of workers need a worker of slack": {1, 2, []model.ClientAccount{small("a", 3)}, "8 must be left"},
-		"parts of workers with slack":             {1, 2, []model.ClientAccount{small("a", 2)}, ""},
+		"more than the zone has":                        {1, 2, []model.ClientAccount{testAccount("a", 1, 3)}, "of account a"},
+		"partly used workers require a worker of slack": {1, 2, []model.ClientAccount{small("a", 3)}, "8 must be left"},
+		"partly used workers with slack":                {1, 2, []model.ClientAccount{small("a", 2)}, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -7,77 +7,78 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// This file answers bursts of gangs of mixed sizes. Without it small gangs are
-// scattered over whole racks, and large ones wait while enough accelerators are
-// free in sum. A gang goes to the fullest rack that still holds it whole, inside
-// it to the fullest workers (best fit), and over several racks only when none
-// holds it alone, then over the fewest. There is no threshold: the order alone
-// decides.
-
-// fit returns where a gang of the given shape goes when usable accelerators are
-// at its disposal, or nil. Workers with a bonus are taken first; bonus may be
-// nil.
-func (z *zone) fit(usable, bonus []int, shape api.Shape) []part {
-	if best := z.bestRack(usable, bonus, shape); best >= 0 {
-		return z.fill(nil, z.racks[best], usable, bonus, shape, shape.Tasks)
+// Best-fit placement for bursts of gangs of mixed sizes. Without it small gangs are
+// scattered over whole racks, and large ones wait although enough accelerators are
+// free in total. A gang goes to the fullest rack that still holds it whole, and within
+// that rack to the fullest workers (best fit). It spans several racks only if no
+// single rack holds it, and then as few as possible. There is no threshold: the order
+// of preference alone decides.
+
+// fit returns the placement of a gang of the given shape on the usable accelerators,
+// or nil if it does not fit. Workers with preferred accelerators are taken first;
+// preferred may be nil.
+func (z *zone) fit(usable, preferred []int, shape api.Shape) []part {
+	if best := z.bestRack(usable, preferred, shape); best >= 0 {
+		return z.fill(nil, z.racks[best], usable, preferred, shape, shape.Tasks)
 	}
 	if shape.SameRack {
 		return nil
 	}
-	return z.fitOverRacks(usable, bonus, shape)
+	return z.fitOverRacks(usable, preferred, shape)
 }
 
-// bestRack returns the rack that holds the whole shape with the highest bonus,
-// then with the fewest tasks on workers that are unused so far, then with the
-// fewest task slots; or -1.
-func (z *zone) bestRack(usable, bonus []int, shape api.Shape) int {
-	best, bestBonus, bestOpened, bestSlots := -1, 0, 0, 0
+// bestRack returns the index of the best rack that holds the whole shape, or -1. The
+// best rack has the most preferred accelerators, then the fewest tasks on workers that
+// are unused so far, then the fewest task slots.
+func (z *zone) bestRack(usable, preferred []int, shape api.Shape) int {
+	best, bestPreferred, bestUnusedTasks, bestSlots := -1, 0, 0, 0
 	for i, r := range z.racks {
-		slots, begun := z.slotsBegun(r, usable, shape.AcceleratorsPerTask)
+		slots, partlyUsed := z.countSlots(r, usable, shape.AcceleratorsPerTask)
 		if slots < shape.Tasks {
 			continue
 		}
 		if z.firstFit {
 			return i
 		}
-		gain, opened := sum(bonus, r), max(0, shape.Tasks-begun)
-		if best < 0 || gain > bestBonus ||
-			(gain == bestBonus && (opened < bestOpened || (opened == bestOpened && slots < bestSlots))) {
-			best, bestBonus, bestOpened, bestSlots = i, gain, opened, slots
+		rackPreferred, unusedTasks := rackTotal(preferred, r), max(0, shape.Tasks-partlyUsed)
+		if best < 0 || rackPreferred > bestPreferred ||
+			(rackPreferred == bestPreferred && (unusedTasks < bestUnusedTasks || (unusedTasks == bestUnusedTasks && slots < bestSlots))) {
+			best, bestPreferred, bestUnusedTasks, bestSlots = i, rackPreferred, unusedTasks, slots
 		}
 	}
 	return best
 }
 
-// slotsBegun counts the task slots of a rack, and those of them on workers
-// that are used in part.
-func (z *zone) slotsBegun(r rack, usable []int, perTask int) (slots, begun int) {
+// countSlots returns the number of task slots of a rack, and how many of them are on
+// partly used workers.
+func (z *zone) countSlots(r rack, usable []int, perTask int) (slots, partlyUsed int) {
 	for w := r.first; w < r.end; w++ {
 		if usable[w] < perTask {
 			continue
 		}
 		slots += usable[w] / perTask
 		if usable[w] < z.capacity[w] {
-			begun += usable[w] / perTask
+			partlyUsed += usable[w] / perTask
 		}
 	}
-	return slots, begun
+	return slots, partlyUsed
 }
 
-// fitOverRacks takes the racks with the highest bonus first, among equals those
-// with the most task slots, so that the gang spans the fewest. The last rack is
-// the tightest among equals that completes the gang.
-func (z *zone) fitOverRacks(usable, bonus []int, shape api.Shape) []part {
-	order := z.racksBySlots(usable, bonus, shape.AcceleratorsPerTask)
+// fitOverRacks places a gang over several racks. It takes the racks with the most
+// preferred accelerators first, and among equal ones those with the most task slots,
+// so that the gang spans the fewest racks. The last rack is the one with the fewest
+// slots, among equally preferred ones, that completes the gang.
+func (z *zone) fitOverRacks(usable, preferred []int, shape api.Shape) []part {
+	ranked := z.racksBySlots(usable, preferred, shape.AcceleratorsPerTask)
 	var parts []part
 	left := shape.Tasks
-	for i := 0; i < len(order) && left > 0; i++ {
+	for i := 0; i < len(ranked) && left > 0; i++ {
 		chosen := i
-		for j := i + 1; j < len(order) && order[j].bonus == order[i].bonus && order[j].slots >= left; j++ {
+		for j := i + 1; j < len(ranked) && ranked[j].preferred == ranked[i].preferred && ranked[j].slots >= left; j++ {
 			chosen = j
 		}
-		tasks := min(left, order[chosen].slots)
-		parts = z.fill(parts, order[chosen].rack, usable, bonus, shape, tasks)
+		tasks := min(left, ranked[chosen].slots)
+		parts = z.fill(parts, ranked[chosen].rack, usable, preferred, shape, tasks)
 		left -= tasks
 	}
 	if left > 0 {
@@ -86,108 +87,110 @@
 	return parts
 }
 
-// rankedRack is a rack with what decides its turn.
+// rankedRack is a rack with its sort keys.
 type rankedRack struct {
 	rack
-	bonus, slots int
+	preferred, slots int
 }
 
-// racksBySlots orders the racks by falling bonus, then falling task slots.
-func (z *zone) racksBySlots(usable, bonus []int, perTask int) []rankedRack {
-	order := make([]rankedRack, len(z.racks))
+// racksBySlots sorts the racks by falling number of preferred accelerators, then by
+// falling number of task slots.
+func (z *zone) racksBySlots(usable, preferred []int, perTask int) []rankedRack {
+	ranked := make([]rankedRack, len(z.racks))
 	for i, r := range z.racks {
-		order[i] = rankedRack{rack: r, bonus: sum(bonus, r), slots: z.slots(r, usable, perTask)}
+		ranked[i] = rankedRack{rack: r, preferred: rackTotal(preferred, r), slots: z.slots(r, usable, perTask)}
 	}
-	slices.SortStableFunc(order, func(a, b rankedRack) int {
-		if a.bonus != b.bonus {
-			return cmp.Compare(b.bonus, a.bonus)
+	slices.SortStableFunc(ranked, func(a, b rankedRack) int {
+		if a.preferred != b.preferred {
+			return cmp.Compare(b.preferred, a.preferred)
 		}
 		return cmp.Compare(b.slots, a.slots)
 	})
-	return order
+	return ranked
 }
 
-// fitAround returns where a gang of the given shape goes if it is to take as
-// much of the bonus as it can, or nil.
-func (z *zone) fitAround(usable, bonus []int, shape api.Shape) []part {
+// fitAround returns a placement of the given shape that uses as many of the preferred
+// accelerators as possible, or nil.
+func (z *zone) fitAround(usable, preferred []int, shape api.Shape) []part {
 	if shape.SameRack {
-		return z.fit(usable, bonus, shape)
+		return z.fit(usable, preferred, shape)
 	}
-	around := filling{usable: usable, perTask: shape.AcceleratorsPerTask}
-	shape.Tasks = around.cover(rack{first: 0, end: len(usable)}, bonus, shape.Tasks)
+	filled := filler{usable: usable, perTask: shape.AcceleratorsPerTask}
+	shape.Tasks = filled.fillPreferred(rack{first: 0, end: len(usable)}, preferred, shape.Tasks)
 	if shape.Tasks == 0 {
-		return around.parts
+		return filled.parts
 	}
 	rest := slices.Clone(usable)
-	add(rest, around.parts, -shape.AcceleratorsPerTask)
+	addParts(rest, filled.parts, -shape.AcceleratorsPerTask)
 	for _, p := range z.fit(rest, nil, shape) {
-		around.take(p.worker, p.tasks)
+		filled.addTasks(p.worker, p.tasks)
 	}
-	return around.parts
+	return filled.parts
 }
 
-// fill appends the given number of tasks on one rack's workers to parts: first
-// those that the bonus covers, then on the workers with the least usable
-// accelerators. The rack must hold them.
-func (z *zone) fill(parts []part, r rack, usable, bonus []int, shape api.Shape, tasks int) []part {
-	filled := filling{parts: parts, before: len(parts), usable: usable, perTask: shape.AcceleratorsPerTask}
-	if bonus != nil {
-		tasks = filled.cover(r, bonus, tasks)
+// fill appends the given number of tasks on the workers of one rack to parts: first
+// those that the preferred accelerators cover, then on the workers with the least
+// usable accelerators. The rack must hold all of them.
+func (z *zone) fill(parts []part, r rack, usable, preferred []int, shape api.Shape, tasks int) []part {
+	filled := filler{parts: parts, offset: len(parts), usable: usable, perTask: shape.AcceleratorsPerTask}
+	if preferred != nil {
+		tasks = filled.fillPreferred(r, preferred, tasks)
 	}
 	for tasks > 0 {
 		best := -1
 		for w := r.first; w < r.end; w++ {
-			if filled.room(w) > 0 && (best < 0 || (!z.firstFit && filled.left(w) < filled.left(best))) {
+			if filled.taskCapacity(w) > 0 && (best < 0 || (!z.firstFit && filled.remaining(w) < filled.remaining(best))) {
 				best = w
 			}
 		}
-		tasks -= filled.take(best, min(tasks, filled.room(best)))
+		tasks -= filled.addTasks(best, min(tasks, filled.taskCapacity(best)))
 	}
 	return filled.parts
 }
 
-// filling is the state of filling one rack.
-type filling struct {
+// filler assigns tasks to the workers of one rack or of the whole zone.
+type filler struct {
 	parts []part
-	// before counts the parts on other racks.
-	before  int
+	// offset is the number of leading parts that lie on other racks.
+	offset  int
 	usable  []int
 	perTask int
 }
 
-// cover takes workers by falling bonus, first for the tasks that the bonus
-// covers whole, then for those that it touches, and returns the tasks left.
-func (f *filling) cover(r rack, bonus []int, tasks int) int {
+// fillPreferred assigns tasks to workers by falling number of preferred accelerators,
+// first the tasks that these cover completely, then those that they cover in part. It
+// returns the number of tasks left.
+func (f *filler) fillPreferred(r rack, preferred []int, tasks int) int {
 	for _, atLeast := range []int{f.perTask, 1} {
 		for tasks > 0 {
 			best, bestLeft := -1, 0
 			for w := r.first; w < r.end; w++ {
-				left := bonus[w] - f.taken(w)*f.perTask
-				if left >= atLeast && left > bestLeft && f.room(w) > 0 {
+				left := preferred[w] - f.tasksOn(w)*f.perTask
+				if left >= atLeast && left > bestLeft && f.taskCapacity(w) > 0 {
 					best, bestLeft = w, left
 				}
 			}
 			if best < 0 {
 				break
 			}
-			tasks -= f.take(best, min(tasks, max(1, bestLeft/f.perTask), f.room(best)))
+			tasks -= f.addTasks(best, min(tasks, max(1, bestLeft/f.perTask), f.taskCapacity(best)))
 		}
 	}
 	return tasks
 }
 
-// left is what a worker has beside the tasks it was given.
-func (f *filling) left(worker int) int {
-	return f.usable[worker] - f.taken(worker)*f.perTask
+// remaining returns the usable accelerators of a worker that its assigned tasks leave.
+func (f *filler) remaining(worker int) int {
+	return f.usable[worker] - f.tasksOn(worker)*f.perTask
 }
 
-// room counts the tasks that a worker takes beside those it was given.
-func (f *filling) room(worker int) int {
-	return max(0, f.left(worker)) / f.perTask
+// taskCapacity returns the number of further tasks that a worker can take.
+func (f *filler) taskCapacity(worker int) int {
+	return max(0, f.remaining(worker)) / f.perTask
 }
 
-func (f *filling) taken(worker int) int {
-	for _, p := range f.parts[f.before:] {
+func (f *filler) tasksOn(worker int) int {
+	for _, p := range f.parts[f.offset:] {
 		if p.worker == worker {
 			return p.tasks
 		}
@@ -195,9 +198,9 @@
 	return 0
 }
 
-// take gives a worker tasks and returns their number.
-func (f *filling) take(worker, tasks int) int {
-	for i := f.before; i < len(f.parts); i++ {
+// addTasks assigns tasks to a worker and returns their number.
+func (f *filler) addTasks(worker, tasks int) int {
+	for i := f.offset; i < len(f.parts); i++ {
 		if f.parts[i].worker == worker {
 			f.parts[i].tasks += tasks
 			return tasks
@@ -207,7 +210,8 @@
 	return tasks
 }
 
-// slots counts the tasks of the given size that a rack's usable accelerators take.
+// slots returns the number of tasks of the given size that fit on a rack's usable
+// accelerators.
 func (z *zone) slots(r rack, usable []int, perTask int) int {
 	total := 0
 	for w := r.first; w < r.end; w++ {
@@ -218,7 +222,7 @@
 	return total
 }
 
-func sum(vector []int, r rack) int {
+func rackTotal(vector []int, r rack) int {
 	if vector == nil {
 		return 0
 	}
--- a/internal/placement/guarantee.go
+++ b/internal/placement/guarantee.go
@@ -9,65 +9,67 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// This file answers accounts that leave their guarantee idle and later claim it
-// while others have borrowed everything. Without it a claim finds its shape cut
-// up by gangs that may not be stopped. Its one rule: the guaranteed shapes of
-// all accounts must pack, side by side, into the accelerators that no other
-// account's fixed gang holds. Gangs that borrow do not count, since they can be
-// stopped; an account's own fixed gangs lie inside its own shapes.
+// Protection of guaranteed shapes. Accounts may leave their guarantee idle and claim
+// it after others have borrowed everything. Without protection such a claim finds its
+// shape fragmented by gangs that may not be stopped. There is one rule: the guaranteed
+// shapes of all accounts must pack, without overlap, into the accelerators that no
+// fixed gang of another account holds. Borrowing gangs do not count, because they can
+// be stopped. An account's own fixed gangs lie inside its own shapes.
 
-// packAttempts bounds the orders in which packing is tried. An order that fails
-// is retried with the shape that failed in front. Four equal the number of
-// accounts: each may have to go first once.
-const packAttempts = 4
+// maxPackOrders bounds the number of orders in which packing is tried. After an order
+// fails, packing is retried with the shape that failed in front. The limit of four
+// equals the number of accounts: each may have to come first once.
+const maxPackOrders = 4
 
-// claim is one guaranteed shape of one account, by its index.
-type claim struct {
+// guarantee is one guaranteed shape of the account with the given index.
+type guarantee struct {
 	account int
 	shape   api.Shape
 }
 
-// holdings is what fixed gangs hold.
+// holdings are the accelerators held by fixed gangs.
 type holdings struct {
-	// total is by worker, own by account and worker.
-	total []int
-	own   [][]int
+	// total is indexed by worker, byAccount by account and worker.
+	total     []int
+	byAccount [][]int
 }
 
-// packing says how the guaranteed shapes of a zone fit around the holdings.
+// packing is the result of fitting the guaranteed shapes of a zone around the
+// holdings.
 type packing struct {
-	// missing counts, by account, the shapes that found no room.
+	// missing counts, by account, the shapes that do not fit.
 	missing []int
-	// outside counts, by account, the accelerators of its fixed gangs that lie
-	// in none of its shapes.
+	// outside counts, by account, the accelerators of its fixed gangs that lie in none
+	// of its shapes.
 	outside []int
-	// cells are the accelerators, by account and worker, that belong to the
-	// account's shapes and are not held by its own fixed gangs.
+	// cells are the accelerators, by account and worker, that belong to the account's
+	// shapes and are not held by its own fixed gangs.
 	cells [][]int
-	// begun is the part of cells that belongs to shapes of which the account's
-	// own fixed gangs hold something.
-	begun [][]int
-	// failed is the first shape that found no room.
-	failed *claim
+	// partlyUsed is the part of cells in shapes of which the account's own fixed gangs
+	// hold some accelerators.
+	partlyUsed [][]int
+	// failed is the first shape that does not fit.
+	failed *guarantee
 }
 
-// claimsOf lists every guaranteed shape of a zone, the hardest to pack first.
-func claimsOf(zoneName string, accounts []model.ClientAccount) []claim {
-	var claims []claim
+// guaranteesOf lists every guaranteed shape of a zone, the hardest to pack first.
+func guaranteesOf(zoneName string, accounts []model.ClientAccount) []guarantee {
+	var guarantees []guarantee
 	for i, account := range accounts {
 		for _, shape := range account.Guarantees[zoneName] {
 			for range shape.Count {
-				claims = append(claims, claim{account: i, shape: shape.Shape})
+				guarantees = append(guarantees, guarantee{account: i, shape: shape.Shape})
 			}
 		}
 	}
-	slices.SortStableFunc(claims, func(a, b claim) int { return harder(a.shape, b.shape) })
-	return claims
+	slices.SortStableFunc(guarantees, func(a, b guarantee) int { return compareDifficulty(a.shape, b.shape) })
+	return guarantees
 }
 
-// harder orders shapes by rack constraint, size of a task, then size. One task
-// lies in one rack in any case.
-func harder(a, b api.Shape) int {
+// compareDifficulty orders shapes by rack constraint, then by accelerators per task,
+// then by number of tasks, the hardest to pack first. A single task always lies in one
+// rack, so the rack constraint does not count for it.
+func compareDifficulty(a, b api.Shape) int {
 	aBound, bBound := a.SameRack && a.Tasks > 1, b.SameRack && b.Tasks > 1
 	if aBound != bBound {
 		if aBound {
@@ -81,29 +83,28 @@
 	return cmp.Compare(b.Tasks, a.Tasks)
 }
 
-// newHoldings returns empty holdings.
 func newHoldings(z *zone, accounts int) *holdings {
-	h := &holdings{total: z.vector(), own: make([][]int, accounts)}
-	for i := range h.own {
-		h.own[i] = z.vector()
+	h := &holdings{total: z.zeroVector(), byAccount: make([][]int, accounts)}
+	for i := range h.byAccount {
+		h.byAccount[i] = z.zeroVector()
 	}
 	return h
 }
 
-// add adds a gang's parts; a negative perTask takes them away.
+// add adds the parts of a gang. A negative perTask subtracts them.
 func (h *holdings) add(account int, parts []part, perTask int) {
-	add(h.total, parts, perTask)
+	addParts(h.total, parts, perTask)
 	if account >= 0 {
-		add(h.own[account], parts, perTask)
+		addParts(h.byAccount[account], parts, perTask)
 	}
 }
 
-// pack fits all claims around the holdings. If no order does, the packing of
-// the order that misses the fewest shapes is returned.
-func (z *zone) pack(h *holdings, claims []claim) packing {
-	best := z.packInOrder(h, claims)
-	order := claims
-	for attempt := 1; attempt < packAttempts && best.failed != nil; attempt++ {
+// pack fits all guarantees around the holdings. If neither an order nor the search
+// succeeds, it returns the packing of the order that misses the fewest shapes.
+func (z *zone) pack(h *holdings, guarantees []guarantee) packing {
+	best := z.packInOrder(h, guarantees)
+	order := guarantees
+	for attempt := 1; attempt < maxPackOrders && best.failed != nil; attempt++ {
 		order = toFront(order, *best.failed)
 		next := z.packInOrder(h, order)
 		if totalOf(next.missing) >= totalOf(best.missing) {
@@ -116,104 +117,104 @@
 	}
 	k := newPacker(z, h)
 	budget := searchBudget
-	if k.search(claims, &budget) {
+	if k.search(guarantees, &budget) {
 		return k.result()
 	}
 	return best
 }
 
-// packInOrder tries one order of claims.
-func (z *zone) packInOrder(h *holdings, claims []claim) packing {
+// packInOrder packs the guarantees in the given order.
+func (z *zone) packInOrder(h *holdings, guarantees []guarantee) packing {
 	k := newPacker(z, h)
-	for _, c := range k.coverAll(claims) {
-		if parts := z.fit(k.open, nil, c.shape); parts != nil {
-			k.give(c, parts, 1)
+	for _, g := range k.coverAll(guarantees) {
+		if parts := z.fit(k.free, nil, g.shape); parts != nil {
+			k.assign(g, parts, 1)
 			continue
 		}
-		k.missing[c.account]++
+		k.missing[g.account]++
 		if k.failed == nil {
-			k.failed = &c
+			k.failed = &g
 		}
 	}
 	return k.result()
 }
 
-// packer is the state of packing in one order.
+// packer is the state of one packing attempt.
 type packer struct {
 	packing
-	z *zone
-	// open is held by nobody; own is held by fixed gangs and not covered by
-	// their account's shapes yet; left is the sum of own by account.
-	open []int
-	own  [][]int
-	left []int
+	zone *zone
+	// free is held by no gang. uncovered is held by fixed gangs and not yet covered by
+	// shapes of their account; uncoveredTotal is its sum by account.
+	free           []int
+	uncovered      [][]int
+	uncoveredTotal []int
 }
 
 func newPacker(z *zone, h *holdings) *packer {
-	accounts := len(h.own)
-	k := &packer{z: z, open: z.vector(), own: make([][]int, accounts), left: make([]int, accounts)}
+	accounts := len(h.byAccount)
+	k := &packer{zone: z, free: z.zeroVector(), uncovered: make([][]int, accounts), uncoveredTotal: make([]int, accounts)}
 	k.missing = make([]int, accounts)
-	k.cells, k.begun = make([][]int, accounts), make([][]int, accounts)
-	for w := range k.open {
-		k.open[w] = max(0, z.capacity[w]-h.total[w])
+	k.cells, k.partlyUsed = make([][]int, accounts), make([][]int, accounts)
+	for w := range k.free {
+		k.free[w] = max(0, z.capacity[w]-h.total[w])
 	}
-	for i := range h.own {
-		k.own[i] = append([]int(nil), h.own[i]...)
-		k.left[i] = totalOf(h.own[i])
-		k.cells[i], k.begun[i] = z.vector(), z.vector()
+	for i := range h.byAccount {
+		k.uncovered[i] = append([]int(nil), h.byAccount[i]...)
+		k.uncoveredTotal[i] = totalOf(h.byAccount[i])
+		k.cells[i], k.partlyUsed[i] = z.zeroVector(), z.zeroVector()
 	}
 	return k
 }
 
-// result returns the packing.
 func (k *packer) result() packing {
-	k.outside = k.left
+	k.outside = k.uncoveredTotal
 	return k.packing
 }
 
-// coverAll lays the claims of accounts that hold something over it, so that
-// fixed gangs come to lie inside their account's shapes, and returns what is
-// left to pack.
-func (k *packer) coverAll(claims []claim) []claim {
-	rest := make([]claim, 0, len(claims))
-	for _, c := range claims {
-		if k.left[c.account] > 0 {
-			c.shape.Tasks -= k.cover(c)
+// coverAll places guarantees over what their accounts already hold, so that fixed
+// gangs lie inside the shapes of their account. It returns the guarantees, or parts of
+// them, that remain to be packed.
+func (k *packer) coverAll(guarantees []guarantee) []guarantee {
+	rest := make([]guarantee, 0, len(guarantees))
+	for _, g := range guarantees {
+		if k.uncoveredTotal[g.account] > 0 {
+			g.shape.Tasks -= k.cover(g)
 		}
-		if c.shape.Tasks > 0 {
-			rest = append(rest, c)
+		if g.shape.Tasks > 0 {
+			rest = append(rest, g)
 		}
 	}
 	return rest
 }
 
-// cover lays a claim over what its account holds, and returns the number of
-// tasks that found their room so: the whole claim or nothing if it has to lie in
-// one rack, else those tasks that touch what the account holds.
-func (k *packer) cover(c claim) int {
-	own := k.own[c.account]
-	usable := sumOf(k.open, own)
+// cover places a guarantee over what its account holds and returns the number of tasks
+// placed: all or none if the shape has to lie in one rack, otherwise those tasks that
+// overlap with what the account holds.
+func (k *packer) cover(g guarantee) int {
+	uncovered := k.uncovered[g.account]
+	usable := sumVectors(k.free, uncovered)
 	var parts []part
-	if c.shape.SameRack {
-		parts = k.z.fit(usable, own, c.shape)
+	if g.shape.SameRack {
+		parts = k.zone.fit(usable, uncovered, g.shape)
 	} else {
-		around := filling{usable: usable, perTask: c.shape.AcceleratorsPerTask}
-		around.cover(rack{first: 0, end: len(usable)}, own, c.shape.Tasks)
-		parts = around.parts
+		filled := filler{usable: usable, perTask: g.shape.AcceleratorsPerTask}
+		filled.fillPreferred(rack{first: 0, end: len(usable)}, uncovered, g.shape.Tasks)
+		parts = filled.parts
 	}
-	if !touches(parts, own) {
+	if !overlaps(parts, uncovered) {
 		return 0
 	}
-	k.take(c, parts)
-	return tasksOf(parts)
+	k.assignCovering(g, parts)
+	return countTasks(parts)
 }
 
-// touches reports whether a part lies on a worker with an entry above zero.
-func touches(parts []part, vector []int) bool {
+// overlaps reports whether a part lies on a worker whose entry in vector is above
+// zero.
+func overlaps(parts []part, vector []int) bool {
 	return slices.ContainsFunc(parts, func(p part) bool { return vector[p.worker] > 0 })
 }
 
-func tasksOf(parts []part) int {
+func countTasks(parts []part) int {
 	total := 0
 	for _, p := range parts {
 		total += p.tasks
@@ -221,32 +222,33 @@
 	return total
 }
 
-// take gives a claim its parts: what its account holds there already, then
-// what is open.
-func (k *packer) take(c claim, parts []part) {
-	own, cells := k.own[c.account], k.cells[c.account]
-	begun := touches(parts, own)
+// assignCovering assigns parts to a guarantee: first what its account already holds
+// there, then free accelerators.
+func (k *packer) assignCovering(g guarantee, parts []part) {
+	uncovered, cells := k.uncovered[g.account], k.cells[g.account]
+	partlyUsed := overlaps(parts, uncovered)
 	for _, p := range parts {
-		need := p.tasks * c.shape.AcceleratorsPerTask
-		covered := min(need, own[p.worker])
-		own[p.worker] -= covered
-		k.left[c.account] -= covered
-		k.open[p.worker] -= need - covered
+		need := p.tasks * g.shape.AcceleratorsPerTask
+		covered := min(need, uncovered[p.worker])
+		uncovered[p.worker] -= covered
+		k.uncoveredTotal[g.account] -= covered
+		k.free[p.worker] -= need - covered
 		cells[p.worker] += need - covered
-		if begun {
-			k.begun[c.account][p.worker] += need - covered
+		if partlyUsed {
+			k.partlyUsed[g.account][p.worker] += need - covered
 		}
 	}
 }
 
-// give gives a claim parts of what is open, or takes them back with sign -1.
-func (k *packer) give(c claim, parts []part, sign int) {
-	add(k.open, parts, -sign*c.shape.AcceleratorsPerTask)
-	add(k.cells[c.account], parts, sign*c.shape.AcceleratorsPerTask)
+// assign assigns free accelerators to a guarantee, or returns them if sign is -1.
+func (k *packer) assign(g guarantee, parts []part, sign int) {
+	addParts(k.free, parts, -sign*g.shape.AcceleratorsPerTask)
+	addParts(k.cells[g.account], parts, sign*g.shape.AcceleratorsPerTask)
 }
 
-// keeps reports whether no account misses more shapes than before.
-func (p *packing) keeps(before *packing) bool {
+// noWorseThan reports whether no account misses more shapes than in the packing
+// before.
+func (p *packing) noWorseThan(before *packing) bool {
 	for account := range p.missing {
 		if p.missing[account] > before.missing[account] {
 			return false
@@ -255,41 +257,41 @@
 	return true
 }
 
-// CheckGuarantees reports, by account and shape, the first guarantee of a zone
-// that does not pack with the others into the given workers when they are
-// empty. Guarantees that use workers in part must also leave one worker's
-// accelerators to nobody: without slack, whether they still pack around running
-// gangs is a search that a decision has no time for. The health of the workers
-// is not looked at.
+// CheckGuarantees returns an error that names the account and shape of the first
+// guarantee of a zone that does not pack, together with the others, into the given
+// workers when they are empty. If guarantees use workers in part, the accelerators of
+// one worker must also be left unguaranteed: without this slack, determining whether
+// the guarantees still pack around running gangs is a search for which a decision has
+// no time. The health of the workers is ignored.
 func CheckGuarantees(zone string, workers []model.Worker, accounts []model.ClientAccount) error {
 	z := newZone(workers, true)
-	claims := claimsOf(zone, accounts)
-	if p := z.pack(newHoldings(z, len(accounts)), claims); p.failed != nil {
+	guarantees := guaranteesOf(zone, accounts)
+	if p := z.pack(newHoldings(z, len(accounts)), guarantees); p.failed != nil {
 		return api.NewError(api.KindConfigInvalid,
 			"the guarantees of zone %s do not pack into its %d workers: no room for %s of account %s",
-			zone, len(workers), describe(p.failed.shape), accounts[p.failed.account].Name)
+			zone, len(workers), describeShape(p.failed.shape), accounts[p.failed.account].Name)
 	}
 	slack, largest := totalOf(z.capacity), 0
 	for _, n := range z.capacity {
 		largest = max(largest, n)
 	}
-	var partial *claim
-	for i := range claims {
-		slack -= claims[i].shape.Accelerators()
-		if claims[i].shape.AcceleratorsPerTask < largest {
-			partial = &claims[i]
+	var partial *guarantee
+	for i := range guarantees {
+		slack -= guarantees[i].shape.Accelerators()
+		if guarantees[i].shape.AcceleratorsPerTask < largest {
+			partial = &guarantees[i]
 		}
 	}
 	if partial != nil && slack < largest {
 		return api.NewError(api.KindConfigInvalid,
 			"the guarantees of zone %s leave %d accelerators to nobody; because %s of account %s use workers in part, %d must be left",
-			zone, slack, describe(partial.shape), accounts[partial.account].Name, largest)
+			zone, slack, describeShape(partial.shape), accounts[partial.account].Name, largest)
 	}
 	return nil
 }
 
-// describe names a shape for people.
-func describe(shape api.Shape) string {
+// describeShape formats a shape for reasons and error messages.
+func describeShape(shape api.Shape) string {
 	where := "on any racks"
 	if shape.SameRack {
 		where = "in one rack"
@@ -297,10 +299,11 @@
 	return fmt.Sprintf("%d tasks of %d accelerators %s", shape.Tasks, shape.AcceleratorsPerTask, where)
 }
 
-// toFront returns the claims with those of one account, the failed one's, in front.
-func toFront(claims []claim, failed claim) []claim {
-	order := slices.Clone(claims)
-	slices.SortStableFunc(order, func(a, b claim) int {
+// toFront returns the guarantees with those of the failed one's account moved to the
+// front.
+func toFront(guarantees []guarantee, failed guarantee) []guarantee {
+	order := slices.Clone(guarantees)
+	slices.SortStableFunc(order, func(a, b guarantee) int {
 		switch first := a.account == failed.account; {
 		case first == (b.account == failed.account):
 			return 0
--- a/internal/placement/invariant_test.go
+++ b/internal/placement/invariant_test.go
@@ -12,7 +12,7 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// violations lists every broken promise of a state.
+// violations lists every violated invariant of a state.
 func violations(s Snapshot) []string {
 	var found []string
 	report := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
@@ -47,12 +47,13 @@
 			report("worker %s holds %d accelerators", worker, n)
 		}
 	}
-	return append(found, notReclaimable(s)...)
+	return append(found, guaranteeViolations(s)...)
 }
 
-// notReclaimable stops every borrower and fits the guarantees around the rest.
-// The cells that pack found are checked against the capacity one by one.
-func notReclaimable(s Snapshot) []string {
+// guaranteeViolations removes every borrower and packs the guarantees around the
+// remaining gangs. It checks the cells of the packing against the capacity of each
+// worker.
+func guaranteeViolations(s Snapshot) []string {
 	var found []string
 	d := newDecider(&s, Off{})
 	for account, missing := range d.packed.missing {
@@ -60,13 +61,13 @@
 			found = append(found, fmt.Sprintf("%d shapes of account %s cannot be reclaimed", missing, s.Accounts[account].Name))
 		}
 	}
-	for w, capacity := range d.z.capacity {
+	for w, capacity := range d.zone.capacity {
 		total := d.held.total[w]
 		for account := range d.packed.cells {
 			total += d.packed.cells[account][w]
 		}
 		if total > capacity {
-			found = append(found, fmt.Sprintf("worker %s: fixed gangs and guarantees need %d accelerators", d.z.workers[w].ID, total))
+			found = append(found, fmt.Sprintf("worker %s: fixed gangs and guarantees need %d accelerators", d.zone.workers[w].ID, total))
 		}
 	}
 	return found
@@ -122,7 +123,7 @@
 	}
 }
 
-// drawAccounts draws accounts whose guarantees pack.
+// drawAccounts draws accounts whose guarantees pack into the workers.
 func drawAccounts(t *rapid.T, workers []model.Worker) []model.ClientAccount {
 	accounts := make([]model.ClientAccount, rapid.IntRange(1, 4).Draw(t, "accounts"))
 	for i := range accounts {
@@ -163,7 +164,7 @@
 	return job
 }
 
-// checkPlan checks what a plan promises by itself.
+// checkPlan checks the invariants of a plan and rechecks its placements in order.
 func checkPlan(t *rapid.T, s Snapshot, plan Plan) {
 	gangs := make(map[string]model.Gang)
 	for _, gang := range s.Gangs {
@@ -183,12 +184,12 @@
 			t.Fatalf("gang %s is stopped without a time limit", r.JobID)
 		}
 	}
-	s = apply(s, Plan{Reclaims: plan.Reclaims})
+	s = applyPlan(s, Plan{Reclaims: plan.Reclaims})
 	for _, p := range plan.Placements {
 		if err := Recheck(s, p); err != nil {
 			t.Fatalf("recheck of %s: %v", p.JobID, err)
 		}
-		s = apply(s, Plan{Placements: []Placement{p}})
+		s = applyPlan(s, Plan{Placements: []Placement{p}})
 	}
 }
 
@@ -209,9 +210,9 @@
 			"decide": func(t *rapid.T) {
 				plan := Decide(s)
 				checkPlan(t, s, plan)
-				s = apply(s, plan)
+				s = applyPlan(s, plan)
 			},
-			"stopped": func(*rapid.T) { s = stopped(s) },
+			"stopped": func(*rapid.T) { s = completeStops(s) },
 			"end": func(t *rapid.T) {
 				if len(s.Gangs) > 0 {
 					i := rapid.IntRange(0, len(s.Gangs)-1).Draw(t, "gang")
@@ -219,26 +220,27 @@
 				}
 			},
 			"wait": func(t *rapid.T) { s.Now = s.Now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "s")) * time.Second) },
-			"":     func(t *rapid.T) { noViolations(t, s) },
+			"":     func(t *rapid.T) { requireNoViolations(t, s) },
 		})
 	})
 }
 
-func noViolations(t *rapid.T, s Snapshot) {
+func requireNoViolations(t *rapid.T, s Snapshot) {
 	if found := violations(s); len(found) > 0 {
 		t.Fatalf("%q", found)
 	}
 }
 
 // TestIdleAccountGetsItsShapes checks that an account that uses nothing gets its
-// guaranteed shapes after no more rounds of reclaim than it has shapes: a round
-// may free a region that suits an earlier claim better than its own.
+// guaranteed shapes after at most as many rounds of reclaim as it has shapes, because
+// a round may free a region that suits an earlier claim better than the claim it was
+// freed for.
 func TestIdleAccountGetsItsShapes(t *testing.T) {
 	rapid.Check(t, idleAccountGetsItsShapes)
 }
 
-// TestIdleAccountGetsItsShapesAmongUrgentClaims plays the sequence that is kept
-// in testdata: what was freed for one claim went to an urgent one.
+// TestIdleAccountGetsItsShapesAmongUrgentClaims replays the sequence in testdata in
+// which accelerators that were freed for one claim were given to an urgent one.
 func TestIdleAccountGetsItsShapesAmongUrgentClaims(t *testing.T) {
 	rapid.Check(t, idleAccountGetsItsShapes)
 }
@@ -252,25 +254,25 @@
 			s.Waiting = append(s.Waiting, job)
 		}
 		if i%3 == 0 {
-			s = apply(s, Decide(s))
+			s = applyPlan(s, Decide(s))
 		}
 	}
-	claims := claimsOf(testZone, s.Accounts[:1])
-	for i, c := range claims {
+	guarantees := guaranteesOf(testZone, s.Accounts[:1])
+	for i, g := range guarantees {
 		job := testJob(fmt.Sprintf("claim%d", i), s.Accounts[0].Name, 1, 1)
-		job.Shape, job.MayBorrow = c.shape, false
+		job.Shape, job.MayBorrow = g.shape, false
 		s.Waiting = append(s.Waiting, job)
 	}
-	for range len(claims) {
-		s = stopped(apply(s, Decide(s)))
+	for range len(guarantees) {
+		s = completeStops(applyPlan(s, Decide(s)))
 	}
-	s = apply(s, Decide(s))
-	noViolations(t, s)
+	s = applyPlan(s, Decide(s))
+	requireNoViolations(t, s)
 	started := 0
 	for _, gang := range s.Gangs {
 		if gang.Job.Account == s.Accounts[0].Name && !gang.Borrowed {
 			started++
 		}
 	}
-	assert.Equal(t, started, len(claims))
+	assert.Equal(t, started, len(guarantees))
 }
--- a/internal/placement/kept_test.go
+++ b/internal/placement/kept_test.go
@@ -12,39 +12,40 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// waitingClaim is a zone of one rack of three workers that account a fills; b has
-// claimed its two workers, and a's gangs there are being stopped.
-func waitingClaim(t *testing.T) Snapshot {
+// snapshotWithWaitingClaim returns a zone of one rack of three workers that account a
+// fills. Account b has claimed its two workers, and the gangs of account a there are
+// being stopped.
+func snapshotWithWaitingClaim(t *testing.T) Snapshot {
 	t.Helper()
 	s := testSnapshot(1, 3, testAccount("a", 1, 1), testAccount("b", 1, 2))
 	for _, id := range []string{"a0", "a1", "a2"} {
 		s.Waiting = append(s.Waiting, testJob(id, "a", 1, 8))
 	}
-	s = apply(s, Decide(s))
+	s = applyPlan(s, Decide(s))
 	assert.Equal(t, len(s.Gangs), 3)
 	s.Waiting = append(s.Waiting, testJob("claim", "b", 2, 8))
 	plan := Decide(s)
 	assert.Equal(t, len(plan.Kept), 1)
-	return apply(s, plan)
+	return applyPlan(s, plan)
 }
 
-func TestAKeptRegionStaysItsClaimsUntilItStarts(t *testing.T) {
+func TestKeptRegionIsHeldUntilItsClaimStarts(t *testing.T) {
 	cases := map[string]struct {
 		change func(s *Snapshot)
 		want   bool
 	}{
-		"once those who held it have ended": {func(*Snapshot) {}, true},
-		"though an urgent job of its own account comes later": {func(s *Snapshot) {
+		"the gangs that held it have ended": {func(*Snapshot) {}, true},
+		"an urgent job of the same account is submitted later": {func(s *Snapshot) {
 			urgent := testJob("urgent", "b", 1, 8)
 			urgent.Urgent = true
 			s.Waiting = append(s.Waiting, urgent)
 		}, true},
-		"though urgent work of another account would borrow": {func(s *Snapshot) {
+		"an urgent job of another account could borrow the region": {func(s *Snapshot) {
 			urgent := testJob("urgent", "a", 1, 8)
 			urgent.Urgent = true
 			s.Waiting = append(s.Waiting, urgent)
 		}, true},
-		"but not on a worker that was lost": {func(s *Snapshot) {
+		"a worker of the region is lost": {func(s *Snapshot) {
 			lost := s.Kept[0].Tasks[0].Worker
 			s.Workers = slices.Clone(s.Workers)
 			for i := range s.Workers {
@@ -56,10 +57,10 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := waitingClaim(t)
+			s := snapshotWithWaitingClaim(t)
 			c.change(&s)
 			kept := s.Kept[0]
-			plan := Decide(stopped(s))
+			plan := Decide(completeStops(s))
 			at := slices.IndexFunc(plan.Placements, func(p Placement) bool { return p.JobID == kept.JobID })
 			assert.Equal(t, at >= 0 && sameWorkers(plan.Placements[at].Tasks, kept.Tasks), c.want)
 		})
@@ -70,9 +71,10 @@
 	return slices.EqualFunc(a, b, func(x, y api.TaskPlacement) bool { return x.Worker == y.Worker && x.Tasks == y.Tasks })
 }
 
-// An urgent job that its account's own gangs keep out of the guarantee borrows,
-// but not what another account claims in the same round.
-func TestUrgentBorrowingLeavesClaimsTheirShapes(t *testing.T) {
+// TestUrgentBorrowingDoesNotTakeClaimedShapes checks that an urgent job that the gangs
+// of its own account keep out of the guarantee borrows, but not what another account
+// claims in the same round.
+func TestUrgentBorrowingDoesNotTakeClaimedShapes(t *testing.T) {
 	guarantee := func(name string, shape api.Shape, count int) model.ClientAccount {
 		shapes := []model.GuaranteedShape{{Shape: shape, Count: count}}
 		return model.ClientAccount{Name: name, Guarantees: map[string][]model.GuaranteedShape{testZone: shapes}}
--- a/internal/placement/main_test.go
+++ b/internal/placement/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the property tests a fixed seed, so that every run has the
-// same verdict. A soak passes -rapid.seed and -rapid.checks.
+// TestMain sets a fixed seed for the property tests, so that every run has the same
+// result. Soak runs pass -rapid.seed and -rapid.checks.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/placement/off.go
+++ b/internal/placement/off.go
@@ -1,34 +1,35 @@
 package placement
 
-// Off names decisions that are left out, so that a measurement can show what
-// each is worth. The zero value leaves out none.
+// Off selects mechanisms to disable, so that a measurement can show the effect of
+// each. The zero value disables none.
 type Off struct {
-	// Reservation leaves the first job that does not fit without a region of
-	// its own: whatever fits goes ahead.
+	// Reservation makes no reservations: any job that fits starts before the jobs that
+	// do not.
 	Reservation bool
-	// Backfill stops at the first job that does not fit.
+	// Backfill stops placing at the first job that does not fit.
 	Backfill bool
-	// FairOrder serves accounts in their order in the configuration.
+	// FairOrder serves accounts in the order of the configuration.
 	FairOrder bool
-	// DueTimes orders jobs without a deadline by submission.
+	// DueTimes orders jobs without a deadline by submission time.
 	DueTimes bool
-	// Heads lets any job of an account into its guarantee.
+	// Heads lets any job of an account use its guarantee, regardless of larger jobs
+	// that wait for it.
 	Heads bool
-	// Repack binds every guaranteed shape to fixed accelerators, in place of
-	// packing the shapes around what runs.
+	// Repack binds every guaranteed shape to fixed accelerators instead of packing the
+	// shapes around running gangs.
 	Repack bool
 	// BestFit takes the first rack and the first workers that fit.
 	BestFit bool
 	// Reclaim never stops a borrower.
 	Reclaim bool
-	// CheapestReclaim takes the first region in place of the cheapest.
+	// CheapestReclaim takes the first region instead of the cheapest.
 	CheapestReclaim bool
 	// Objectives ignores the weights of the deployment.
 	Objectives bool
 }
 
-// DecideWithout is Decide with some decisions left out. It is for measurements
-// only: the invariants hold, the figures are worse.
+// DecideWithout is Decide with some mechanisms disabled. It is for measurements only:
+// the invariants hold, but the results are worse.
 func DecideWithout(s Snapshot, off Off) Plan {
 	return newDecider(&s, off).decide()
 }
--- a/internal/placement/planted_test.go
+++ b/internal/placement/planted_test.go
@@ -11,35 +11,35 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// TestViolationsCatchesPlantedFaults shows that the check of the properties sees
-// states that a faulty decision would lead to.
+// TestViolationsCatchesPlantedFaults checks that violations detects the states that a
+// faulty decision would lead to.
 func TestViolationsCatchesPlantedFaults(t *testing.T) {
 	whole := api.Shape{Tasks: 2, AcceleratorsPerTask: 8, SameRack: true}
 	guaranteed := model.ClientAccount{Name: "a", Guarantees: map[string][]model.GuaranteedShape{testZone: {{Shape: whole, Count: 1}}}}
-	fixed := func(job *model.Job) { job.Idempotent, job.Checkpointable = false, false }
+	makeUnstoppable := func(job *model.Job) { job.Idempotent, job.Checkpointable = false, false }
 	cases := map[string]struct {
 		gang func(workers []model.Worker) model.Gang
 		want string
 	}{
-		"a sound state": {func(w []model.Worker) model.Gang {
-			return running(testJob("j", "b", 2, 8), time.Hour, true, on(w[0].ID, 1, 8), on(w[1].ID, 1, 8))
+		"a valid state": {func(w []model.Worker) model.Gang {
+			return runningGang(testJob("j", "b", 2, 8), time.Hour, true, placedOn(w[0].ID, 1, 8), placedOn(w[1].ID, 1, 8))
 		}, ""},
-		"a gang runs in part": {func(w []model.Worker) model.Gang {
-			return running(testJob("j", "b", 2, 8), time.Hour, true, on(w[0].ID, 1, 8))
+		"a gang runs only part of its tasks": {func(w []model.Worker) model.Gang {
+			return runningGang(testJob("j", "b", 2, 8), time.Hour, true, placedOn(w[0].ID, 1, 8))
 		}, "runs 1 of 2 tasks"},
-		"a worker gives more than it has": {func(w []model.Worker) model.Gang {
-			return running(testJob("j", "b", 2, 8), time.Hour, true, on(w[0].ID, 2, 8))
+		"a worker is oversubscribed": {func(w []model.Worker) model.Gang {
+			return runningGang(testJob("j", "b", 2, 8), time.Hour, true, placedOn(w[0].ID, 2, 8))
 		}, "holds 16 accelerators"},
 		"a gang is spread over racks": {func(w []model.Worker) model.Gang {
-			return running(testJob("j", "b", 2, 8), time.Hour, true, on(w[0].ID, 1, 8), on(w[2].ID, 1, 8))
+			return runningGang(testJob("j", "b", 2, 8), time.Hour, true, placedOn(w[0].ID, 1, 8), placedOn(w[2].ID, 1, 8))
 		}, "is spread over racks"},
-		"work that cannot be stopped borrows": {func(w []model.Worker) model.Gang {
-			return running(with(testJob("j", "b", 1, 8), fixed), time.Hour, true, on(w[0].ID, 1, 8))
+		"a job that cannot be stopped borrows": {func(w []model.Worker) model.Gang {
+			return runningGang(modified(testJob("j", "b", 1, 8), makeUnstoppable), time.Hour, true, placedOn(w[0].ID, 1, 8))
 		}, "cannot be stopped"},
-		"a guarantee is cut up by fixed work": {func(w []model.Worker) model.Gang {
-			job := with(testJob("j", "b", 2, 8), fixed)
+		"a guarantee is fragmented by a fixed gang": {func(w []model.Worker) model.Gang {
+			job := modified(testJob("j", "b", 2, 8), makeUnstoppable)
 			job.Shape.SameRack = false
-			return running(job, time.Hour, false, on(w[0].ID, 1, 8), on(w[2].ID, 1, 8))
+			return runningGang(job, time.Hour, false, placedOn(w[0].ID, 1, 8), placedOn(w[2].ID, 1, 8))
 		}, "cannot be reclaimed"},
 	}
 	for name, test := range cases {
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -8,18 +8,18 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// This file answers one account with most of the load, long work among short,
-// and saturation. Without it the largest submitter starves the others, and a
-// short job waits for hours behind long ones. Accounts are served by falling
-// distance to their guarantee; inside one, priority goes first, then the latest
-// start that still meets the deadline. A job without a deadline gets one in
-// proportion to its run time, which bounds the stretch of short jobs (Bender, Chakrabarti and
-// Muthukrishnan, SODA 1998).
+// Order of waiting jobs when one account submits most of the load, when long and short
+// jobs mix, and under saturation. Without it the account that submits most starves the
+// others, and a short job waits for hours behind long ones. Accounts are served by
+// falling distance to their guarantee. Within an account, priority comes first, then
+// the latest start that still meets the deadline. A job without a deadline gets one in
+// proportion to its run time, which bounds the slowdown (stretch) of short jobs
+// (Bender, Chakrabarti and Muthukrishnan, SODA 1998).
 const (
-	// stretch is the multiple of its run time that a job may take without
-	// being late in the order.
-	stretch = 4
-	// agingStep is the wait that raises a job's priority by one.
+	// targetSlowdown is the multiple of its run time within which a job without a
+	// deadline should finish.
+	targetSlowdown = 4
+	// agingStep is the waiting time that raises the priority of a job by one.
 	agingStep = 30 * time.Minute
 )
 
@@ -27,29 +27,30 @@
 type entry struct {
 	job      *model.Job
 	account  int
-	run      time.Duration
+	runTime  time.Duration
 	priority int
-	// due is the latest time to start.
-	due  time.Time
-	done bool
-	// borrows is said of a claim that may borrow once all claims have their
+	// latestStart is the latest start that meets the deadline or targetSlowdown.
+	latestStart time.Time
+	done        bool
+	// mayBorrowLater is set for a claim that may borrow once all claims have their
 	// regions.
-	borrows bool
+	mayBorrowLater bool
 }
 
 // queue holds the waiting jobs by account, each list in order.
 type queue struct {
-	lists [][]*entry
-	// share is what an account's use is measured against.
+	byAccount [][]*entry
+	// share is what the use of an account is compared with.
 	share []int
-	// inOrder serves the accounts in their order, whatever they use.
-	inOrder bool
+	// configOrder serves the accounts in the order of the configuration, regardless of
+	// their use.
+	configOrder bool
 }
 
-// newQueue sorts the waiting jobs. Jobs of unknown accounts are left out.
+// newQueue sorts the waiting jobs. Jobs of unknown accounts are omitted.
 func newQueue(d *decider) *queue {
-	s := d.s
-	q := &queue{lists: make([][]*entry, len(s.Accounts)), share: make([]int, len(s.Accounts)), inOrder: d.off.FairOrder}
+	s := d.snapshot
+	q := &queue{byAccount: make([][]*entry, len(s.Accounts)), share: make([]int, len(s.Accounts)), configOrder: d.off.FairOrder}
 	for i := range s.Accounts {
 		q.share[i] = max(1, s.Accounts[i].GuaranteedAccelerators(s.Zone), s.Accounts[i].Weight)
 	}
@@ -61,36 +62,36 @@
 			continue
 		}
 		entries = append(entries, newEntry(d, job, account))
-		q.lists[account] = append(q.lists[account], &entries[len(entries)-1])
+		q.byAccount[account] = append(q.byAccount[account], &entries[len(entries)-1])
 	}
-	for _, list := range q.lists {
-		slices.SortStableFunc(list, before)
+	for _, list := range q.byAccount {
+		slices.SortStableFunc(list, compareEntries)
 	}
 	return q
 }
 
 func newEntry(d *decider, job *model.Job, account int) entry {
-	s := d.s
-	run := remaining(s, job)
-	due := job.SubmittedAt.Add((stretch - 1) * run)
+	s := d.snapshot
+	runTime := remainingRun(s, job)
+	latestStart := job.SubmittedAt.Add((targetSlowdown - 1) * runTime)
 	if d.off.DueTimes {
-		due = job.SubmittedAt
+		latestStart = job.SubmittedAt
 	}
-	if latest := job.Deadline.Add(-run); !job.Deadline.IsZero() && latest.Before(due) {
-		due = latest
+	if deadlineStart := job.Deadline.Add(-runTime); !job.Deadline.IsZero() && deadlineStart.Before(latestStart) {
+		latestStart = deadlineStart
 	}
 	aged := int(max(0, s.Now.Sub(job.SubmittedAt)) / agingStep)
-	return entry{job: job, account: account, run: run, priority: job.Priority + aged, due: due}
+	return entry{job: job, account: account, runTime: runTime, priority: job.Priority + aged, latestStart: latestStart}
 }
 
-// remaining is the corrected run time that a job still needs.
-func remaining(s *Snapshot, job *model.Job) time.Duration {
-	run := s.Runs.Run(job.Account, job.Kind, job.DeclaredRun)
-	return max(time.Second, run-job.Progress)
+// remainingRun returns the corrected run time that a job still needs.
+func remainingRun(s *Snapshot, job *model.Job) time.Duration {
+	runTime := s.Runs.Run(job.Account, job.Kind, job.DeclaredRun)
+	return max(time.Second, runTime-job.Progress)
 }
 
-// before orders the jobs of one account.
-func before(a, b *entry) int {
+// compareEntries orders the jobs of one account.
+func compareEntries(a, b *entry) int {
 	if a.job.Urgent != b.job.Urgent {
 		if a.job.Urgent {
 			return -1
@@ -100,45 +101,45 @@
 	if a.priority != b.priority {
 		return cmp.Compare(b.priority, a.priority)
 	}
-	return a.due.Compare(b.due)
+	return a.latestStart.Compare(b.latestStart)
 }
 
-// each calls visit for every job that is not done, each time the first one of
-// the account whose use is the smallest part of its share. The use may change
-// during a visit.
-func (q *queue) each(use []int, visit func(*entry)) {
-	next := make([]int, len(q.lists))
+// forEach calls visit for every job that is not done. The next job is always the first
+// remaining one of the account that uses the smallest fraction of its share. The use
+// may change during a visit.
+func (q *queue) forEach(use []int, visit func(*entry)) {
+	next := make([]int, len(q.byAccount))
 	for {
-		account := q.mostEntitled(use, next)
+		account := q.nextAccount(use, next)
 		if account < 0 {
 			return
 		}
-		job := q.lists[account][next[account]]
+		e := q.byAccount[account][next[account]]
 		next[account]++
-		if !job.done {
-			visit(job)
+		if !e.done {
+			visit(e)
 		}
 	}
 }
 
-// byDue lists the jobs of all accounts by their latest start.
-func (q *queue) byDue() []*entry {
+// byLatestStart lists the jobs of all accounts in order of their latest start.
+func (q *queue) byLatestStart() []*entry {
 	var all []*entry
-	for _, list := range q.lists {
+	for _, list := range q.byAccount {
 		all = append(all, list...)
 	}
-	slices.SortStableFunc(all, func(a, b *entry) int { return a.due.Compare(b.due) })
+	slices.SortStableFunc(all, func(a, b *entry) int { return a.latestStart.Compare(b.latestStart) })
 	return all
 }
 
-// mostEntitled returns the account to serve next, or -1.
-func (q *queue) mostEntitled(use, next []int) int {
+// nextAccount returns the account to serve next, or -1 if all lists are exhausted.
+func (q *queue) nextAccount(use, next []int) int {
 	best := -1
-	for i, list := range q.lists {
+	for i, list := range q.byAccount {
 		if next[i] == len(list) {
 			continue
 		}
-		if best < 0 || (!q.inOrder && use[i]*q.share[best] < use[best]*q.share[i]) {
+		if best < 0 || (!q.configOrder && use[i]*q.share[best] < use[best]*q.share[i]) {
 			best = i
 		}
 	}
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -4,8 +4,8 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// Accounts returns what each client account is guaranteed, uses, borrows and
-// lends in the zone, in accelerators, in the order of the configuration.
+// Accounts returns what each client account is guaranteed, uses, borrows and lends in
+// the zone, in accelerators, in the order of the configuration.
 func Accounts(s Snapshot) []api.AccountStatus {
 	d := newDecider(&s, Off{})
 	risks := d.atRisk()
@@ -27,22 +27,22 @@
 	return statuses
 }
 
-// lent counts, by account, the accelerators of its shapes that other accounts'
-// borrowers hold.
+// lent counts, by account, the accelerators of its shapes that borrowers of other
+// accounts hold.
 func (d *decider) lent() []int {
-	borrowed := d.z.vector()
+	borrowed := d.zone.zeroVector()
 	for i := range d.holders {
 		if h := &d.holders[i]; !h.fixed {
-			add(borrowed, h.parts, h.gang.Job.Shape.AcceleratorsPerTask)
+			addParts(borrowed, h.parts, h.gang.Job.Shape.AcceleratorsPerTask)
 		}
 	}
-	lent := make([]int, len(d.s.Accounts))
+	lent := make([]int, len(d.snapshot.Accounts))
 	for w := range borrowed {
 		inCells := 0
 		for _, cells := range d.packed.cells {
 			inCells += cells[w]
 		}
-		outside := max(0, d.z.capacity[w]-d.held.total[w]-inCells)
+		outside := max(0, d.zone.capacity[w]-d.held.total[w]-inCells)
 		left := max(0, borrowed[w]-outside)
 		for account, cells := range d.packed.cells {
 			lent[account] += min(left, cells[w])
@@ -52,34 +52,35 @@
 	return lent
 }
 
-// Fragmentation returns the share of the zone's free accelerators that can
-// take part in no waiting or guaranteed shape: 0 if all can, or none is free.
+// Fragmentation returns the fraction of the zone's free accelerators that no waiting
+// or guaranteed shape can use. It returns 0 if none is free.
 func Fragmentation(s Snapshot) float64 {
 	d := newDecider(&s, Off{})
 	free := totalOf(d.free)
 	if free == 0 {
 		return 0
 	}
-	usable := d.z.vector()
+	usable := d.zone.zeroVector()
 	for shape := range d.wantedShapes() {
-		d.z.markUsable(usable, d.free, shape)
+		d.zone.markUsable(usable, d.free, shape)
 	}
 	return float64(free-totalOf(usable)) / float64(free)
 }
 
-// wantedShapes is the set of the waiting and guaranteed shapes.
+// wantedShapes returns the set of the waiting and guaranteed shapes.
 func (d *decider) wantedShapes() map[api.Shape]bool {
 	shapes := make(map[api.Shape]bool)
-	for i := range d.s.Waiting {
-		shapes[d.s.Waiting[i].Shape] = true
+	for i := range d.snapshot.Waiting {
+		shapes[d.snapshot.Waiting[i].Shape] = true
 	}
-	for _, c := range d.claims {
-		shapes[c.shape] = true
+	for _, g := range d.guarantees {
+		shapes[g.shape] = true
 	}
 	return shapes
 }
 
-// markUsable raises usable to the free accelerators that can take part in a shape.
+// markUsable raises the entries of usable to the free accelerators that the shape can
+// use.
 func (z *zone) markUsable(usable, free []int, shape api.Shape) {
 	all := rack{first: 0, end: len(z.workers)}
 	groups := z.racks
--- a/internal/placement/scenario_test.go
+++ b/internal/placement/scenario_test.go
@@ -11,24 +11,24 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// running places a gang by hand.
-func running(job model.Job, end time.Duration, borrowed bool, tasks ...api.TaskPlacement) model.Gang {
+// runningGang returns a running gang that ends after the given time.
+func runningGang(job model.Job, end time.Duration, borrowed bool, tasks ...api.TaskPlacement) model.Gang {
 	return model.Gang{
 		Job: job, State: model.GangRunning, Placements: tasks, StartedAt: testNow.Add(-time.Minute),
 		ExpectedEnd: testNow.Add(end), Borrowed: borrowed,
 	}
 }
 
-func on(worker string, tasks, perTask int) api.TaskPlacement {
+func placedOn(worker string, tasks, perTask int) api.TaskPlacement {
 	return api.TaskPlacement{Worker: worker, Tasks: tasks, Accelerators: tasks * perTask}
 }
 
-func with(job model.Job, change func(*model.Job)) model.Job {
+func modified(job model.Job, change func(*model.Job)) model.Job {
 	change(&job)
 	return job
 }
 
-// placedIDs lists the placed jobs in the order of the plan.
+// placedIDs lists the IDs of the placed jobs in the order of the plan.
 func placedIDs(plan Plan) []string {
 	ids := []string{}
 	for _, p := range plan.Placements {
@@ -38,7 +38,7 @@
 }
 
 func TestOrderOfPlacements(t *testing.T) {
-	none := model.ClientAccount{Name: "c"}
+	noGuarantee := model.ClientAccount{Name: "c"}
 	cases := map[string]struct {
 		accounts []model.ClientAccount
 		gangs    []model.Gang
@@ -47,63 +47,63 @@
 	}{
 		"the account furthest below its guarantee goes first": {
 			accounts: []model.ClientAccount{testAccount("a", 1, 1), testAccount("b", 1, 1)},
-			gangs:    []model.Gang{running(testJob("r", "a", 1, 8), time.Hour, false, on("r00-w00", 1, 8))},
+			gangs:    []model.Gang{runningGang(testJob("r", "a", 1, 8), time.Hour, false, placedOn("r00-w00", 1, 8))},
 			waiting:  []model.Job{testJob("a1", "a", 1, 8), testJob("b1", "b", 1, 8)},
 			want:     []string{"b1"},
 		},
-		"priority goes before an earlier deadline": {
-			accounts: []model.ClientAccount{none},
+		"priority precedes an earlier deadline": {
+			accounts: []model.ClientAccount{noGuarantee},
 			waiting: []model.Job{
-				with(testJob("soon", "c", 1, 8), func(j *model.Job) { j.Deadline = testNow.Add(2 * time.Hour) }),
-				with(testJob("high", "c", 2, 8), func(j *model.Job) { j.Priority = 1 }),
+				modified(testJob("soon", "c", 1, 8), func(j *model.Job) { j.Deadline = testNow.Add(2 * time.Hour) }),
+				modified(testJob("high", "c", 2, 8), func(j *model.Job) { j.Priority = 1 }),
 			},
 			want: []string{"high"},
 		},
 		"the earliest latest start goes first": {
-			accounts: []model.ClientAccount{none},
+			accounts: []model.ClientAccount{noGuarantee},
 			waiting: []model.Job{
-				with(testJob("late", "c", 2, 8), func(j *model.Job) { j.Deadline = testNow.Add(3 * time.Hour) }),
-				with(testJob("soon", "c", 2, 8), func(j *model.Job) { j.Deadline = testNow.Add(2 * time.Hour) }),
+				modified(testJob("late", "c", 2, 8), func(j *model.Job) { j.Deadline = testNow.Add(3 * time.Hour) }),
+				modified(testJob("soon", "c", 2, 8), func(j *model.Job) { j.Deadline = testNow.Add(2 * time.Hour) }),
 			},
 			want: []string{"soon"},
 		},
-		"a short job goes before a long one": {
-			accounts: []model.ClientAccount{none},
+		"a short job precedes a long one": {
+			accounts: []model.ClientAccount{noGuarantee},
 			waiting: []model.Job{
-				with(testJob("long", "c", 2, 8), func(j *model.Job) { j.DeclaredRun = 10 * time.Hour }),
-				with(testJob("short", "c", 2, 8), func(j *model.Job) { j.DeclaredRun = time.Minute }),
+				modified(testJob("long", "c", 2, 8), func(j *model.Job) { j.DeclaredRun = 10 * time.Hour }),
+				modified(testJob("short", "c", 2, 8), func(j *model.Job) { j.DeclaredRun = time.Minute }),
 			},
 			want: []string{"short"},
 		},
-		"a job that waited long goes before a higher priority": {
-			accounts: []model.ClientAccount{none},
+		"a job that waited long precedes a higher priority": {
+			accounts: []model.ClientAccount{noGuarantee},
 			waiting: []model.Job{
-				with(testJob("high", "c", 2, 8), func(j *model.Job) { j.Priority = 2 }),
-				with(testJob("aged", "c", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-3 * agingStep) }),
+				modified(testJob("high", "c", 2, 8), func(j *model.Job) { j.Priority = 2 }),
+				modified(testJob("aged", "c", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-3 * agingStep) }),
 			},
 			want: []string{"aged"},
 		},
-		"only work that ends before the reservation backfills": {
-			accounts: []model.ClientAccount{none},
-			gangs:    []model.Gang{running(testJob("r", "c", 1, 8), time.Hour, true, on("r00-w00", 1, 8))},
+		"only jobs that end before the reservation backfill": {
+			accounts: []model.ClientAccount{noGuarantee},
+			gangs:    []model.Gang{runningGang(testJob("r", "c", 1, 8), time.Hour, true, placedOn("r00-w00", 1, 8))},
 			waiting: []model.Job{
-				with(testJob("large", "c", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-9 * time.Hour) }),
-				with(testJob("long", "c", 1, 8), func(j *model.Job) { j.DeclaredRun = 2 * time.Hour }),
-				with(testJob("short", "c", 1, 8), func(j *model.Job) { j.DeclaredRun = 30 * time.Minute }),
+				modified(testJob("large", "c", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-9 * time.Hour) }),
+				modified(testJob("long", "c", 1, 8), func(j *model.Job) { j.DeclaredRun = 2 * time.Hour }),
+				modified(testJob("short", "c", 1, 8), func(j *model.Job) { j.DeclaredRun = 30 * time.Minute }),
 			},
 			want: []string{"short"},
 		},
-		"small jobs leave the guarantee to their account's large one": {
+		"small jobs leave the guarantee to the large job of their account": {
 			accounts: []model.ClientAccount{testAccount("a", 1, 2)},
-			gangs:    []model.Gang{running(testJob("r", "a", 1, 4), time.Hour, false, on("r00-w00", 1, 4))},
+			gangs:    []model.Gang{runningGang(testJob("r", "a", 1, 4), time.Hour, false, placedOn("r00-w00", 1, 4))},
 			waiting: []model.Job{
-				with(testJob("large", "a", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-9 * time.Hour) }),
-				with(testJob("long", "a", 1, 4), func(j *model.Job) { j.DeclaredRun, j.MayBorrow = 2*time.Hour, false }),
-				with(testJob("short", "a", 1, 4), func(j *model.Job) { j.DeclaredRun, j.MayBorrow = time.Minute, false }),
+				modified(testJob("large", "a", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-9 * time.Hour) }),
+				modified(testJob("long", "a", 1, 4), func(j *model.Job) { j.DeclaredRun, j.MayBorrow = 2*time.Hour, false }),
+				modified(testJob("short", "a", 1, 4), func(j *model.Job) { j.DeclaredRun, j.MayBorrow = time.Minute, false }),
 			},
 			want: []string{"short"},
 		},
-		"a job over its account's bound waits": {
+		"a job over the limit of its account waits": {
 			accounts: []model.ClientAccount{{Name: "c", MaxAccelerators: 8}},
 			waiting:  []model.Job{testJob("first", "c", 1, 8), testJob("second", "c", 1, 8)},
 			want:     []string{"first"},
@@ -125,27 +125,27 @@
 		atSubmit api.Kind
 		waiting  api.Kind
 	}{
-		"a shape that no rack holds is never let in": {
-			with(testJob("j", "a", 3, 8), func(*model.Job) {}), api.KindShapeNeverFits, "",
+		"a shape that no rack holds is not admitted": {
+			modified(testJob("j", "a", 3, 8), func(*model.Job) {}), api.KindShapeNeverFits, "",
 		},
-		"a task larger than a worker is never let in": {
+		"a task larger than a worker is not admitted": {
 			testJob("j", "a", 1, 16), api.KindShapeNeverFits, "",
 		},
-		"work that cannot be stopped never takes another account's shape": {
-			with(testJob("j", "c", 1, 8), func(j *model.Job) { j.Idempotent, j.Checkpointable = false, false }), api.KindShapeNeverFits, "",
+		"a job that cannot be stopped is not admitted to the shape of another account": {
+			modified(testJob("j", "c", 1, 8), func(j *model.Job) { j.Idempotent, j.Checkpointable = false, false }), api.KindShapeNeverFits, "",
 		},
 		"a deadline before the run ends is refused": {
-			with(testJob("j", "a", 2, 8), func(j *model.Job) { j.Deadline = testNow.Add(30 * time.Minute) }),
+			modified(testJob("j", "a", 2, 8), func(j *model.Job) { j.Deadline = testNow.Add(30 * time.Minute) }),
 			api.KindDeadlineUnreachable, api.KindDeadlineUnreachable,
 		},
-		"a deadline that leaves time is not": {
-			with(testJob("j", "a", 2, 8), func(j *model.Job) { j.Deadline = testNow.Add(2 * time.Hour) }), "", "",
+		"a deadline that leaves enough time is accepted": {
+			modified(testJob("j", "a", 2, 8), func(j *model.Job) { j.Deadline = testNow.Add(2 * time.Hour) }), "", "",
 		},
-		"a job that waited as long as its rule allows is refused": {
-			with(testJob("j", "a", 2, 8), func(j *model.Job) { j.SubmittedAt, j.MaxWait = testNow.Add(-time.Hour), time.Minute }), "", api.KindQueueTimeout,
+		"a job that waited longer than its rule allows is refused": {
+			modified(testJob("j", "a", 2, 8), func(j *model.Job) { j.SubmittedAt, j.MaxWait = testNow.Add(-time.Hour), time.Minute }), "", api.KindQueueTimeout,
 		},
 		"a job that has run is not refused": {
-			with(testJob("j", "a", 2, 8), func(j *model.Job) { j.Attempt, j.Deadline = 1, testNow.Add(time.Minute) }),
+			modified(testJob("j", "a", 2, 8), func(j *model.Job) { j.Attempt, j.Deadline = 1, testNow.Add(time.Minute) }),
 			api.KindDeadlineUnreachable, "",
 		},
 	}
@@ -171,7 +171,7 @@
 func TestLargestGangTakesTheFewestRacks(t *testing.T) {
 	s := testSnapshot(80, 8, model.ClientAccount{Name: "c"})
 	for w := range 40 {
-		s.Gangs = append(s.Gangs, running(testJob(fmt.Sprint(w), "c", 1, 1), time.Hour, true, on(fmt.Sprintf("r%02d-w00", w), 1, 1)))
+		s.Gangs = append(s.Gangs, runningGang(testJob(fmt.Sprint(w), "c", 1, 1), time.Hour, true, placedOn(fmt.Sprintf("r%02d-w00", w), 1, 1)))
 	}
 	job := testJob("large", "c", api.MaxGangTasks, 8)
 	job.Shape.SameRack = false
@@ -195,15 +195,15 @@
 	assert.Equal(t, Accounts(s)[0].AtRisk, risk["a"])
 }
 
-func TestUrgentReclaimStaysInsideItsLimits(t *testing.T) {
+func TestUrgentReclaimStaysWithinItsTimeLimits(t *testing.T) {
 	s := testSnapshot(1, 2, testAccount("a", 1, 2), model.ClientAccount{Name: "c"})
-	kept := testJob("kept", "c", 1, 8)
-	stoppedOnly := with(testJob("stopped", "c", 1, 8), func(j *model.Job) { j.Checkpointable = false })
+	checkpointable := testJob("kept", "c", 1, 8)
+	notCheckpointable := modified(testJob("stopped", "c", 1, 8), func(j *model.Job) { j.Checkpointable = false })
 	s.Gangs = []model.Gang{
-		running(kept, time.Hour, true, on("r00-w00", 1, 8)),
-		running(stoppedOnly, time.Hour, true, on("r00-w01", 1, 8)),
+		runningGang(checkpointable, time.Hour, true, placedOn("r00-w00", 1, 8)),
+		runningGang(notCheckpointable, time.Hour, true, placedOn("r00-w01", 1, 8)),
 	}
-	s.Waiting = []model.Job{with(testJob("urgent", "a", 2, 8), func(j *model.Job) { j.Urgent = true })}
+	s.Waiting = []model.Job{modified(testJob("urgent", "a", 2, 8), func(j *model.Job) { j.Urgent = true })}
 	methods := make(map[string]Method)
 	for _, r := range Decide(s).Reclaims {
 		methods[r.JobID] = r.Method
@@ -213,11 +213,11 @@
 	assert.DeepEqual(t, methods, map[string]Method{"kept": MethodCheckpoint, "stopped": MethodStop})
 }
 
-func TestUrgentJobIsNotHeldUpByItsOwnAccountsScatteredGangs(t *testing.T) {
+func TestUrgentJobStopsScatteredGangsOfItsOwnAccount(t *testing.T) {
 	s := testSnapshot(2, 2, testAccount("a", 2, 2))
 	s.Gangs = []model.Gang{
-		running(testJob("x", "a", 1, 1), time.Hour, false, on("r00-w00", 1, 1)),
-		running(testJob("y", "a", 1, 1), time.Hour, false, on("r01-w00", 1, 1)),
+		runningGang(testJob("x", "a", 1, 1), time.Hour, false, placedOn("r00-w00", 1, 1)),
+		runningGang(testJob("y", "a", 1, 1), time.Hour, false, placedOn("r01-w00", 1, 1)),
 	}
 	large := testJob("large", "a", 2, 8)
 	s.Waiting = []model.Job{large}
@@ -226,88 +226,90 @@
 	s.Waiting = []model.Job{large}
 	plan := Decide(s)
 	assert.Equal(t, len(plan.Reclaims), 1)
-	s = stopped(apply(s, plan))
+	s = completeStops(applyPlan(s, plan))
 	assert.DeepEqual(t, placedIDs(Decide(s)), []string{"large"})
 }
 
-func TestObjectivesDecideWhereSmallJobsGo(t *testing.T) {
+func TestObjectivesDetermineWhereSmallJobsArePlaced(t *testing.T) {
 	s := testSnapshot(1, 4, testAccount("a", 1, 1), testAccount("b", 1, 1))
-	s.Gangs = []model.Gang{running(testJob("r", "b", 1, 4), time.Hour, false, on("r00-w00", 1, 4))}
+	s.Gangs = []model.Gang{runningGang(testJob("r", "b", 1, 4), time.Hour, false, placedOn("r00-w00", 1, 4))}
 	s.Waiting = []model.Job{testJob("small", "a", 1, 4)}
 	s.Objectives = model.Objectives{CompletionTime: 0.8, Fragmentation: 0.2}
 	plan := Decide(s)
-	assert.Assert(t, !plan.Placements[0].Borrowed, "inside the guarantee, where nobody stops it")
+	assert.Assert(t, !plan.Placements[0].Borrowed, "placed inside the guarantee, where it is not stopped")
 	s.Objectives = model.Objectives{CompletionTime: 0.3, Fragmentation: 0.7}
 	plan = Decide(s)
-	assert.Assert(t, plan.Placements[0].Borrowed, "beside the other, so that workers stay whole")
+	assert.Assert(t, plan.Placements[0].Borrowed, "placed on the partly used worker, so that whole workers stay free")
 	assert.Equal(t, plan.Placements[0].Tasks[0].Worker, "r00-w00")
 }
 
 func TestFragmentation(t *testing.T) {
 	s := testSnapshot(1, 2, testAccount("a", 1, 2))
 	assert.Equal(t, Fragmentation(s), 0.0)
-	s.Gangs = []model.Gang{running(testJob("r", "a", 1, 1), time.Hour, true, on("r00-w00", 1, 1))}
+	s.Gangs = []model.Gang{runningGang(testJob("r", "a", 1, 1), time.Hour, true, placedOn("r00-w00", 1, 1))}
 	assert.Equal(t, Fragmentation(s), 1.0, "no shape of two whole workers is left")
 	s.Waiting = []model.Job{testJob("small", "a", 1, 4)}
-	assert.Equal(t, Fragmentation(s), 3.0/15, "4 of 7 and 8 of 8 take part in the small shape")
+	assert.Equal(t, Fragmentation(s), 3.0/15, "the small shape can use 4 of 7 and 8 of 8")
 }
 
-// TestCancellationWaveCostsNoTurn checks that thousands of jobs that will be
-// cancelled do not delay a claim, and that their going frees nothing else.
-func TestCancellationWaveCostsNoTurn(t *testing.T) {
+// TestMassCancellationDoesNotDelayAClaim checks that thousands of waiting jobs that
+// will be cancelled do not delay a claim, and that their removal does not change its
+// placement.
+func TestMassCancellationDoesNotDelayAClaim(t *testing.T) {
 	s := testSnapshot(2, 8, testAccount("a", 1, 2), model.ClientAccount{Name: "c"})
 	for i := range 5000 {
 		s.Waiting = append(s.Waiting, testJob(fmt.Sprintf("wave%04d", i), "c", 1, 1))
 	}
-	s = apply(s, Decide(s))
-	claim := with(testJob("claim", "a", 2, 8), func(j *model.Job) { j.Urgent = true })
+	s = applyPlan(s, Decide(s))
+	claim := modified(testJob("claim", "a", 2, 8), func(j *model.Job) { j.Urgent = true })
 	s.Waiting = append(s.Waiting, claim)
 	plan := Decide(s)
 	assert.Assert(t, len(plan.Reclaims) > 0)
-	s = stopped(apply(s, plan))
+	s = completeStops(applyPlan(s, plan))
 	assert.DeepEqual(t, placedIDs(Decide(s)), []string{"claim"})
 	s.Waiting = []model.Job{claim}
 	assert.DeepEqual(t, placedIDs(Decide(s)), []string{"claim"})
 }
 
-// TestFreedRegionIsNotBorrowedAgain is a fault that the harness showed: the
-// borrower that was stopped for a claim was started again on the freed
-// accelerators, because its account's turn came first, and stopped again.
+// TestFreedRegionIsNotBorrowedAgain guards against a fault found by the harness: a
+// borrower that was stopped for a claim was started again on the freed accelerators,
+// because its account was served first, and was stopped again.
 func TestFreedRegionIsNotBorrowedAgain(t *testing.T) {
 	s := testSnapshot(1, 2, testAccount("a", 1, 1), testAccount("b", 1, 1))
 	s.Gangs = []model.Gang{
-		running(with(testJob("fixed", "a", 1, 4), func(j *model.Job) { j.Urgent = true }), time.Hour, false, on("r00-w00", 1, 4)),
-		running(testJob("other", "b", 1, 2), time.Hour, true, on("r00-w01", 1, 2)),
-		running(testJob("borrower", "b", 1, 2), time.Hour, true, on("r00-w00", 1, 2)),
-		running(testJob("rest", "b", 1, 2), time.Hour, true, on("r00-w00", 1, 2)),
+		runningGang(modified(testJob("fixed", "a", 1, 4), func(j *model.Job) { j.Urgent = true }), time.Hour, false, placedOn("r00-w00", 1, 4)),
+		runningGang(testJob("other", "b", 1, 2), time.Hour, true, placedOn("r00-w01", 1, 2)),
+		runningGang(testJob("borrower", "b", 1, 2), time.Hour, true, placedOn("r00-w00", 1, 2)),
+		runningGang(testJob("rest", "b", 1, 2), time.Hour, true, placedOn("r00-w00", 1, 2)),
 	}
 	s.Objectives = model.Objectives{CompletionTime: 0.3, Fragmentation: 0.7}
-	s.Waiting = []model.Job{with(testJob("claim", "a", 1, 4), func(j *model.Job) { j.Urgent = true })}
+	s.Waiting = []model.Job{modified(testJob("claim", "a", 1, 4), func(j *model.Job) { j.Urgent = true })}
 	for _, job := range s.Gangs[2:] {
 		assert.Assert(t, job.Borrowed)
 	}
-	s = stopped(apply(s, Decide(s)))
+	s = completeStops(applyPlan(s, Decide(s)))
 	s.Waiting = append(s.Waiting, testJob("borrower", "b", 1, 2), testJob("rest", "b", 1, 2))
 	ids := placedIDs(Decide(s))
 	assert.Assert(t, len(ids) > 0 && ids[0] == "claim", "placed %v", ids)
 }
 
-// TestUrgentJobBorrowsWhatIsReserved is a scenario that the harness showed: an
-// urgent job that its account's own gangs kept out of the guarantee waited
-// beside free accelerators that were reserved for a large gang.
-func TestUrgentJobBorrowsWhatIsReserved(t *testing.T) {
+// TestUrgentJobBorrowsReservedAccelerators guards against a fault found by the
+// harness: an urgent job that the gangs of its own account kept out of the guarantee
+// waited although accelerators were free, because these were reserved for a large
+// gang.
+func TestUrgentJobBorrowsReservedAccelerators(t *testing.T) {
 	s := testSnapshot(1, 4, testAccount("a", 2, 1), model.ClientAccount{Name: "c"})
 	urgent := func(id string, tasks, perTask int, stoppable bool) model.Job {
-		return with(testJob(id, "a", tasks, perTask), func(j *model.Job) {
+		return modified(testJob(id, "a", tasks, perTask), func(j *model.Job) {
 			j.Urgent, j.Idempotent, j.Checkpointable = true, stoppable, stoppable
 		})
 	}
 	s.Gangs = []model.Gang{
-		running(urgent("x", 1, 1, true), time.Hour, false, on("r00-w00", 1, 1)),
-		running(urgent("y", 1, 1, false), time.Hour, false, on("r00-w01", 1, 1)),
-		running(testJob("z", "c", 1, 8), time.Hour, true, on("r00-w02", 1, 8)),
+		runningGang(urgent("x", 1, 1, true), time.Hour, false, placedOn("r00-w00", 1, 1)),
+		runningGang(urgent("y", 1, 1, false), time.Hour, false, placedOn("r00-w01", 1, 1)),
+		runningGang(testJob("z", "c", 1, 8), time.Hour, true, placedOn("r00-w02", 1, 8)),
 	}
-	large := with(testJob("large", "c", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-9 * time.Hour) })
+	large := modified(testJob("large", "c", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-9 * time.Hour) })
 	s.Waiting = []model.Job{large, urgent("claim", 1, 8, true)}
 	assert.DeepEqual(t, placedIDs(Decide(s)), []string{"claim"})
 }
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -1,7 +1,8 @@
-// Package placement decides which gangs start where, which are stopped to give
-// a guarantee back, and which jobs are refused. It is a pure function from a
-// snapshot to a plan: no clock, network or randomness of its own. The placer
-// applies a plan, and checks placements that cannot be undone again (see Recheck).
+// Package placement decides which gangs start where, which gangs are stopped to return
+// guaranteed capacity to its account, and which jobs are refused. It is a pure
+// function from a snapshot to a plan and uses no clock, network or randomness. The
+// placer applies a plan, and checks again the placements that cannot be undone (see
+// Recheck).
 package placement
 
 import (
@@ -12,18 +13,20 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// Snapshot is everything a placement decision depends on. Decide does not
-// change it and keeps no reference to it.
+// Snapshot is the complete input of a placement decision. Decide neither modifies it
+// nor keeps a reference to it.
 type Snapshot struct {
 	Now  time.Time
 	Zone string
-	// Workers are the zone's workers, in any state of health.
+	// Workers are the workers of the zone, whatever their health.
 	Workers []model.Worker
-	// Gangs hold accelerators: reserving, starting, running or stopping.
+	// Gangs are the gangs that hold accelerators: reserving, starting, running or
+	// stopping.
 	Gangs []model.Gang
-	// Waiting are the jobs that hold nothing, in order of submission.
+	// Waiting are the jobs that hold no accelerators, in submission order.
 	Waiting []model.Job
-	// Kept is what the plan before kept for claims that wait for others to end.
+	// Kept are the regions that the previous plan kept for claims that wait for other
+	// gangs to stop.
 	Kept       []Kept
 	Accounts   []model.ClientAccount
 	Objectives model.Objectives
@@ -31,52 +34,55 @@
 	Runs estimate.Source
 }
 
-// Plan is what Decide wants done.
+// Plan is the result of Decide.
 type Plan struct {
-	// Placements are to be reserved and started now.
+	// Placements are the gangs to reserve accelerators for and start now.
 	Placements []Placement
-	// Reclaims are gangs to be stopped so that another account gets its
-	// guarantee, or an urgent job of their own account. The freed accelerators are placed by a later plan.
+	// Reclaims are the gangs to stop so that another account gets its guarantee, or so
+	// that an urgent job of the same account can start. A later plan places jobs on
+	// the freed accelerators.
 	Reclaims []Reclaim
-	// Kept are the regions that claims wait for; the next snapshot has them.
+	// Kept are the regions that claims wait for. The next snapshot must contain them.
 	Kept []Kept
-	// Refusals are jobs to be ended with not_run.
+	// Refusals are the jobs to end with not_run.
 	Refusals []Refusal
-	// Decisions has one entry for each of the above.
+	// Decisions has one entry for each item above.
 	Decisions []api.Decision
-	// AtRisk says, by client account, why a guaranteed shape cannot be given
-	// even by stopping every borrower (for example lost workers).
+	// AtRisk maps a client account to the reason why one of its guaranteed shapes
+	// cannot be provided even if every borrower is stopped, for example because
+	// workers were lost.
 	AtRisk map[string]string
 }
 
-// Placement is one gang and where its tasks go.
+// Placement assigns the tasks of one gang to workers.
 type Placement struct {
 	JobID string
 	Tasks []api.TaskPlacement
-	// Borrowed says that the gang goes beyond its account's guarantee.
+	// Borrowed is true if the gang exceeds the guarantee of its account.
 	Borrowed bool
-	// ExpectedEnd is the corrected estimate.
+	// ExpectedEnd is the end of the run according to the corrected run time.
 	ExpectedEnd time.Time
 }
 
-// Method is how a gang gives its accelerators back, from cheap to costly.
+// Method is the way in which a gang returns its accelerators.
 type Method string
 
-// The methods. Throttling alone frees nothing at once: it comes first where a
-// checkpoint follows, to let the checkpoint finish in time.
+// The methods, from cheap to costly. Throttling alone frees nothing immediately. It
+// precedes a checkpoint so that the checkpoint finishes in time.
 const (
 	MethodCheckpoint Method = "checkpoint"
 	MethodStop       Method = "stop"
 )
 
-// Reclaim is one gang that must give its accelerators back.
+// Reclaim orders one gang to return its accelerators.
 type Reclaim struct {
-	// JobID is the gang's job.
+	// JobID is the job of the gang to stop.
 	JobID string
-	// For is the waiting job that claims its guarantee.
+	// For is the ID of the waiting job that claims its guarantee.
 	For    string
 	Method Method
-	// Within bounds the method; after it, the gang is stopped outright.
+	// Within is the time limit of the method. After it, the gang is stopped without a
+	// checkpoint.
 	Within time.Duration
 }
 
--- a/internal/placement/zone.go
+++ b/internal/placement/zone.go
@@ -7,31 +7,31 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// zone is an availability zone's workers in the order of their racks, with
-// dense indices, so that every count of accelerators is a vector by worker.
+// zone is the workers of an availability zone in the order of their racks, with dense
+// indices, so that every count of accelerators is a vector indexed by worker.
 type zone struct {
 	workers []model.Worker
 	index   map[string]int
 	racks   []rack
 	// capacity is zero for a worker that takes no new tasks.
 	capacity []int
-	// firstFit takes the first rack and workers that fit. See Off.
+	// firstFit takes the first rack and workers that fit; see Off.BestFit.
 	firstFit bool
 }
 
-// rack is a run of workers: those with first <= index < end.
+// rack is a contiguous range of workers: those with first <= index < end.
 type rack struct {
 	first, end int
 }
 
-// part is a number of a gang's tasks on one worker.
+// part is a number of tasks of a gang on one worker.
 type part struct {
 	worker, tasks int
 }
 
-// newZone orders the workers. With everyWorker, workers in any state of health
-// count as capacity; else only those that take new tasks.
-func newZone(workers []model.Worker, everyWorker bool) *zone {
+// newZone sorts the workers by rack and ID. With includeUnavailable, workers in any
+// state of health count as capacity, otherwise only those that take new tasks.
+func newZone(workers []model.Worker, includeUnavailable bool) *zone {
 	z := &zone{workers: append([]model.Worker(nil), workers...), index: make(map[string]int, len(workers))}
 	sort.Slice(z.workers, func(i, j int) bool {
 		a, b := &z.workers[i], &z.workers[j]
@@ -44,7 +44,7 @@
 	for i := range z.workers {
 		w := &z.workers[i]
 		z.index[w.ID] = i
-		if everyWorker || w.Takes() {
+		if includeUnavailable || w.Takes() {
 			z.capacity[i] = w.Accelerators
 		}
 		if i == 0 || w.Rack != z.workers[i-1].Rack {
@@ -55,12 +55,12 @@
 	return z
 }
 
-// vector returns a zero vector by worker.
-func (z *zone) vector() []int { return make([]int, len(z.workers)) }
+// zeroVector returns a zero vector with one entry for each worker.
+func (z *zone) zeroVector() []int { return make([]int, len(z.workers)) }
 
-// holding turns a gang's placements into parts. Tasks on workers that are no
-// longer known are left out.
-func (z *zone) holding(placements []api.TaskPlacement) []part {
+// partsOf converts the placements of a gang to parts. Tasks on unknown workers are
+// omitted.
+func (z *zone) partsOf(placements []api.TaskPlacement) []part {
 	parts := make([]part, 0, len(placements))
 	for _, placement := range placements {
 		if worker, ok := z.index[placement.Worker]; ok {
@@ -70,7 +70,7 @@
 	return parts
 }
 
-// placements turns parts into the messages of a plan.
+// placements converts parts to the placements of a plan.
 func (z *zone) placements(parts []part, shape api.Shape) []api.TaskPlacement {
 	tasks := make([]api.TaskPlacement, 0, len(parts))
 	for _, p := range parts {
@@ -83,9 +83,9 @@
 	return tasks
 }
 
-// add adds the parts of a gang with perTask accelerators a task to a vector;
-// a negative perTask takes them away.
-func add(vector []int, parts []part, perTask int) {
+// addParts adds the parts of a gang with perTask accelerators per task to a vector. A
+// negative perTask subtracts them.
+func addParts(vector []int, parts []part, perTask int) {
 	for _, p := range parts {
 		vector[p.worker] += p.tasks * perTask
 	}
--- a/internal/reclaim/reclaim.go
+++ b/internal/reclaim/reclaim.go
@@ -1,16 +1,15 @@
-// Package reclaim decides which borrowing gangs are stopped so that a client
-// account gets its guarantee back, how, and within which time. It is pure.
+// Package reclaim selects the borrowing gangs to stop so that a client account gets
+// its guarantee back, the method and the time limit. It is pure.
 //
-// It answers accounts that claim their guarantee while others borrow it.
-// Without it a claim waits for the end of work that takes hours, or stops far
-// more work than it needs. A checkpoint loses nothing and is tried first; a
-// stop loses the work since the last checkpoint.
+// Without it an account that claims its guarantee while others borrow it waits for the
+// end of work that takes hours, or stops far more work than it needs. A checkpoint
+// loses nothing and is tried first; a stop loses the work since the last checkpoint.
 //
-// A checkpoint and the stop that follows one that did not finish have limits whose
-// sum leaves time, of what urgent work may wait, for the decision, the reservation
-// and the start. Work that is not urgent
-// has the same limits: an urgent claim may find the region it needs already
-// being freed for another, and then waits for that one's limits.
+// The time limits of a checkpoint and of the stop that follows an unfinished
+// checkpoint add up to less than UrgentStart, so that time remains for the decision,
+// the reservation and the start. Gangs stopped for jobs that are not urgent have the
+// same limits, because an urgent claim may find that the region it needs is already
+// being freed for another job and then has to wait for the limits of that reclaim.
 package reclaim
 
 import (
@@ -21,68 +20,70 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// The time limits of the steps.
+// Time limits of a reclaim.
 const (
-	// UrgentStart is the longest that urgent work within its guarantee waits.
+	// UrgentStart is the maximum time that urgent work within its guarantee waits for
+	// its start.
 	UrgentStart = 7200 * time.Millisecond
-	// CheckpointWithin bounds a checkpoint, StopWithin the stop.
-	CheckpointWithin = 4000 * time.Millisecond
-	StopWithin       = 1500 * time.Millisecond
+	// CheckpointTimeout bounds a checkpoint, StopTimeout a stop.
+	CheckpointTimeout = 4000 * time.Millisecond
+	StopTimeout       = 1500 * time.Millisecond
 )
 
-// startCost is the cost of stopping any gang, in accelerator-seconds for each
+// restartCost is the cost of stopping any gang, in accelerator-seconds per
 // accelerator: a restarted gang repeats its start-up of about half a minute.
-const startCost = 30.0
+const restartCost = 30.0
 
-// Victim is a borrowing gang and how many of its accelerators are wanted on the
-// worker at hand.
+// Victim is a borrowing gang that may be stopped to free accelerators on a given
+// worker.
 type Victim struct {
 	Gang *model.Gang
-	// Index is the caller's name for the gang.
+	// Index identifies the gang for the caller.
 	Index int
-	// Here counts the gang's accelerators on the worker at hand.
-	Here int
+	// OnWorker is the number of the gang's accelerators on the given worker.
+	OnWorker int
 }
 
-// Cost returns what stopping a gang at a time loses, in accelerator-seconds.
-// Gangs that were stopped before cost more, so that the same is not stopped
-// over and over.
+// Cost returns the loss from stopping a gang at the given time, in
+// accelerator-seconds. Gangs that were stopped before cost more, so that the same gang
+// is not stopped repeatedly.
 func Cost(gang *model.Gang, now time.Time) float64 {
 	size := float64(gang.Job.Shape.Accelerators() * (1 + gang.Job.Attempt))
 	if gang.Job.Checkpointable {
-		return size * startCost
+		return size * restartCost
 	}
-	return size * (startCost + max(0, now.Sub(gang.StartedAt).Seconds()))
+	return size * (restartCost + max(0, now.Sub(gang.StartedAt).Seconds()))
 }
 
-// Cheapest returns the victims to stop so that at least want accelerators come
-// free on the worker at hand, by rising cost for each accelerator freed here.
-// It then drops those that the later ones made needless. It returns nil if all
-// together do not suffice. The order of victims is changed.
+// Cheapest returns the victims to stop so that at least want accelerators become free
+// on the given worker. It selects them by rising cost per accelerator freed there,
+// then drops those that later ones made redundant. It returns nil if all victims
+// together do not suffice. It reorders victims.
 func Cheapest(victims []Victim, want int, now time.Time) []Victim {
 	slices.SortStableFunc(victims, func(a, b Victim) int {
-		return cmp.Compare(Cost(a.Gang, now)/float64(a.Here), Cost(b.Gang, now)/float64(b.Here))
+		return cmp.Compare(Cost(a.Gang, now)/float64(a.OnWorker), Cost(b.Gang, now)/float64(b.OnWorker))
 	})
 	freed, count := 0, 0
 	for count < len(victims) && freed < want {
-		freed += victims[count].Here
+		freed += victims[count].OnWorker
 		count++
 	}
 	if freed < want {
 		return nil
 	}
-	return dropNeedless(victims[:count], freed-want)
+	return dropRedundant(victims[:count], freed-want)
 }
 
-// dropNeedless leaves out, the costliest first, victims that the surplus covers.
-func dropNeedless(victims []Victim, surplus int) []Victim {
-	kept := make([]Victim, 0, len(victims))
+// dropRedundant returns the victims without those that the surplus covers, considering
+// the costliest first.
+func dropRedundant(victims []Victim, surplus int) []Victim {
+	needed := make([]Victim, 0, len(victims))
 	for i := len(victims) - 1; i >= 0; i-- {
-		if victims[i].Here <= surplus {
-			surplus -= victims[i].Here
+		if victims[i].OnWorker <= surplus {
+			surplus -= victims[i].OnWorker
 			continue
 		}
-		kept = append(kept, victims[i])
+		needed = append(needed, victims[i])
 	}
-	return kept
+	return needed
 }
--- a/internal/reclaim/reclaim_test.go
+++ b/internal/reclaim/reclaim_test.go
@@ -12,39 +12,39 @@
 
 var now = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-func victim(id string, tasks, here int, ran time.Duration, checkpointable bool) Victim {
+func newVictim(id string, tasks, onWorker int, ran time.Duration, checkpointable bool) Victim {
 	job := model.Job{ID: id, Shape: api.Shape{Tasks: tasks, AcceleratorsPerTask: 1}, Checkpointable: checkpointable, Idempotent: true}
-	return Victim{Gang: &model.Gang{Job: job, StartedAt: now.Add(-ran)}, Here: here}
+	return Victim{Gang: &model.Gang{Job: job, StartedAt: now.Add(-ran)}, OnWorker: onWorker}
 }
 
 func TestCheapest(t *testing.T) {
 	cases := map[string]struct {
-		victims []Victim
-		want    int
-		stopped []string
+		victims     []Victim
+		want        int
+		wantStopped []string
 	}{
 		"a checkpoint is cheaper than a stop": {
-			[]Victim{victim("stop", 4, 4, time.Hour, false), victim("checkpoint", 4, 4, time.Hour, true)},
+			[]Victim{newVictim("stop", 4, 4, time.Hour, false), newVictim("checkpoint", 4, 4, time.Hour, true)},
 			4,
 			[]string{"checkpoint"},
 		},
-		"young work is cheaper than old": {
-			[]Victim{victim("old", 4, 4, time.Hour, false), victim("young", 4, 4, time.Minute, false)},
+		"recently started work is cheaper than old work": {
+			[]Victim{newVictim("old", 4, 4, time.Hour, false), newVictim("young", 4, 4, time.Minute, false)},
 			4,
 			[]string{"young"},
 		},
-		"a gang that lies here whole is cheaper than one spread widely": {
-			[]Victim{victim("wide", 64, 4, 0, true), victim("whole", 4, 4, 0, true)},
+		"a gang on this worker only is cheaper than a widely spread one": {
+			[]Victim{newVictim("wide", 64, 4, 0, true), newVictim("whole", 4, 4, 0, true)},
 			4,
 			[]string{"whole"},
 		},
-		"a small victim that a later one made needless is spared": {
-			[]Victim{victim("small", 1, 1, 0, true), victim("large", 8, 8, time.Minute, false)},
+		"a small victim that a later one made redundant is not stopped": {
+			[]Victim{newVictim("small", 1, 1, 0, true), newVictim("large", 8, 8, time.Minute, false)},
 			8,
 			[]string{"large"},
 		},
-		"too few accelerators give nothing": {
-			[]Victim{victim("a", 2, 2, 0, true)},
+		"too few accelerators yield no victims": {
+			[]Victim{newVictim("a", 2, 2, 0, true)},
 			4, nil,
 		},
 	}
@@ -54,11 +54,11 @@
 			for _, v := range Cheapest(c.victims, c.want, now) {
 				got = append(got, v.Gang.Job.ID)
 			}
-			assert.DeepEqual(t, got, c.stopped)
+			assert.DeepEqual(t, got, c.wantStopped)
 		})
 	}
 }
 
 func TestLimitsLeaveTimeToStartUrgentWork(t *testing.T) {
-	assert.Assert(t, CheckpointWithin+StopWithin < UrgentStart-time.Second)
+	assert.Assert(t, CheckpointTimeout+StopTimeout < UrgentStart-time.Second)
 }
