--- a/internal/deployment/accept.go
+++ b/internal/deployment/accept.go
@@ -15,55 +15,55 @@
 )
 
 const (
-	// retryPause is the pause between two tries of a store call that may have
-	// been performed.
+	// retryPause is the delay between attempts of a store call that may already have
+	// taken effect.
 	retryPause = 60 * time.Millisecond
-	// comeBackSoonest and comeBackLatest bound when to come back while the store
-	// is away.
-	comeBackSoonest = 1 * time.Second
-	comeBackLatest  = 3 * time.Second
+	// minRetryAfter and maxRetryAfter bound the Retry-After sent while the store is
+	// unreachable.
+	minRetryAfter = 1 * time.Second
+	maxRetryAfter = 3 * time.Second
 )
 
-// comeBack is when to come back while the store is away. It answers outages of
-// unknown length and callers with few tries: what has lasted for a while will
-// likely last as long again, so the tries are spread over about twice the outage
-// so far. With the same second each time, four tries are over before an outage
-// of five seconds is. But a caller that has only left so much time to wait comes
-// back often enough to be there soon after the store is: told to wait for three
-// seconds, callers with a deadline of three never came back.
-func comeBack(away, left time.Duration) time.Duration {
-	return max(comeBackSoonest, min(away, comeBackLatest, left/comeBackTries))
+// retryAfterOutage returns the Retry-After sent while the store is unreachable. The
+// length of an outage is unknown and callers make few attempts. An outage that has
+// lasted for some time will likely last as long again, so the attempts are spread over
+// about twice the outage so far; at a constant one second, four attempts are over
+// before an outage of five seconds is. The delay also shrinks with the time that the
+// caller has left, so that it retries soon after the store recovers: with a delay of
+// three seconds, callers with a deadline of three seconds never came back.
+func retryAfterOutage(outage, timeLeft time.Duration) time.Duration {
+	return max(minRetryAfter, min(outage, maxRetryAfter, timeLeft/retriesInTimeLeft))
 }
 
-// comeBackTries is how often a caller should be able to come back in the time that it
-// has left.
-const comeBackTries = 3
+// retriesInTimeLeft is how many retries should fit into the time that a caller has
+// left.
+const retriesInTimeLeft = 3
 
-func (i *Instance) comeBack(ctx context.Context) time.Duration {
-	if !i.settings.Tuning.has(mechRetryAfter) {
-		return comeBackSoonest
+func (i *Instance) retryAfter(ctx context.Context) time.Duration {
+	if !i.settings.Tuning.enabled(mechRetryAfter) {
+		return minRetryAfter
 	}
-	left := comeBackTries * comeBackLatest
+	timeLeft := retriesInTimeLeft * maxRetryAfter
 	if deadline, ok := ctx.Deadline(); ok {
-		left = time.Until(deadline)
+		timeLeft = time.Until(deadline)
 	}
-	return comeBack(i.store.away(), left)
+	return retryAfterOutage(i.store.outageDuration(), timeLeft)
 }
 
-// Caller is who asks, for what queue, and until when.
+// Caller identifies the queue and the client account of a request.
 type Caller struct {
 	Queue   *workload.Queue
 	Account string
 }
 
-// Admit finds the queue of a host and path, and the client account of a key.
-// It returns the rest of the path.
+// Admit finds the queue of a host and path and the client account of a key. It returns
+// the rest of the path.
 func (i *Instance) Admit(host, path, key string) (Caller, string, error) {
 	config := i.configuration.Load()
 	if config == nil {
 		return Caller{}, "", api.NewError(api.KindNotReady, "no configuration yet")
 	}
-	queue := queueOf(config, host, path)
+	queue := findQueue(config, host, path)
 	if queue == nil {
 		return Caller{}, "", api.NewError(api.KindNotFound, "no queue for host %q and path %q", host, path)
 	}
@@ -76,8 +76,8 @@
 	return caller, path[len(queue.Prefix):], nil
 }
 
-// queueOf returns the queue with the longest prefix of the path.
-func queueOf(config *workload.Configuration, host, path string) *workload.Queue {
+// findQueue returns the queue of the host with the longest prefix of the path, or nil.
+func findQueue(config *workload.Configuration, host, path string) *workload.Queue {
 	var best *workload.Queue
 	for n := range config.Queues {
 		q := &config.Queues[n]
@@ -88,7 +88,8 @@
 	return best
 }
 
-// MaxBodyBytes bounds a body; zero where the configuration does not.
+// MaxBodyBytes returns the limit on the size of a request body, or zero if the
+// configuration sets none.
 func (i *Instance) MaxBodyBytes() int64 {
 	if config := i.configuration.Load(); config != nil {
 		return config.MaxBodyBytes
@@ -96,18 +97,18 @@
 	return 0
 }
 
-// Submit accepts a job: it returns nil once the store has it. An error of a
-// kind that is answered with "come back" means that the job was not accepted
-// and never runs; KindResultUnknown that it may have been accepted.
+// Submit accepts a job. It returns nil once the store has the job. An error that is
+// answered with a Retry-After means that the job was not accepted and never runs;
+// KindResultUnknown means that it may have been accepted.
 func (i *Instance) Submit(ctx context.Context, caller Caller, job *workload.Job) error {
 	job.Queue, job.Account = caller.Queue.Name, caller.Account
 	job.AcceptedMS = time.Now().UnixMilli()
-	began := time.Now()
+	start := time.Now()
 	err := i.submit(ctx, caller, job)
-	metrics.GetOrCreateHistogram(`corianderbank_deployment_accept_seconds{error_kind="` + kindName(err) + `"}`).UpdateDuration(began)
+	metrics.GetOrCreateHistogram(`corianderbank_deployment_accept_seconds{error_kind="` + kindName(err) + `"}`).UpdateDuration(start)
 	q := caller.Queue
 	i.logger.Info("submit", zap.String("job", job.ID), zap.String("queue", job.Queue), zap.String("client_account", job.Account),
-		zap.Int("priority", q.Priority), zap.Float64("stretch", q.Stretch), zap.Int64("grace_ms", q.GraceMS), zap.Int64("took_ms", time.Since(began).Milliseconds()),
+		zap.Int("priority", q.Priority), zap.Float64("stretch", q.Stretch), zap.Int64("grace_ms", q.GraceMS), zap.Int64("took_ms", time.Since(start).Milliseconds()),
 		zap.Int64("config_version", i.configVersion()), zap.String("error_kind", kindName(err)), zap.Error(err))
 	metrics.GetOrCreateCounter(`corianderbank_deployment_submits_total{error_kind="` + kindName(err) + `"}`).Inc()
 	return err
@@ -125,7 +126,7 @@
 		return api.NewError(api.KindNotReady, "queue %s needs a placement advisor and the settings name none", caller.Queue.Name)
 	}
 	if known, ok := i.replica.get(job.ID); ok {
-		return sameJob(known.job, job)
+		return checkResubmission(known.job, job)
 	}
 	key := jobPrefix + job.ID
 	row := workload.Row{Key: key, Value: encode(job)}
@@ -135,30 +136,31 @@
 		for _, existing := range rows {
 			var accepted workload.Job
 			if existing.Key == key && json.Unmarshal(existing.Value, &accepted) == nil {
-				return sameJob(&accepted, job)
+				return checkResubmission(&accepted, job)
 			}
 		}
 		return api.NewError(api.KindResultUnknown, "the store refused the job and showed no row")
 	})
 }
 
-// sameJob answers a submission of an id that was accepted before.
-func sameJob(accepted, sent *workload.Job) error {
+// checkResubmission returns the result of submitting an id that was accepted before: a
+// conflict if the id belongs to another client account.
+func checkResubmission(accepted, sent *workload.Job) error {
 	if accepted.Account != sent.Account {
 		return api.NewError(api.KindConflict, "the id belongs to another client account's job")
 	}
 	return nil
 }
 
-// writeOnce makes a conditional write until its result is known, the caller's time
-// is up, or this instance is cut off: the caller can ask another one. An answer that
-// is missing is no refusal: the write is repeated, and its own effect is met as a
-// conflict.
+// writeOnce repeats a conditional write until its result is known, the caller's
+// deadline expires, or this instance is cut off and the caller can ask another one. A
+// missing answer is not a refusal: the write is repeated, and if the first attempt took
+// effect, the repetition reports a conflict.
 func (i *Instance) writeOnce(ctx context.Context, write workload.Write, conflict func([]workload.Row) error) error {
-	if i.cut.cut() {
-		return i.refuseCutOff()
+	if i.partition.isCutOff() {
+		return i.cutOffError()
 	}
-	ctx, cancel := i.cut.guard(ctx)
+	ctx, cancel := i.partition.guard(ctx)
 	defer cancel()
 	unknown := false
 	for {
@@ -172,15 +174,15 @@
 				write.Put[n].Version = written.Version
 			}
 			i.replica.apply(write.Put)
-			i.tellLeader(write.Put)
+			i.notifyLeader(write.Put)
 			return nil
 		}
 		unknown = unknown || errors.Is(err, workload.ErrUnknown)
 		if !unknown && errors.Is(context.Cause(ctx), errCutOff) {
-			return i.refuseCutOff()
+			return i.cutOffError()
 		}
 		if !unknown {
-			return api.WithRetryAfter(api.NewError(api.KindStoreUnavailable, "the store was not reached: %w", err), i.comeBack(ctx))
+			return api.WithRetryAfter(api.NewError(api.KindStoreUnavailable, "the store was not reached: %w", err), i.retryAfter(ctx))
 		}
 		if pause(ctx, retryPause); ctx.Err() != nil {
 			return api.NewError(api.KindResultUnknown, "the store's answer is missing: %w: %w", context.Cause(ctx), err)
@@ -188,9 +190,10 @@
 	}
 }
 
-// find returns a job of the caller's queue; KindGone if the store has none.
-func (i *Instance) find(ctx context.Context, caller Caller, id string) (JobState, error) {
-	view, err := i.view(ctx, id)
+// findJob returns the state of a job of the caller's client account, or KindGone if
+// there is none.
+func (i *Instance) findJob(ctx context.Context, caller Caller, id string) (JobState, error) {
+	view, err := i.lookupJob(ctx, id)
 	switch {
 	case err != nil:
 		return "", err
@@ -202,12 +205,12 @@
 	return view.state, nil
 }
 
-// State returns a job's state.
+// State returns the state of a job.
 func (i *Instance) State(ctx context.Context, caller Caller, id string) (JobState, error) {
-	return i.find(ctx, caller, id)
+	return i.findJob(ctx, caller, id)
 }
 
-// Pending returns the number of the queue's jobs of which no task has started.
+// Pending returns the number of jobs of the queue of which no task has started.
 func (i *Instance) Pending(caller Caller) int64 {
 	if i.replica.isLoaded() {
 		return i.counts.of(i.replica, bootTime())[caller.Queue.Name]
@@ -215,9 +218,9 @@
 	return i.peers.latest().pending[caller.Queue.Name]
 }
 
-// Cancel cancels a job: it returns nil once the store has it.
+// Cancel cancels a job. It returns nil once the store has the cancellation.
 func (i *Instance) Cancel(ctx context.Context, caller Caller, id string) error {
-	state, err := i.find(ctx, caller, id)
+	state, err := i.findJob(ctx, caller, id)
 	if err == nil && state != StateCancelled && state != StateCompleted && state != StateFailed {
 		key := cancelPrefix + id
 		err = i.writeOnce(ctx, workload.Write{
--- a/internal/deployment/announce.go
+++ b/internal/deployment/announce.go
@@ -8,24 +8,26 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file answers outages of the store. A job ends when its workers say so, and is
-// shown so once its record is stored; with the store away for four seconds every job
-// that ended meanwhile was shown late. So the leader announces the ends that it cannot
-// store to all instances. They show them, and whichever of them schedules next writes
-// them. The workers list these ends until they are stored, so a leader that heard no
-// announcement learns of them as well, unless the worker is gone too.
+// This file announces completions that the store cannot take yet. A job ends when its
+// workers report so, but callers see that only once its record is stored: with the
+// store unreachable for four seconds, every job that ended in that time was shown late.
+// The leader therefore announces the completions that it cannot store to all instances.
+// They show them, and whichever of them leads next stores them. Workers list these
+// completions until they are stored, so a leader that received no announcement learns
+// of them as well, unless the worker is gone too.
 
 const (
-	// sourceAnnounced marks rows of a peer's note as records that are not stored yet.
+	// sourceAnnounced marks the rows in a peer's message as records that are not stored
+	// yet.
 	sourceAnnounced workload.Source = "announced"
-	// announceAfter is how long a record may wait for the store before its end is
-	// announced: a slow store takes a quarter of a second.
+	// announceAfter is how long a record may wait for the store before its completion
+	// is announced. A slow store takes a quarter of a second.
 	announceAfter = 150 * time.Millisecond
 )
 
-// announce tells all instances of ends that the store has not taken.
-func (c *leader) announce() {
-	if !c.instance.settings.Tuning.has(mechAnnouncements) {
+// announceCompletions sends completions that are not stored yet to all instances.
+func (c *leader) announceCompletions() {
+	if !c.instance.settings.Tuning.enabled(mechAnnouncements) {
 		return
 	}
 	var rows []workload.Row
@@ -40,6 +42,6 @@
 	if len(rows) == 0 {
 		return
 	}
-	c.instance.replica.announce(rows)
-	c.instance.passOn(sourceAnnounced, rows)
+	c.instance.replica.applyAnnounced(rows)
+	c.instance.sendToHubs(sourceAnnounced, rows)
 }
--- a/internal/deployment/announce_test.go
+++ b/internal/deployment/announce_test.go
@@ -22,29 +22,29 @@
 		want      JobState
 		rewrite   bool
 	}{
-		"shown before it is stored":            {dispatch.FinalCompleted, nil, StateCompleted, true},
-		"an older record that comes late":      {dispatch.FinalCompleted, []workload.Row{recordRow("a", "", 4)}, StateCompleted, true},
-		"the store has it":                     {dispatch.FinalCompleted, []workload.Row{recordRow("a", dispatch.FinalCompleted, 4)}, StateCompleted, false},
-		"the store has another: it goes first": {dispatch.FinalCompleted, []workload.Row{recordRow("a", dispatch.FinalCancelled, 4)}, StateCancelled, false},
-		"an announcement without an end":       {"", nil, StateQueued, false},
+		"shown before it is stored":                         {dispatch.FinalCompleted, nil, StateCompleted, true},
+		"an older record that arrives late":                 {dispatch.FinalCompleted, []workload.Row{recordRow("a", "", 4)}, StateCompleted, true},
+		"already stored":                                    {dispatch.FinalCompleted, []workload.Row{recordRow("a", dispatch.FinalCompleted, 4)}, StateCompleted, false},
+		"the store has another one, which takes precedence": {dispatch.FinalCompleted, []workload.Row{recordRow("a", dispatch.FinalCancelled, 4)}, StateCancelled, false},
+		"an announcement without a final state":             {"", nil, StateQueued, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newReplica(zap.NewNop())
 			r.apply([]workload.Row{jobRow("a", 1)})
-			r.announce([]workload.Row{announced("a", c.announced)})
+			r.applyAnnounced([]workload.Row{announced("a", c.announced)})
 			r.apply(c.later)
 			state, _, ok := r.state("a")
 			assert.Assert(t, ok)
 			assert.Equal(t, state, c.want)
-			assert.Equal(t, r.snapshot()[0].announced, c.rewrite, "the next leader writes it")
+			assert.Equal(t, r.snapshot()[0].announced, c.rewrite, "the next leader must write it")
 		})
 	}
 }
 
-func TestAnAnnouncementAfterTheStoresRecordChangesNothing(t *testing.T) {
+func TestAnAnnouncementDoesNotOverrideAStoredRecord(t *testing.T) {
 	r := newReplica(zap.NewNop())
 	r.apply([]workload.Row{jobRow("a", 1), recordRow("a", dispatch.FinalCancelled, 3)})
-	r.announce([]workload.Row{announced("a", dispatch.FinalCompleted), announced("unknown", dispatch.FinalCompleted)})
+	r.applyAnnounced([]workload.Row{announced("a", dispatch.FinalCompleted), announced("unknown", dispatch.FinalCompleted)})
 	state, _, _ := r.state("a")
 	assert.Equal(t, state, StateCancelled)
 	_, ok := r.get("unknown")
--- a/internal/deployment/batcher.go
+++ b/internal/deployment/batcher.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// batcher gathers items for each destination for a moment and sends them together. It
-// answers thousands of small messages a second to a few peers: sent one by one each
-// costs a stream, several system calls and a wake-up on both sides.
+// batcher collects items for each destination for a short time and sends them together.
+// Instances exchange thousands of small messages a second with a few peers; sent one by
+// one, each costs a stream, several system calls and a wake-up on both sides.
 type batcher[T any] struct {
-	// linger is how long the first item of a batch waits for others.
+	// linger is how long the first item of a batch waits for more.
 	linger time.Duration
-	// most bounds a batch.
-	most int
-	// send sends one batch; batches of one destination may overtake each other.
+	// maxItems is the size at which a batch is sent without waiting.
+	maxItems int
+	// send sends one batch. Batches for the same destination may arrive out of order.
 	send func(to string, batch []T)
 
 	mu      sync.Mutex
 	waiting map[string][]T
 }
 
-func newBatcher[T any](linger time.Duration, most int, send func(to string, batch []T)) *batcher[T] {
-	return &batcher[T]{linger: linger, most: most, send: send, waiting: make(map[string][]T)}
+func newBatcher[T any](linger time.Duration, maxItems int, send func(to string, batch []T)) *batcher[T] {
+	return &batcher[T]{linger: linger, maxItems: maxItems, send: send, waiting: make(map[string][]T)}
 }
 
-// add puts an item into the next batch for a destination.
+// add adds an item to the next batch for a destination.
 func (b *batcher[T]) add(to string, item T) {
 	b.mu.Lock()
 	first := len(b.waiting[to]) == 0
 	b.waiting[to] = append(b.waiting[to], item)
-	full := len(b.waiting[to]) >= b.most
+	full := len(b.waiting[to]) >= b.maxItems
 	b.mu.Unlock()
 	switch {
 	case full:
@@ -39,7 +39,7 @@
 	}
 }
 
-// flush sends what waits for a destination.
+// flush sends the items collected for a destination.
 func (b *batcher[T]) flush(to string) {
 	b.mu.Lock()
 	batch := b.waiting[to]
--- a/internal/deployment/begins.go
+++ b/internal/deployment/begins.go
@@ -10,182 +10,189 @@
 	"github.com/corianderbank/corianderbank/internal/dispatch"
 )
 
-// This file decides whether this leader stores that a job begins before the job's first
-// start (dispatch/begins.go). It does while the store is quick, and the lease's row
-// promises it to the next leader. While the store is slow each start would wait for it;
-// then the row is written without the promise first, and starts no longer wait.
+// This file decides whether the leader stores a start intent before the first start of
+// a job (dispatch/begins.go). While the store is fast, it does, and the row of the
+// lease promises so to the next leader. While the store is slow, each start would wait
+// for it; the row is then first rewritten without the promise, and after that starts no
+// longer wait.
 
 const (
-	// beginsPatience is how long the store may owe a begin before starts stop to wait
-	// for such writes.
-	beginsPatience = 150 * time.Millisecond
-	// quickRenewal is the longest that a renewal of the lease takes on a quick store,
-	// quickFor how long all of them must have been quick before begins are stored again.
+	// intentWaitLimit is how long a start intent may wait for the store before starts
+	// stop waiting for such writes.
+	intentWaitLimit = 150 * time.Millisecond
+	// quickRenewal is the longest that a lease renewal takes on a fast store.
+	// quickPeriod is how long all renewals must have been that fast before start
+	// intents are stored again.
 	quickRenewal = 80 * time.Millisecond
-	quickFor     = 1500 * time.Millisecond
+	quickPeriod  = 1500 * time.Millisecond
 )
 
-var beginsChart = chart.MustLoad("begins")
+var intentChart = chart.MustLoad("begins")
 
 // The states and events of charts/begins.json.
 const (
-	stBeginsStrict     chart.State = "strict"
-	stBeginsLoosening  chart.State = "loosening"
-	stBeginsLoose      chart.State = "loose"
-	stBeginsStoring    chart.State = "storing"
-	stBeginsTightening chart.State = "tightening"
-
-	beginsInherited  chart.Event = "inherited"
-	beginsSlow       chart.Event = "slow"
-	beginsQuick      chart.Event = "quick"
-	beginsAllStored  chart.Event = "all_stored"
-	beginsToldLoose  chart.Event = "told_loose"
-	beginsToldStrict chart.Event = "told_strict"
+	stIntentStrict     chart.State = "strict"
+	stIntentLoosening  chart.State = "loosening"
+	stIntentLoose      chart.State = "loose"
+	stIntentStoring    chart.State = "storing"
+	stIntentTightening chart.State = "tightening"
+
+	evIntentInherited       chart.Event = "inherited"
+	evIntentSlow            chart.Event = "slow"
+	evIntentQuick           chart.Event = "quick"
+	evIntentAllStored       chart.Event = "all_stored"
+	evIntentConfirmedLoose  chart.Event = "told_loose"
+	evIntentConfirmedStrict chart.Event = "told_strict"
 )
 
-// promise is what the lease's row says of begins. The row is written by renewals, one
-// after the other; what was asked for is surely there once a renewal that was sent later
-// has been answered. Its zero value promises nothing. It is safe for concurrent use.
-type promise struct {
+// intentPromise tracks what the row of the lease promises about start intents. Renewals
+// write the row one after the other; a requested value is certain to be in the row once
+// a renewal that was sent after the request has been answered. The zero value promises
+// nothing. It is safe for concurrent use.
+type intentPromise struct {
 	mu sync.Mutex
-	// strict is what renewals write, asked counts the changes of it.
-	strict bool
-	asked  int
-	// written is the last change that is surely in the row.
-	written int
-	// slowAt is when a renewal last failed or took long.
+	// strict is the value that renewals write; requestedSeq counts its changes.
+	strict       bool
+	requestedSeq int
+	// confirmedSeq is the last change that is certain to be in the row.
+	confirmedSeq int
+	// slowAt is when a renewal last failed or was slow.
 	slowAt time.Time
-	// changed wakes the renewals.
-	changed chan struct{}
+	// wake triggers an immediate renewal.
+	wake chan struct{}
 }
 
-// begin sets what the row says from the first.
-func (p *promise) begin(strict bool) {
-	p.strict, p.slowAt, p.changed = strict, bootTime(), make(chan struct{}, 1)
+// init sets the initial content of the row.
+func (p *intentPromise) init(strict bool) {
+	p.strict, p.slowAt, p.wake = strict, bootTime(), make(chan struct{}, 1)
 }
 
-// ask has the row written anew.
-func (p *promise) ask(strict bool) {
+// request triggers a renewal that writes the new value.
+func (p *intentPromise) request(strict bool) {
 	p.mu.Lock()
 	p.strict = strict
-	p.asked++
+	p.requestedSeq++
 	p.mu.Unlock()
 	select {
-	case p.changed <- struct{}{}:
-	default: // a renewal is about to be sent
+	case p.wake <- struct{}{}:
+	default: // a renewal is already due
 	}
 }
 
-// next is what a renewal writes, and the number to confirm it by.
-func (p *promise) next() (strict bool, number int) {
+// next returns the value that a renewal writes and the sequence number that confirms
+// it.
+func (p *intentPromise) next() (strict bool, number int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.strict, p.asked
+	return p.strict, p.requestedSeq
 }
 
-// renewed takes how a renewal went; number is that of what it wrote.
-func (p *promise) renewed(stored bool, number int, took time.Duration) {
+// renewed records the result of a renewal; number is the sequence number that it wrote.
+func (p *intentPromise) renewed(stored bool, number int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if stored {
-		p.written = max(p.written, number)
+		p.confirmedSeq = max(p.confirmedSeq, number)
 	}
 	if !stored || took > quickRenewal {
 		p.slowAt = bootTime()
 	}
 }
 
-// told is what the row surely says; false if a change is on its way.
-func (p *promise) told() (strict, sure bool) {
+// confirmed returns the requested promise. sure reports whether it is certain to be in
+// the row.
+func (p *intentPromise) confirmed() (strict, sure bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.strict, p.written == p.asked
+	return p.strict, p.confirmedSeq == p.requestedSeq
 }
 
-// slow says that the store was slow until now, whatever renewals took.
-func (p *promise) slow(now time.Time) {
+// markSlow records that the store was slow until now, regardless of how long renewals
+// took.
+func (p *intentPromise) markSlow(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.slowAt = now
 }
 
-// quick reports whether all renewals of late were quick.
-func (p *promise) quick(now time.Time) bool {
+// isQuick reports whether all recent renewals were fast.
+func (p *intentPromise) isQuick(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.slowAt) >= quickFor
+	return now.Sub(p.slowAt) >= quickPeriod
 }
 
-// beginsCore is what the mode asks of the core and tells it.
-type beginsCore interface {
+// intentCore is the part of the core that intentMode uses.
+type intentCore interface {
 	StoreBegins(on bool)
 	StoreAllBegins()
 	BeginsLate(d time.Duration) bool
 	BeginsStored() bool
 }
 
-// beginsMode is where a leader stands with its begins.
-type beginsMode struct {
+// intentMode is the state of a leader's start intents.
+type intentMode struct {
 	state   chart.State
-	promise *promise
-	core    beginsCore
-	// off leaders promise nothing and store no begins.
+	promise *intentPromise
+	core    intentCore
+	// off is set if the leader neither promises nor stores start intents.
 	off    bool
 	logger *zap.Logger
 }
 
-// newBeginsMode starts from what the row says that this leader took the lease with.
-func newBeginsMode(p *promise, core beginsCore, tuning Tuning, logger *zap.Logger) *beginsMode {
-	m := &beginsMode{state: beginsChart.Initial, promise: p, core: core, off: !tuning.has(dispatch.MechStoredBegins), logger: logger}
-	if strict, _ := p.told(); strict {
-		m.step(beginsInherited, time.Time{})
+// newIntentMode returns the mode that matches the row with which this leader took the
+// lease.
+func newIntentMode(p *intentPromise, core intentCore, tuning Tuning, logger *zap.Logger) *intentMode {
+	m := &intentMode{state: intentChart.Initial, promise: p, core: core, off: !tuning.enabled(dispatch.MechStoredBegins), logger: logger}
+	if strict, _ := p.confirmed(); strict {
+		m.apply(evIntentInherited, time.Time{})
 	}
 	return m
 }
 
-// update takes what has changed since the last round.
-func (m *beginsMode) update(now time.Time) {
+// update applies what has changed since the last round.
+func (m *intentMode) update(now time.Time) {
 	if m.off {
 		return
 	}
-	if m.core.BeginsLate(beginsPatience) {
-		m.step(beginsSlow, now)
+	if m.core.BeginsLate(intentWaitLimit) {
+		m.apply(evIntentSlow, now)
 	}
-	if strict, sure := m.promise.told(); sure && strict {
-		m.step(beginsToldStrict, now)
+	if strict, sure := m.promise.confirmed(); sure && strict {
+		m.apply(evIntentConfirmedStrict, now)
 	} else if sure {
-		m.step(beginsToldLoose, now)
+		m.apply(evIntentConfirmedLoose, now)
 	}
-	if m.state == stBeginsLoose && m.promise.quick(now) {
-		m.step(beginsQuick, now)
+	if m.state == stIntentLoose && m.promise.isQuick(now) {
+		m.apply(evIntentQuick, now)
 	}
-	if m.state == stBeginsStoring && m.core.BeginsStored() {
-		m.step(beginsAllStored, now)
+	if m.state == stIntentStoring && m.core.BeginsStored() {
+		m.apply(evIntentAllStored, now)
 	}
 }
 
-func (m *beginsMode) step(event chart.Event, now time.Time) {
-	next, err := beginsChart.Next(m.state, event)
+func (m *intentMode) apply(event chart.Event, now time.Time) {
+	next, err := intentChart.Next(m.state, event)
 	if err != nil {
-		panic(err) // every state answers or ignores every event: a test of the charts
+		panic(err) // unreachable: a test checks that every state handles or ignores every event
 	}
 	if next == m.state {
 		return
 	}
 	m.state = next
 	switch next {
-	case stBeginsStrict:
+	case stIntentStrict:
 		m.core.StoreBegins(true)
-	case stBeginsLoosening:
-		m.promise.ask(false)
-	case stBeginsLoose:
+	case stIntentLoosening:
+		m.promise.request(false)
+	case stIntentLoose:
 		m.core.StoreBegins(false)
-		m.promise.slow(now)
-	case stBeginsStoring:
+		m.promise.markSlow(now)
+	case stIntentStoring:
 		m.core.StoreBegins(true)
 		m.core.StoreAllBegins()
-	case stBeginsTightening:
-		m.promise.ask(true)
+	case stIntentTightening:
+		m.promise.request(true)
 	}
 	m.logger.Info("begins", zap.String("state", string(next)))
 }
--- a/internal/deployment/begins_test.go
+++ b/internal/deployment/begins_test.go
@@ -12,156 +12,157 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// fakeBegins is a core as the mode sees it.
-type fakeBegins struct {
+// fakeIntentCore implements intentCore.
+type fakeIntentCore struct {
 	storing, late, stored bool
 	all                   int
 }
 
-func (f *fakeBegins) StoreBegins(on bool)           { f.storing = on }
-func (f *fakeBegins) StoreAllBegins()               { f.all++ }
-func (f *fakeBegins) BeginsLate(time.Duration) bool { return f.late }
-func (f *fakeBegins) BeginsStored() bool            { return f.stored }
+func (f *fakeIntentCore) StoreBegins(on bool)           { f.storing = on }
+func (f *fakeIntentCore) StoreAllBegins()               { f.all++ }
+func (f *fakeIntentCore) BeginsLate(time.Duration) bool { return f.late }
+func (f *fakeIntentCore) BeginsStored() bool            { return f.stored }
 
-func inMode(strict bool) (*beginsMode, *fakeBegins, *promise) {
-	p, core := &promise{}, &fakeBegins{}
-	p.begin(strict)
-	return newBeginsMode(p, core, Tuning{}, zap.NewNop()), core, p
+func newTestIntentMode(strict bool) (*intentMode, *fakeIntentCore, *intentPromise) {
+	p, core := &intentPromise{}, &fakeIntentCore{}
+	p.init(strict)
+	return newIntentMode(p, core, Tuning{}, zap.NewNop()), core, p
 }
 
-// renewal is one that the store has answered at once.
-func renewal(p *promise) {
+// renewQuickly reports a renewal that the store answered at once.
+func renewQuickly(p *intentPromise) {
 	_, number := p.next()
 	p.renewed(true, number, time.Millisecond)
 }
 
 func TestStartsStopToWaitForASlowStoreOnceTheRowNoLongerPromises(t *testing.T) {
-	m, core, p := inMode(true)
-	assert.Equal(t, m.state, stBeginsStrict)
+	m, core, p := newTestIntentMode(true)
+	assert.Equal(t, m.state, stIntentStrict)
 	assert.Assert(t, core.storing)
-	_, before := p.next() // a renewal under way
+	_, before := p.next() // a renewal in flight
 	core.late = true
 	m.update(bootTime())
 	p.renewed(true, before, time.Millisecond)
 	m.update(bootTime())
-	assert.Equal(t, m.state, stBeginsLoosening, "the renewal that was answered still wrote the promise")
+	assert.Equal(t, m.state, stIntentLoosening, "the renewal that was in flight still wrote the promise")
 	assert.Assert(t, core.storing)
 	strict, number := p.next()
 	assert.Assert(t, !strict)
 	p.renewed(false, number, time.Second)
 	m.update(bootTime())
 	assert.Assert(t, core.storing, "a renewal without an answer proves nothing")
-	renewal(p)
+	renewQuickly(p)
 	m.update(bootTime())
-	assert.Equal(t, m.state, stBeginsLoose)
+	assert.Equal(t, m.state, stIntentLoose)
 	assert.Assert(t, !core.storing)
 }
 
-func TestThePromiseComesBackOnceEveryBeginIsStored(t *testing.T) {
-	m, core, p := inMode(false)
+func TestThePromiseIsRestoredOnceEveryStartIntentIsStored(t *testing.T) {
+	m, core, p := newTestIntentMode(false)
 	now := bootTime()
 	assert.Assert(t, !core.storing)
 	m.update(now)
-	assert.Equal(t, m.state, stBeginsLoose, "the store has to be quick for a while")
-	now = now.Add(2 * quickFor)
+	assert.Equal(t, m.state, stIntentLoose, "the store has to be fast for quickPeriod")
+	now = now.Add(2 * quickPeriod)
 	m.update(now)
-	assert.Equal(t, m.state, stBeginsStoring)
+	assert.Equal(t, m.state, stIntentStoring)
 	assert.Assert(t, core.storing)
 	assert.Equal(t, core.all, 1)
 	strict, _ := p.next()
-	assert.Assert(t, !strict, "a begin is not stored yet")
+	assert.Assert(t, !strict, "a start intent is not stored yet")
 	core.stored = true
 	m.update(now)
-	assert.Equal(t, m.state, stBeginsTightening)
+	assert.Equal(t, m.state, stIntentTightening)
 	m.update(now)
-	assert.Equal(t, m.state, stBeginsTightening, "no renewal has been answered")
-	renewal(p)
+	assert.Equal(t, m.state, stIntentTightening, "no renewal has been answered")
+	renewQuickly(p)
 	m.update(now)
-	assert.Equal(t, m.state, stBeginsStrict)
+	assert.Equal(t, m.state, stIntentStrict)
 }
 
-// Given up on the way, the row may already promise, or come to.
+// When tightening is abandoned, the row may already promise start intents, or be about
+// to.
 func TestALeaderThatGivesUpTighteningHasTheRowWrittenAnewBeforeItStartsFreely(t *testing.T) {
-	m, core, p := inMode(false)
-	now := bootTime().Add(2 * quickFor)
+	m, core, p := newTestIntentMode(false)
+	now := bootTime().Add(2 * quickPeriod)
 	core.stored = true
 	m.update(now)
-	assert.Equal(t, m.state, stBeginsTightening)
+	assert.Equal(t, m.state, stIntentTightening)
 	core.late = true
 	m.update(now)
-	assert.Equal(t, m.state, stBeginsLoosening)
+	assert.Equal(t, m.state, stIntentLoosening)
 	assert.Assert(t, core.storing)
-	renewal(p)
+	renewQuickly(p)
 	m.update(now)
-	assert.Equal(t, m.state, stBeginsLoose)
+	assert.Equal(t, m.state, stIntentLoose)
 }
 
-func TestASlowRenewalDelaysTheReturn(t *testing.T) {
-	p := &promise{}
-	p.begin(false)
+func TestASlowRenewalDelaysRestoringThePromise(t *testing.T) {
+	p := &intentPromise{}
+	p.init(false)
 	p.renewed(true, 0, 2*quickRenewal)
-	assert.Assert(t, !p.quick(bootTime()))
-	assert.Assert(t, p.quick(bootTime().Add(quickFor)))
+	assert.Assert(t, !p.isQuick(bootTime()))
+	assert.Assert(t, p.isQuick(bootTime().Add(quickPeriod)))
 }
 
-func TestALeaderWithoutStoredBeginsPromisesNothing(t *testing.T) {
-	core, p := &fakeBegins{stored: true}, &promise{}
-	p.begin(false)
-	m := newBeginsMode(p, core, Tuning{Without: []dispatch.Mechanism{dispatch.MechStoredBegins}}, zap.NewNop())
+func TestALeaderWithoutStoredIntentsPromisesNothing(t *testing.T) {
+	core, p := &fakeIntentCore{stored: true}, &intentPromise{}
+	p.init(false)
+	m := newIntentMode(p, core, Tuning{Without: []dispatch.Mechanism{dispatch.MechStoredBegins}}, zap.NewNop())
 	m.update(bootTime().Add(time.Hour))
-	assert.Equal(t, m.state, stBeginsLoose)
+	assert.Equal(t, m.state, stIntentLoose)
 	assert.Assert(t, !core.storing)
 }
 
-// What the row of the leader before says decides what the next one may trust and promise.
+// The row of the previous leader determines what the next one may trust and promise.
 func TestALeaderPromisesOnlyWhatTheOneBeforePromised(t *testing.T) {
 	for name, c := range map[string]struct {
-		row           leaderRow
-		without       []dispatch.Mechanism
-		trust, strict bool
+		row                  leaderRow
+		without              []dispatch.Mechanism
+		trustIntents, strict bool
 	}{
-		"the one before promised":          {leaderRow{Leader: "self", Epoch: 4, Begins: true}, nil, true, true},
-		"the one before did not":           {leaderRow{Leader: "self", Epoch: 4}, nil, false, false},
-		"it did, and this one stores none": {leaderRow{Leader: "self", Epoch: 4, Begins: true}, []dispatch.Mechanism{dispatch.MechStoredBegins}, true, false},
+		"the previous leader promised":           {leaderRow{Leader: "self", Epoch: 4, StoresIntents: true}, nil, true, true},
+		"the previous leader did not":            {leaderRow{Leader: "self", Epoch: 4}, nil, false, false},
+		"it did, but this one stores no intents": {leaderRow{Leader: "self", Epoch: 4, StoresIntents: true}, []dispatch.Mechanism{dispatch.MechStoredBegins}, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := candidate(t, "self", newMemoryStore())
+			l := newTestLease(t, "self", newMemoryStore())
 			l.tuning.Without = c.without
-			l.sees(t, c.row, 0)
-			g := l.take(t.Context())
+			l.storeLeaderRow(t, c.row, 0)
+			g := l.tryTake(t.Context())
 			assert.Assert(t, g != nil)
-			assert.Equal(t, g.trust, c.trust)
-			assert.Equal(t, l.replica.seenLeader().Begins, c.strict)
-			g.promise.ask(true)
+			assert.Equal(t, g.trustIntents, c.trustIntents)
+			assert.Equal(t, l.replica.seenLeader().StoresIntents, c.strict)
+			g.promise.request(true)
 			assert.Assert(t, l.renewOnce(t.Context(), g, 1))
-			assert.Assert(t, l.replica.seenLeader().Begins)
-			_, sure := g.promise.told()
+			assert.Assert(t, l.replica.seenLeader().StoresIntents)
+			_, sure := g.promise.confirmed()
 			assert.Assert(t, sure)
 			l.release(g)
 			page, err := l.store.Read(t.Context(), workload.SourceOwn, mainPart, leaderKey, leaderKey+"\x00")
 			assert.NilError(t, err)
 			l.replica.apply(page.Rows)
 			released := l.replica.seenLeader()
-			assert.Assert(t, released.Released && released.Begins)
+			assert.Assert(t, released.Released && released.StoresIntents)
 		})
 	}
 }
 
-func TestTheFirstLeaderOfAllPromises(t *testing.T) {
-	l := candidate(t, "self", newMemoryStore())
-	l.since = bootTime().Add(-time.Hour)
-	g := l.take(t.Context())
+func TestTheFirstLeaderPromisesStartIntents(t *testing.T) {
+	l := newTestLease(t, "self", newMemoryStore())
+	l.startedAt = bootTime().Add(-time.Hour)
+	g := l.tryTake(t.Context())
 	assert.Assert(t, g != nil)
-	assert.Assert(t, !g.trust)
-	assert.Assert(t, l.replica.seenLeader().Begins)
+	assert.Assert(t, !g.trustIntents)
+	assert.Assert(t, l.replica.seenLeader().StoresIntents)
 }
 
-func TestEveryStateOfBeginsTakesEveryEvent(t *testing.T) {
-	for state := range beginsChart.States {
-		for _, event := range beginsChart.Events {
-			_, err := beginsChart.Next(state, event)
+func TestEveryStartIntentStateHandlesEveryEvent(t *testing.T) {
+	for state := range intentChart.States {
+		for _, event := range intentChart.Events {
+			_, err := intentChart.Next(state, event)
 			assert.NilError(t, err)
 		}
 	}
-	assert.Equal(t, beginsChart.Initial, chart.State("loose"))
+	assert.Equal(t, intentChart.Initial, chart.State("loose"))
 }
--- a/internal/deployment/busyloop.go
+++ b/internal/deployment/busyloop.go
@@ -9,55 +9,57 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file answers a busy loop: the process takes all of the processor that it may use,
-// for seconds, and what it was doing is gone once it is restarted. So it writes the
-// stacks of its goroutines to the log, once in its life.
+// This file reports busy loops. A process in a busy loop uses all of its processor time
+// for seconds, and the evidence is lost once it is restarted, so it writes the stacks
+// of its goroutines to the log, once per process.
 
 const (
-	// busyEvery is how often the process looks at its own processor time.
-	busyEvery = 1 * time.Second
-	// busyShare is the share of what it may use from which it counts as busy. busyLasts is
-	// how many samples in a row must say so: a burst or a start is over sooner.
-	busyShare = 0.9
-	busyLasts = 4
-	// busyStacks bounds the stacks that are written, in bytes: some hundred goroutines,
-	// most of which wait in one of a few places.
-	busyStacks = 48 << 10
+	// busySampleInterval is how often the process checks its own processor time.
+	busySampleInterval = 1 * time.Second
+	// busyShare is the share of the available processor time from which a sample counts
+	// as busy. busySamples is how many consecutive samples must be busy; a burst or a
+	// start-up is shorter.
+	busyShare   = 0.9
+	busySamples = 4
+	// maxStackBytes bounds the stacks that are logged: enough for some hundred
+	// goroutines, most of which wait in one of a few places.
+	maxStackBytes = 48 << 10
 )
 
-// busyLoopWatch tells a busy loop from a process that is busy for a moment.
-type busyLoopWatch struct {
-	// cores is what the process may use of the processor.
+// busyLoopDetector distinguishes a busy loop from a short burst of work.
+type busyLoopDetector struct {
+	// cores is the processor time that the process may use, in cores.
 	cores float64
-	// over counts the looks in a row that were over the share.
-	over int
-	told bool
+	// busyInARow counts consecutive busy samples.
+	busyInARow int
+	reported   bool
 }
 
-// sees takes what the process used in a while; true once, when it spins.
-func (w *busyLoopWatch) sees(used, while time.Duration) bool {
-	if used.Seconds() < busyShare*w.cores*while.Seconds() {
-		w.over = 0
+// sample records the processor time used in an interval. It returns true once, when a
+// busy loop is detected.
+func (w *busyLoopDetector) sample(used, interval time.Duration) bool {
+	if used.Seconds() < busyShare*w.cores*interval.Seconds() {
+		w.busyInARow = 0
 		return false
 	}
-	w.over++
-	spins := w.over >= busyLasts && !w.told
-	w.told = w.told || spins
-	return spins
+	w.busyInARow++
+	spinning := w.busyInARow >= busySamples && !w.reported
+	w.reported = w.reported || spinning
+	return spinning
 }
 
-// watchBusyLoop looks at the process's own processor time.
+// watchBusyLoop samples the processor time of the process and logs a busy loop.
 func (i *Instance) watchBusyLoop(ctx context.Context) {
-	w := busyLoopWatch{cores: i.settings.Processor.cores()}
+	w := busyLoopDetector{cores: i.settings.Processor.cores()}
 	if w.cores <= 0 {
 		w.cores = float64(runtime.GOMAXPROCS(0))
 	}
 	last, at := processorTime(), bootTime()
 	for ctx.Err() == nil {
-		pause(ctx, busyEvery)
+		pause(ctx, busySampleInterval)
 		used, now := processorTime(), bootTime()
-		if w.sees(used-last, now.Sub(at)) {
-			stacks := make([]byte, busyStacks)
+		if w.sample(used-last, now.Sub(at)) {
+			stacks := make([]byte, maxStackBytes)
 			stacks = stacks[:runtime.Stack(stacks, true)]
 			i.logger.Error("busy loop", zap.Duration("used", used-last), zap.Duration("in", now.Sub(at)),
 				zap.Int("goroutines", runtime.NumGoroutine()), zap.ByteString("stacks", stacks))
@@ -66,12 +68,13 @@
 	}
 }
 
-// processorTime is what the process has used so far. The account of the kernel, not its
-// clock of the process: on the users' machines that goes like the steady one.
+// processorTime returns the processor time that the process has used so far. It uses
+// getrusage and not the process clock, which on the users' machines advances like the
+// monotonic clock.
 func processorTime() time.Duration {
 	var used unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &used); err != nil {
-		panic(err) // every kernel that runs this has it
+		panic(err) // every supported kernel implements getrusage
 	}
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
--- a/internal/deployment/candidate.go
+++ b/internal/deployment/candidate.go
@@ -13,131 +13,135 @@
 
 // This file decides when this instance may take the lease, and takes it.
 
-// free reports whether the lease may be taken, as far as this instance knows:
-// it was released, or it is over, or its leader does not hold it any more. A
-// leader that answers nobody may believe in its lease yet; whoever takes it
-// early must reckon with that (grant.overlap).
-func (l *lease) free(ctx context.Context) bool {
-	return l.eligible() && l.whyFree(ctx, l.replica.seenLeader()) != ""
+// canTake reports whether the lease appears to be free to this instance: it was
+// released, it has expired, or its leader does not hold it any more. A leader that does
+// not answer may still consider its lease valid; an instance that takes the lease early
+// must allow for that (grant.predecessorUntil).
+func (l *lease) canTake(ctx context.Context) bool {
+	return l.eligible() && l.takeReason(ctx, l.replica.seenLeader()) != ""
 }
 
-// whyFree says why the lease may be taken from the leader that was seen; empty if
-// it may not. Only that row may then be replaced: while the leader is asked, the
-// row may become another's.
-func (l *lease) whyFree(ctx context.Context, seen seenLeader) string {
+// takeReason returns why the lease may be taken from the given leader row, or "" if it
+// may not. Only that row may then be replaced: while the leader is being asked, another
+// instance may write the row.
+func (l *lease) takeReason(ctx context.Context, seen seenLeader) string {
 	now := bootTime()
-	turn := l.turn()
-	age := now.Sub(seen.since)
+	delay := l.turnDelay()
+	age := now.Sub(seen.firstSeen)
 	switch {
 	case seen.version == 0:
-		if now.Sub(l.since) < firstWait+turn {
+		if now.Sub(l.startedAt) < initialLeaseWait+delay {
 			return ""
 		}
-		return "nobody had it"
+		return "the lease was never held"
 	case seen.Released:
-		if age < turn {
+		if age < delay {
 			return ""
 		}
 		return "released"
-	case seen.Leader == l.self && !anyLarger(l.size(), l.known(), yieldFactor):
+	case seen.Leader == l.self && !anyLarger(l.size(), l.otherInstances(), yieldFactor):
 		return "held by an earlier process at this address"
 	}
-	if l.isSilent(seen) && age >= suspectSilent+turn {
+	if l.isUnresponsive(seen) && age >= suspectAfterMissedPings+delay {
 		return "leader answers no pings"
 	}
-	if age < suspectAfter+turn || age < leaseLength+leaseMargin+turn && !l.tuning.has(mechEarlyReplacement) {
+	if age < suspectAfter+delay || age < leaseDuration+leaseMargin+delay && !l.tuning.enabled(mechEarlyReplacement) {
 		return ""
 	}
-	if holds, err := l.ask(ctx, seen.Leader); err != nil {
+	if holds, err := l.askHolder(ctx, seen.Leader); err != nil {
 		return "leader does not answer: " + err.Error()
 	} else if !holds {
 		return "leader does not hold it"
 	}
-	// It is there, and waits for the store as everybody does, or cannot reach it
-	// though others can: then it had its chance to be first.
-	if age >= leaseLength+leaseMargin+turn && (l.steady(leaderFirst) || !l.tuning.has(mechOutages)) {
+	// The leader answers and waits for the store like all others, or cannot reach the
+	// store although others can. Either way it has had its head start.
+	if age >= leaseDuration+leaseMargin+delay && (l.storeStable(leaderHeadStart) || !l.tuning.enabled(mechOutages)) {
 		return "not renewed"
 	}
 	return ""
 }
 
-// isSilent reports whether the leader left the last pings unanswered.
-func (l *lease) isSilent(seen seenLeader) bool {
+// isUnresponsive reports whether the leader left the last missedPingLimit pings
+// unanswered.
+func (l *lease) isUnresponsive(seen seenLeader) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lost >= silentPings && l.silent.Leader == seen.Leader
+	return l.missedPings >= missedPingLimit && l.pingedLeader.Leader == seen.Leader
 }
 
-// watchLeader pings the leader, on those instances that are next in line.
+// watchLeader pings the leader if this instance is among the next in line for the
+// lease.
 func (l *lease) watchLeader(ctx context.Context) {
 	answered := true
 	for ctx.Err() == nil {
 		if answered {
-			pause(ctx, pingEvery)
+			pause(ctx, pingInterval)
 		}
 		seen := l.replica.seenLeader()
-		if answered = seen.version == 0 || seen.Released || seen.Leader == l.self || placeAmong(l.size(), l.rivals()) > inLine; answered {
-			continue // nobody to watch, or others do
+		if answered = seen.version == 0 || seen.Released || seen.Leader == l.self || rankAmong(l.size(), l.otherCandidates()) > nextInLine; answered {
+			continue // there is no leader to watch, or other instances watch it
 		}
-		began := bootTime()
-		answered = l.pings(ctx, seen.Leader)
-		l.notePing(seen, answered)
+		start := bootTime()
+		answered = l.ping(ctx, seen.Leader)
+		l.recordPing(seen, answered)
 		if !answered {
-			pause(ctx, pingTimeout-bootTime().Sub(began)) // a refused one fails at once
+			pause(ctx, pingTimeout-bootTime().Sub(start)) // a refused connection fails at once
 		}
 	}
 }
 
-func (l *lease) notePing(seen seenLeader, answered bool) {
+func (l *lease) recordPing(seen seenLeader, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if answered || l.silent.Leader != seen.Leader {
-		l.lost = 0
+	if answered || l.pingedLeader.Leader != seen.Leader {
+		l.missedPings = 0
 	}
 	if !answered {
-		l.lost++
+		l.missedPings++
 	}
-	l.silent = seen
+	l.pingedLeader = seen
 }
 
-// ask asks an instance whether it holds the lease.
-func (l *lease) ask(ctx context.Context, instance string) (bool, error) {
+// askHolder asks an instance whether it holds the lease, within probeTimeout.
+func (l *lease) askHolder(ctx context.Context, instance string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return l.holds(ctx, instance)
+	return l.holdsLease(ctx, instance)
 }
 
 func (l *lease) size() peerSize { return peerSize{l.self, l.cores} }
 
-// turn is how long this instance leaves the lease to those that come before it.
-func (l *lease) turn() time.Duration {
-	return time.Duration(placeAmong(l.size(), l.rivals())) * candidateStep
+// turnDelay returns how long this instance waits for the candidates that rank before
+// it.
+func (l *lease) turnDelay() time.Duration {
+	return time.Duration(rankAmong(l.size(), l.otherCandidates())) * candidateDelay
 }
 
-// take tries to become the leader. It reads the row first: a feed that fell
-// behind must not make a living leader look dead.
-func (l *lease) take(ctx context.Context) *grant {
+// tryTake tries to become the leader; it returns nil if it did not. It reads the row
+// first, so that a delayed feed does not make a live leader look dead.
+func (l *lease) tryTake(ctx context.Context) *grant {
 	page, err := l.store.Read(ctx, workload.SourceOwn, mainPart, epochKey, leaderKey+"\x00")
 	if err != nil {
 		return nil
 	}
 	l.replica.apply(page.Rows)
 	seen := l.replica.seenLeader()
-	why := l.whyFree(ctx, seen)
-	if why == "" {
+	reason := l.takeReason(ctx, seen)
+	if reason == "" {
 		return nil
 	}
 	epochVersion := l.replica.version(epochKey)
-	g := &grant{why: why, epoch: seen.Epoch + 1, earlier: seen.version != 0}
+	g := &grant{reason: reason, epoch: seen.Epoch + 1, hasPredecessor: seen.version != 0}
 	if !seen.Released {
-		g.overlap = seen.since.Add(leaseLength)
+		g.predecessorUntil = seen.firstSeen.Add(leaseDuration)
 	}
-	// A leader that did not promise may have started what no record tells: nor can this
-	// one promise, until it has stored that.
-	g.trust = g.earlier && seen.Begins
-	g.promise.begin(l.tuning.has(dispatch.MechStoredBegins) && (g.trust || !g.earlier))
+	// A leader that did not promise start intents may have started jobs without a
+	// record of it, and until this leader has stored those records, it cannot promise
+	// them either.
+	g.trustIntents = g.hasPredecessor && seen.StoresIntents
+	g.promise.init(l.tuning.enabled(dispatch.MechStoredBegins) && (g.trustIntents || !g.hasPredecessor))
 	sent := bootTime()
-	row := leaderRow{Leader: l.self, Epoch: g.epoch, Begins: g.promise.strict}
+	row := leaderRow{Leader: l.self, Epoch: g.epoch, StoresIntents: g.promise.strict}
 	written, err := l.store.Write(ctx, workload.Write{
 		Expect: []workload.Row{{Key: leaderKey, Version: seen.version}, {Key: epochKey, Version: epochVersion}},
 		Put:    []workload.Row{{Key: leaderKey, Value: encode(row)}, {Key: epochKey, Value: encode(g.epoch)}},
@@ -147,21 +151,21 @@
 		return nil
 	}
 	if written.Conflict {
-		if !l.mine(written.Rows, g) {
+		if !l.isOwnWrite(written.Rows, g) {
 			l.replica.apply(written.Rows)
 			return nil
 		}
 	} else {
 		g.version, g.epochVersion = written.Version, written.Version
 	}
-	g.until = sent.Add(leaseLength)
+	g.expiresAt = sent.Add(leaseDuration)
 	l.replica.apply([]workload.Row{{Key: leaderKey, Value: encode(row), Version: g.version}})
 	return g
 }
 
-// mine reports whether a conflict is with this instance's own write, whose
-// answer was lost on another path.
-func (l *lease) mine(rows []workload.Row, g *grant) bool {
+// isOwnWrite reports whether a conflict was caused by this instance's own write, whose
+// answer was lost on another route.
+func (l *lease) isOwnWrite(rows []workload.Row, g *grant) bool {
 	for _, row := range rows {
 		switch row.Key {
 		case leaderKey:
--- a/internal/deployment/clock.go
+++ b/internal/deployment/clock.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootTime is a steady clock that goes on while the machine is suspended; Go's
-// own monotonic clock does not count that time, and a leader that was suspended
-// past its lease must know it. The result is for comparing with other results
-// only.
+// bootTime returns the time of a monotonic clock that includes the time during which
+// the machine is suspended. Go's monotonic clock does not include it, and a leader that
+// was suspended past the end of its lease must notice. The result is only meaningful in
+// comparison with other results.
 func bootTime() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every kernel that runs this has the clock.
+		// Every supported kernel has this clock.
 		panic(err)
 	}
 	return time.Unix(ts.Unix())
--- a/internal/deployment/config.go
+++ b/internal/deployment/config.go
@@ -10,7 +10,8 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// configVersion is the version in force here; zero for none.
+// configVersion returns the version of the configuration in force, or zero if there is
+// none.
 func (i *Instance) configVersion() int64 {
 	if config := i.configuration.Load(); config != nil {
 		return config.Version
@@ -18,25 +19,25 @@
 	return 0
 }
 
-// takeConfiguration puts a newer configuration in force; an older one, which a
-// slow path may bring later, changes nothing.
-func (i *Instance) takeConfiguration(rows []workload.Row) {
+// applyConfiguration puts a newer configuration in force. Older ones, which a slow
+// route may deliver late, are ignored.
+func (i *Instance) applyConfiguration(rows []workload.Row) {
 	for _, row := range rows {
 		if row.Deleted || !i.decoder.IsConfiguration(row.Key) {
 			continue
 		}
 		config, err := i.decoder.Configuration(row.Value)
 		if err != nil {
-			if i.unread.first(row.Key, row.Version) {
+			if i.unreadable.firstSeen(row.Key, row.Version) {
 				i.logger.Error("configuration cannot be read", zap.Error(err))
 			}
 			continue
 		}
-		i.force(config, row)
+		i.activate(config, row)
 	}
 }
 
-func (i *Instance) force(config *workload.Configuration, row workload.Row) {
+func (i *Instance) activate(config *workload.Configuration, row workload.Row) {
 	i.configMu.Lock()
 	defer i.configMu.Unlock()
 	if config.Version <= i.configVersion() {
@@ -46,31 +47,32 @@
 	i.configRow.Store(&row)
 	i.logger.Info("configuration in force", zap.Int64("config_version", config.Version),
 		zap.Int("queues", len(config.Queues)), zap.Int("client_accounts", len(config.Accounts)))
-	if i.life != nil {
-		i.life.Configured()
+	if i.lifecycle != nil {
+		i.lifecycle.Configured()
 	}
 	if leader := i.leader.Load(); leader != nil {
 		leader.post(func(core *dispatch.Core, _ time.Time, _ int64) { core.Configure(config) })
 	}
-	i.workersChanged() // its pools may be others
+	i.workersChanged() // the set of pools may have changed
 }
 
-// readsConfiguration reports whether this instance reads the configuration by itself. A
-// leaf has it from the hubs of its zone, as long as one of them reaches the store.
+// readsConfiguration reports whether this instance reads the configuration from the
+// store. A leaf receives it from the hubs of its zone, as long as one of them reaches
+// the store.
 func (i *Instance) readsConfiguration() bool {
-	if i.follows() || i.configuration.Load() == nil {
+	if i.followsTable() || i.configuration.Load() == nil {
 		return true
 	}
-	return len(i.peers.fresh(func(v peerView) bool {
+	return len(i.peers.recent(func(v peerView) bool {
 		return v.hub && v.storeReachable && v.zone == i.settings.AvailabilityZone
 	})) == 0
 }
 
-// rereadConfiguration reads the operators' table beside its feed, which may be
-// silent while there are changes.
+// rereadConfiguration polls the operators' table in addition to its feed, which may
+// miss changes for a while.
 func (i *Instance) rereadConfiguration(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, readEvery)
+		pause(ctx, rereadInterval)
 		if !i.readsConfiguration() {
 			continue
 		}
--- a/internal/deployment/config_test.go
+++ b/internal/deployment/config_test.go
@@ -12,7 +12,8 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// keysDecoder reads configurations that are a version and the keys of one client account.
+// keysDecoder decodes configurations that consist of a version and the keys of one
+// client account.
 type keysDecoder struct{ plainDecoder }
 
 // Configuration implements Decoder.
@@ -43,13 +44,13 @@
 	}{
 		{"3 first second", 10, 3, map[string]bool{"first": true, "second": true}},
 		{"7 second", 11, 7, map[string]bool{"first": false, "second": true}},
-		{"3 first second", 10, 7, map[string]bool{"first": false, "second": true}}, // by a slow path
+		{"3 first second", 10, 7, map[string]bool{"first": false, "second": true}}, // delivered late by a slow route
 		{"7 second", 11, 7, map[string]bool{"first": false, "second": true}},
 		{"8 third", 12, 8, map[string]bool{"first": false, "second": false, "third": true}},
-		{"5 first", 13, 8, map[string]bool{"first": false, "third": true}}, // an operator that was overtaken
+		{"5 first", 13, 8, map[string]bool{"first": false, "third": true}}, // an operator's write with an older version
 	} {
-		i.takeOperatorRows([]workload.Row{entryRow("config", c.stored, c.row)})
-		i.takeRows(packedNote(entryRow("config", c.stored, c.row)))
+		i.applyOperatorRows([]workload.Row{entryRow("config", c.stored, c.row)})
+		i.receiveRows(rowsMessage(entryRow("config", c.stored, c.row)))
 		assert.Equal(t, i.configVersion(), c.version, c.stored)
 		for key, want := range c.admits {
 			assert.Equal(t, admits(key), want, "%s under %q", key, c.stored)
@@ -64,9 +65,9 @@
 	}
 	c.Index()
 	for _, n := range []int{0, 14, 1400, 2999} {
-		q := queueOf(c, "host", fmt.Sprintf("/q%d/id", n))
+		q := findQueue(c, "host", fmt.Sprintf("/q%d/id", n))
 		assert.Assert(t, q != nil)
 		assert.Equal(t, q.Name, fmt.Sprint(n))
 	}
-	assert.Assert(t, queueOf(c, "host", "/q3000/id") == nil)
+	assert.Assert(t, findQueue(c, "host", "/q3000/id") == nil)
 }
--- a/internal/deployment/contacts.go
+++ b/internal/deployment/contacts.go
@@ -11,42 +11,43 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file decides which instances keep in touch. It answers deployments of many
-// instances: with each of them in touch with every other and each following the whole
-// table, hellos, connections and reads of the store grow with the square of their
-// number. So the first instances of each availability zone, the larger ones first, are
-// hubs: they follow the table and know each other. The others are leaves. A leaf keeps
-// in touch with the hubs of its zone, which answer for it, and reads by itself only
-// what they cannot tell it.
+// This file decides which instances keep in contact. If each of many instances
+// contacted every other and followed the whole table, hellos, connections and store
+// reads would grow with the square of their number. Therefore the first instances of
+// each availability zone, the larger ones first, are hubs: they follow the table and
+// contact each other. The others are leaves. A leaf contacts the hubs of its zone,
+// which answer queries for it, and reads from the store only what they cannot provide.
 
 const (
-	// hubsPerZone is how many hubs an availability zone has: with one stopped and one
-	// lost there is still one.
+	// hubsPerZone is the number of hubs of an availability zone: with one stopped and
+	// one lost, one remains.
 	hubsPerZone = 3
-	// silentMisses hellos in a row that nobody answered make an instance silent.
-	silentMisses = 2
-	// silentAgain is the pause between two hellos to a silent instance.
-	silentAgain = 3 * time.Second
-	// hubPatience is how long a leaf goes without word from a hub of its zone before it
-	// follows the table by itself: two hellos and their time-outs.
-	hubPatience = 2 * helloEvery
-	// instancesEvery is how often a leaf reads which instances there are, and
-	// instancesSoonest how often while no hub answers it.
-	instancesEvery   = 10 * time.Second
-	instancesSoonest = time.Second
-	// roleEvery is how often an instance looks whether it is a hub.
-	roleEvery = 100 * time.Millisecond
+	// missesUntilUnresponsive is the number of consecutive unanswered hellos after
+	// which an instance counts as unresponsive.
+	missesUntilUnresponsive = 2
+	// unresponsiveRetryInterval is the time between two hellos to an unresponsive
+	// instance.
+	unresponsiveRetryInterval = 3 * time.Second
+	// hubTimeout is how long a leaf receives nothing from the hubs of its zone before
+	// it follows the table itself: two hellos and their timeouts.
+	hubTimeout = 2 * helloInterval
+	// instanceListInterval is how often a leaf reads the list of instances, and
+	// minInstanceListInterval how often while no hub responds.
+	instanceListInterval    = 10 * time.Second
+	minInstanceListInterval = time.Second
+	// roleCheckInterval is how often an instance checks whether it is a hub.
+	roleCheckInterval = 100 * time.Millisecond
 )
 
-// firstAnswering lists the first instances of a list that are not silent, up to a
-// limit, in the order of the list.
-func firstAnswering(list []peerSize, silent func(addr string) bool, limit int) []string {
+// firstResponsive returns the first instances of a list that are not unresponsive, up
+// to a limit, in the order of the list.
+func firstResponsive(list []peerSize, unresponsive func(addr string) bool, limit int) []string {
 	var first []string
 	for _, instance := range list {
 		if len(first) == limit {
 			break
 		}
-		if !silent(instance.addr) {
+		if !unresponsive(instance.addr) {
 			first = append(first, instance.addr)
 		}
 	}
@@ -54,43 +55,43 @@
 }
 
 // isHub reports whether an instance is one of the hubs of its zone. The others of the
-// zone are in the order of their sizes.
-func isHub(self peerSize, others []peerSize, silent func(addr string) bool) bool {
+// zone are sorted by compareSize.
+func isHub(self peerSize, others []peerSize, unresponsive func(addr string) bool) bool {
 	before := slices.DeleteFunc(slices.Clone(others), func(o peerSize) bool { return compareSize(o, self) > 0 })
-	return len(firstAnswering(before, silent, hubsPerZone)) < hubsPerZone
+	return len(firstResponsive(before, unresponsive, hubsPerZone)) < hubsPerZone
 }
 
-// contactsOf lists whom an instance keeps in touch with: a hub with the hubs of all
-// zones, a leaf with those of its own. Zones hold the other instances in the order of
-// their sizes.
-func contactsOf(hub bool, own string, zones map[string][]peerSize, silent func(addr string) bool) []string {
+// contactsOf returns the instances that an instance contacts: for a hub the hubs of all
+// zones, for a leaf those of its own zone. zones holds the other instances, sorted by
+// compareSize.
+func contactsOf(hub bool, own string, zones map[string][]peerSize, unresponsive func(addr string) bool) []string {
 	if !hub {
-		return firstAnswering(zones[own], silent, hubsPerZone)
+		return firstResponsive(zones[own], unresponsive, hubsPerZone)
 	}
 	var list []string
 	for zone, members := range zones {
 		limit := hubsPerZone
 		if zone == own {
-			limit-- // the instance itself is one
+			limit-- // the instance itself is one of them
 		}
-		list = append(list, firstAnswering(members, silent, limit)...)
+		list = append(list, firstResponsive(members, unresponsive, limit)...)
 	}
 	return list
 }
 
-// role is whether an instance is a hub, and what decides that.
+// role holds whether an instance is a hub, and the state that this depends on.
 type role struct {
 	mu sync.Mutex
-	// hub says that the instance follows the table.
+	// hub is set if the instance follows the table.
 	hub bool
-	// listed says that it knows which instances there are.
+	// listed is set once the instance has the list of instances.
 	listed bool
-	// hubHeard is when a hub of its zone said something last.
-	hubHeard time.Time
+	// lastHubContact is when a message from a hub of the zone was last received.
+	lastHubContact time.Time
 }
 
-// follows reports whether this instance follows the table.
-func (i *Instance) follows() bool {
+// followsTable reports whether this instance is a hub and follows the table.
+func (i *Instance) followsTable() bool {
 	i.role.mu.Lock()
 	defer i.role.mu.Unlock()
 	return i.role.hub
@@ -102,14 +103,15 @@
 	return i.role.listed
 }
 
-// watchRole keeps the instance a hub as long as it has to be one.
+// watchRole updates the role of this instance. It is a hub while it holds the lease,
+// while it is among the first of its zone, and while no hub of its zone responds.
 func (i *Instance) watchRole(ctx context.Context) {
-	for ; ctx.Err() == nil; pause(ctx, roleEvery) {
+	for ; ctx.Err() == nil; pause(ctx, roleCheckInterval) {
 		if !i.isListed() {
 			continue
 		}
-		mates := i.replica.zones(i.settings.Listen.Peers)[i.settings.AvailabilityZone]
-		hub := i.lease.current() != nil || isHub(i.lease.size(), mates, i.peers.isSilent) || !i.hubsAnswer(hubPatience)
+		members := i.replica.zones(i.settings.Listen.Peers)[i.settings.AvailabilityZone]
+		hub := i.lease.current() != nil || isHub(i.lease.size(), members, i.peers.isUnresponsive) || !i.hubRespondedWithin(hubTimeout)
 		i.setRole(hub)
 	}
 }
@@ -124,45 +126,46 @@
 	i.logger.Info("role", zap.Bool("hub", hub))
 }
 
-// hubsAnswer reports whether a hub of the zone has said something within a time.
-func (i *Instance) hubsAnswer(within time.Duration) bool {
+// hubRespondedWithin reports whether a hub of the zone has responded within a duration.
+func (i *Instance) hubRespondedWithin(within time.Duration) bool {
 	i.role.mu.Lock()
 	defer i.role.mu.Unlock()
-	return bootTime().Sub(i.role.hubHeard) < within
+	return bootTime().Sub(i.role.lastHubContact) < within
 }
 
-func (i *Instance) hubHeard(now time.Time) {
+func (i *Instance) recordHubContact(now time.Time) {
 	i.role.mu.Lock()
 	defer i.role.mu.Unlock()
-	i.role.hubHeard = now
+	i.role.lastHubContact = now
 }
 
-// contacts lists the instances to say hello to now.
+// contacts returns the instances to contact now, including the seeds while there is no
+// recent hello of any peer.
 func (i *Instance) contacts() []string {
 	self := i.settings.Listen.Peers
-	list := contactsOf(i.follows(), i.settings.AvailabilityZone, i.replica.zones(self), i.peers.isSilent)
-	if len(i.peers.fresh(func(peerView) bool { return true })) == 0 {
-		list = append(list, i.live.Load().Seeds...)
+	list := contactsOf(i.followsTable(), i.settings.AvailabilityZone, i.replica.zones(self), i.peers.isUnresponsive)
+	if len(i.peers.recent(func(peerView) bool { return true })) == 0 {
+		list = append(list, i.liveSettings.Load().Seeds...)
 	}
-	list = append(list, i.peers.silentDue(bootTime())...)
-	if leaderAddr := i.leaderAddr(); leaderAddr != "" && i.follows() {
+	list = append(list, i.peers.unresponsiveDue(bootTime())...)
+	if leaderAddr := i.leaderAddr(); leaderAddr != "" && i.followsTable() {
 		list = append(list, leaderAddr)
 	}
 	slices.Sort(list)
 	return slices.DeleteFunc(slices.Compact(list), func(id string) bool { return id == self })
 }
 
-// listInstances keeps a leaf's list of instances; a hub has it from the table.
+// listInstances refreshes a leaf's list of instances; a hub has it from the table.
 func (i *Instance) listInstances(ctx context.Context) {
 	var last time.Time
-	for ; ctx.Err() == nil; pause(ctx, roleEvery) {
-		due := instancesEvery
+	for ; ctx.Err() == nil; pause(ctx, roleCheckInterval) {
+		due := instanceListInterval
 		if !i.isListed() {
 			due = 0
-		} else if !i.hubsAnswer(instancesSoonest) {
-			due = instancesSoonest
+		} else if !i.hubRespondedWithin(minInstanceListInterval) {
+			due = minInstanceListInterval
 		}
-		if i.follows() || bootTime().Sub(last) < due {
+		if i.followsTable() || bootTime().Sub(last) < due {
 			continue
 		}
 		last = bootTime()
@@ -175,8 +178,8 @@
 	}
 }
 
-// setListed notes that the instance knows which others there are, and gives hubs their
-// time to answer.
+// setListed records that the list of instances is known, and gives hubs time to
+// respond.
 func (i *Instance) setListed() {
 	i.role.mu.Lock()
 	defer i.role.mu.Unlock()
@@ -184,14 +187,14 @@
 		return
 	}
 	i.role.listed = true
-	i.role.hubHeard = bootTime()
+	i.role.lastHubContact = bootTime()
 }
 
-// forgetTable drops what only a hub needs of the table.
-func (i *Instance) forgetTable() { i.replica.keepInstances() }
+// dropTable drops the rows that only a hub needs.
+func (i *Instance) dropTable() { i.replica.keepOnlyInstances() }
 
-// leader is the address for peers of the instance that schedules, as far as is known
-// here; empty if it is not.
+// leaderAddr returns the peer address of the instance that leads, or "" if it is not
+// known here.
 func (i *Instance) leaderAddr() string {
 	if i.replica.isLoaded() {
 		return i.replica.seenLeader().Leader
--- a/internal/deployment/contacts_test.go
+++ b/internal/deployment/contacts_test.go
@@ -13,7 +13,7 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// fleetOf names the instances of some zones: larger ones first, then small ones.
+// fleetOf returns the instances of some zones, the larger ones first.
 func fleetOf(zones, large, small int) map[string][]peerSize {
 	fleet := make(map[string][]peerSize)
 	for z := range zones {
@@ -29,8 +29,8 @@
 	return fleet
 }
 
-// without returns the fleet as one of its instances knows it.
-func without(fleet map[string][]peerSize, addr string) map[string][]peerSize {
+// withoutInstance returns the fleet without one of its instances.
+func withoutInstance(fleet map[string][]peerSize, addr string) map[string][]peerSize {
 	others := make(map[string][]peerSize)
 	for zone, members := range fleet {
 		others[zone] = slices.DeleteFunc(slices.Clone(members), func(m peerSize) bool { return m.addr == addr })
@@ -41,23 +41,23 @@
 func TestWhoIsAHub(t *testing.T) {
 	fleet := fleetOf(1, 3, 4)["zone-0"]
 	none := func(string) bool { return false }
-	for sentence, c := range map[string]struct {
-		self   int
-		silent func(string) bool
-		want   bool
+	for name, c := range map[string]struct {
+		self         int
+		unresponsive func(string) bool
+		want         bool
 	}{
-		"the largest":                         {0, none, true},
-		"the last of the large":               {2, none, true},
-		"the first of the small":              {3, none, false},
-		"the first of the small, one is lost": {3, func(addr string) bool { return addr == fleet[1].addr }, true},
-		"the next one then":                   {4, func(addr string) bool { return addr == fleet[1].addr }, false},
-		"the last, all others are lost":       {6, func(string) bool { return true }, true},
-		"a lost one behind changes nothing":   {3, func(addr string) bool { return addr == fleet[5].addr }, false},
+		"the largest instance":                                   {0, none, true},
+		"the last of the large instances":                        {2, none, true},
+		"the first of the small instances":                       {3, none, false},
+		"the first of the small instances, a large one is lost":  {3, func(addr string) bool { return addr == fleet[1].addr }, true},
+		"the second of the small instances, a large one is lost": {4, func(addr string) bool { return addr == fleet[1].addr }, false},
+		"the last instance, all others are lost":                 {6, func(string) bool { return true }, true},
+		"a lost instance of lower rank changes nothing":          {3, func(addr string) bool { return addr == fleet[5].addr }, false},
 	} {
-		t.Run(sentence, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			self := fleet[c.self]
-			others := without(map[string][]peerSize{"zone-0": fleet}, self.addr)["zone-0"]
-			assert.Equal(t, isHub(self, others, c.silent), c.want)
+			others := withoutInstance(map[string][]peerSize{"zone-0": fleet}, self.addr)["zone-0"]
+			assert.Equal(t, isHub(self, others, c.unresponsive), c.want)
 		})
 	}
 }
@@ -69,7 +69,7 @@
 		contacts, instances := 0, 0
 		for zone, members := range fleet {
 			for _, self := range members {
-				others := without(fleet, self.addr)
+				others := withoutInstance(fleet, self.addr)
 				contacts += len(contactsOf(isHub(self, others[zone], none), zone, others, none))
 				instances++
 			}
@@ -81,12 +81,12 @@
 	assert.Assert(t, many < 5, "%.1f contacts", many)
 }
 
-func TestInASmallDeploymentEverybodyKnowsEverybody(t *testing.T) {
+func TestInASmallDeploymentEveryInstanceContactsEveryOther(t *testing.T) {
 	none := func(string) bool { return false }
 	fleet := fleetOf(3, 0, 3)
 	for zone, members := range fleet {
 		for _, self := range members {
-			others := without(fleet, self.addr)
+			others := withoutInstance(fleet, self.addr)
 			assert.Assert(t, isHub(self, others[zone], none))
 			assert.Equal(t, len(contactsOf(true, zone, others, none)), 8)
 		}
@@ -96,26 +96,26 @@
 func TestALeafGoesOverToAnotherHubWhenOneIsSilent(t *testing.T) {
 	fleet := fleetOf(2, 3, 3)
 	self := fleet["zone-0"][5]
-	lost := func(addr string) bool { return addr == fleet["zone-0"][0].addr }
-	got := contactsOf(false, "zone-0", without(fleet, self.addr), lost)
+	unresponsive := func(addr string) bool { return addr == fleet["zone-0"][0].addr }
+	got := contactsOf(false, "zone-0", withoutInstance(fleet, self.addr), unresponsive)
 	assert.DeepEqual(t, got, []string{"zone-0/01", "zone-0/02", "zone-0/03"})
 }
 
-func TestAPeerIsSilentAfterSomeMissesUntilItSpeaks(t *testing.T) {
+func TestAPeerIsUnresponsiveAfterMissedHellosUntilItsNextHello(t *testing.T) {
 	p := newPeers()
-	p.miss("a")
-	assert.Assert(t, !p.isSilent("a"), "one hello may be lost")
-	p.miss("a")
-	assert.Assert(t, p.isSilent("a"))
+	p.recordMiss("a")
+	assert.Assert(t, !p.isUnresponsive("a"), "one hello may be lost")
+	p.recordMiss("a")
+	assert.Assert(t, p.isUnresponsive("a"))
 	now := bootTime()
-	assert.Equal(t, len(p.silentDue(now)), 0)
-	assert.DeepEqual(t, p.silentDue(now.Add(silentAgain)), []string{"a"})
-	p.set("a", peerView{at: now})
-	assert.Assert(t, !p.isSilent("a"))
+	assert.Equal(t, len(p.unresponsiveDue(now)), 0)
+	assert.DeepEqual(t, p.unresponsiveDue(now.Add(unresponsiveRetryInterval)), []string{"a"})
+	p.set("a", peerView{receivedAt: now})
+	assert.Assert(t, !p.isUnresponsive("a"))
 }
 
-// leaf is an instance that knows which others there are and hears hubs.
-func leaf(t *testing.T) *Instance {
+// newTestLeaf returns a leaf that has the list of instances.
+func newTestLeaf(t *testing.T) *Instance {
 	t.Helper()
 	settings := defaultSettings()
 	settings.AvailabilityZone = "zone-1"
@@ -129,65 +129,65 @@
 	return i
 }
 
-// speaks has a hub of the zone say hello.
-func (i *Instance) speaks(id string) {
+// receiveHubHello delivers a hello from a hub of the zone.
+func (i *Instance) receiveHubHello(id string) {
 	hub := i.hello(true)
 	hub.Hub, hub.StoreReachable = true, true
-	i.heard(id, hub)
+	i.receiveHello(id, hub)
 }
 
 func TestALeafFollowsTheTableOnceNoHubOfItsZoneAnswers(t *testing.T) {
-	i := leaf(t)
+	i := newTestLeaf(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go i.watchRole(ctx)
-	i.speaks("127.0.0.1:1")
-	assert.Assert(t, !i.follows())
+	i.receiveHubHello("127.0.0.1:1")
+	assert.Assert(t, !i.followsTable())
 	assert.Assert(t, !i.hello(false).GetHub())
-	for until := time.Now().Add(20 * time.Second); !i.follows() && time.Now().Before(until); {
-		pause(ctx, roleEvery)
+	for until := time.Now().Add(20 * time.Second); !i.followsTable() && time.Now().Before(until); {
+		pause(ctx, roleCheckInterval)
 	}
-	assert.Assert(t, i.follows(), "its hubs are silent, callers must be served")
+	assert.Assert(t, i.followsTable(), "its hubs are unresponsive and callers must be served")
 }
 
-func TestALeafKeepsTheRowsOfInstancesAlone(t *testing.T) {
-	i := leaf(t)
+func TestALeafKeepsOnlyTheRowsOfInstances(t *testing.T) {
+	i := newTestLeaf(t)
 	job := workload.Row{Key: jobPrefix + "a", Value: encode(workload.Job{ID: "a", Steps: []workload.Step{{Count: 1}}}), Version: 9}
 	i.replica.apply([]workload.Row{job})
 	_, known := i.replica.get("a")
 	assert.Assert(t, !known)
 	assert.Equal(t, len(i.replica.zones("")["zone-1"]), hubsPerZone)
 
-	i.replica.reload([]workload.Row{job}, 9) // it has become a hub
+	i.replica.reload([]workload.Row{job}, 9) // the instance becomes a hub
 	_, known = i.replica.get("a")
 	assert.Assert(t, known)
-	i.forgetTable()
+	i.dropTable()
 	_, known = i.replica.get("a")
 	assert.Assert(t, !known, "a leaf again")
 	assert.Assert(t, !i.replica.isLoaded())
 }
 
-func TestALeafReadsTheConfigurationOnlyWhenNoHubHasIt(t *testing.T) {
-	i := leaf(t)
-	assert.Assert(t, i.readsConfiguration(), "it has none yet")
+func TestALeafReadsTheConfigurationOnlyWhenNoHubProvidesIt(t *testing.T) {
+	i := newTestLeaf(t)
+	assert.Assert(t, i.readsConfiguration(), "it has no configuration yet")
 	i.configuration.Store(&workload.Configuration{Version: 1})
-	assert.Assert(t, i.readsConfiguration(), "no hub was heard")
-	i.speaks("127.0.0.1:1")
+	assert.Assert(t, i.readsConfiguration(), "no hub has sent a hello")
+	i.receiveHubHello("127.0.0.1:1")
 	assert.Assert(t, !i.readsConfiguration())
-	cut := i.hello(true)
-	cut.Hub = true // and does not reach the store
-	i.heard("127.0.0.1:1", cut)
+	hello := i.hello(true)
+	hello.Hub = true // a hub that does not reach the store
+	i.receiveHello("127.0.0.1:1", hello)
 	assert.Assert(t, i.readsConfiguration())
 }
 
-func TestALeafLeavesTheWatchForCutsToItsHubsUntilOneSaysSo(t *testing.T) {
-	i := leaf(t)
-	assert.Assert(t, !i.hubsWatch(), "it has heard nobody")
-	i.speaks("127.0.0.1:1")
-	i.speaks("127.0.0.1:2")
-	assert.Assert(t, i.hubsWatch())
-	cut := i.hello(true)
-	cut.Hub, cut.CutOff = true, true
-	i.heard("127.0.0.1:2", cut)
-	assert.Assert(t, !i.hubsWatch())
+func TestALeafDelegatesThePartitionWatchUntilAHubIsCutOff(t *testing.T) {
+	i := newTestLeaf(t)
+	assert.Assert(t, !i.delegatesPartitionWatch(), "no hub has sent a hello")
+	i.receiveHubHello("127.0.0.1:1")
+	i.receiveHubHello("127.0.0.1:2")
+	assert.Assert(t, i.delegatesPartitionWatch())
+	hello := i.hello(true)
+	hello.Hub, hello.CutOff = true, true
+	i.receiveHello("127.0.0.1:2", hello)
+	assert.Assert(t, !i.delegatesPartitionWatch())
 }
--- a/internal/deployment/cut.go
+++ b/internal/deployment/cut.go
@@ -15,100 +15,103 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file answers availability zones that are cut off. An instance there can
-// accept nothing, and its callers are served in the other zones as soon as it says
-// that it is not ready. Without it the silence was noticed after two seconds, calls
-// were held until the caller's deadline, and callers of the zone who came in the
-// first three seconds of a cut were not served at all.
+// This file detects that an availability zone is cut off. An instance there cannot
+// accept anything, and its callers are served in the other zones as soon as it reports
+// that it is not ready. Without this check the loss of contact was noticed after two
+// seconds, calls were held until the caller's deadline, and callers of the zone that
+// arrived in the first three seconds of a partition were not served at all.
 
 const (
-	// pingEvery is how often one instance of each other zone is pinged: a cut is noticed
-	// well before the balancer's next check.
-	pingEvery = 200 * time.Millisecond
-	// pingTimeout bounds a ping, and each call of the check beside it; a slowed instance
+	// pingInterval is how often one instance of each other zone is pinged, so that a
+	// partition is noticed well before the balancer's next check.
+	pingInterval = 200 * time.Millisecond
+	// pingTimeout bounds a ping and each concurrent probe of a witness; a slow instance
 	// answers within half of it.
 	pingTimeout = 250 * time.Millisecond
-	// checkAfter is how long all pings may go without an answer before the store and
-	// more instances are asked as well.
-	checkAfter = 100 * time.Millisecond
-	// witnesses is how many more instances of other zones are asked before a lost
-	// ping is taken for a cut.
-	witnesses = 2
+	// witnessDelay is how long all pings may remain unanswered before the store and
+	// more instances are probed as well.
+	witnessDelay = 100 * time.Millisecond
+	// witnessCount is how many more instances of other zones are probed before lost
+	// pings count as a partition.
+	witnessCount = 2
 )
 
-// cutWatch says whether this instance is cut off: whether neither the store nor any
-// instance of another zone has answered since a check of all of them failed.
-type cutWatch struct {
+// partitionWatch holds whether this instance is cut off: whether neither the store nor
+// any instance of another zone has answered since a probe of all of them failed.
+type partitionWatch struct {
 	mu sync.Mutex
-	// since is when the cut was noticed; zero while there is none.
-	since time.Time
-	// noticed is closed when a cut is noticed.
-	noticed chan struct{}
-	// alone says that the other instances of the zone did not answer either: they may
-	// be as connected as ever.
-	alone bool
+	// cutOffSince is when the partition was detected; zero while the instance is not
+	// cut off.
+	cutOffSince time.Time
+	// detected is closed when a partition is detected.
+	detected chan struct{}
+	// isolated is set if the other instances of the zone did not answer either; they
+	// may not be cut off.
+	isolated bool
 }
 
-func newCutWatch() *cutWatch { return &cutWatch{noticed: make(chan struct{})} }
+func newPartitionWatch() *partitionWatch { return &partitionWatch{detected: make(chan struct{})} }
 
-// cut reports whether the instance is cut off.
-func (c *cutWatch) cut() bool {
+// isCutOff reports whether the instance is cut off.
+func (c *partitionWatch) isCutOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.since.IsZero()
+	return !c.cutOffSince.IsZero()
 }
 
-// notice takes that nobody answered; true if that is new.
-func (c *cutWatch) notice(now time.Time) bool {
+// markCutOff records that no probe was answered. It returns false if the instance was
+// cut off already.
+func (c *partitionWatch) markCutOff(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.since.IsZero() {
+	if !c.cutOffSince.IsZero() {
 		return false
 	}
-	c.since = now
-	close(c.noticed)
+	c.cutOffSince = now
+	close(c.detected)
 	return true
 }
 
-// clear takes that somebody answered a call that began at a time; true if that ends
-// a cut. What began before the cut was noticed says nothing.
-func (c *cutWatch) clear(began time.Time) bool {
+// clear records an answer to a call that began at start, and returns true if that ends
+// the partition. A call that began before the partition was detected proves nothing.
+func (c *partitionWatch) clear(start time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.since.IsZero() || began.Before(c.since) {
+	if c.cutOffSince.IsZero() || start.Before(c.cutOffSince) {
 		return false
 	}
-	c.since = time.Time{}
-	c.alone = false
-	c.noticed = make(chan struct{})
+	c.cutOffSince = time.Time{}
+	c.isolated = false
+	c.detected = make(chan struct{})
 	return true
 }
 
-// setAlone notes whether the instance is cut off from those of its zone as well.
-func (c *cutWatch) setAlone(alone bool) {
+// setIsolated records whether the instance is also cut off from the others of its zone.
+func (c *partitionWatch) setIsolated(isolated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.alone = alone && !c.since.IsZero()
+	c.isolated = isolated && !c.cutOffSince.IsZero()
 }
 
-func (c *cutWatch) isAlone() bool {
+func (c *partitionWatch) isIsolated() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.alone
+	return c.isolated
 }
 
-// errCutOff ends calls under way once a cut is noticed.
+// errCutOff is the cause with which calls in flight are cancelled when a partition is
+// detected.
 var errCutOff = errors.New("the availability zone is cut off")
 
-// guard returns a context that ends once a cut is noticed.
-func (c *cutWatch) guard(ctx context.Context) (context.Context, context.CancelFunc) {
+// guard returns a context that is cancelled when a partition is detected.
+func (c *partitionWatch) guard(ctx context.Context) (context.Context, context.CancelFunc) {
 	c.mu.Lock()
-	noticed := c.noticed
+	detected := c.detected
 	c.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		select {
-		case <-noticed:
+		case <-detected:
 			cancel(errCutOff)
 		case <-ctx.Done():
 		}
@@ -116,124 +119,126 @@
 	return ctx, func() { cancel(nil) }
 }
 
-// refuseCutOff is the answer to work that this instance cannot take while it is cut
-// off: nothing of it was sent.
-func (i *Instance) refuseCutOff() error {
-	after := comeBackSoonest
+// cutOffError returns the error for work that this instance cannot take while it is cut
+// off; none of it was sent anywhere.
+func (i *Instance) cutOffError() error {
+	after := minRetryAfter
 	switch {
-	case !i.settings.Tuning.has(mechRetryAfter):
-	case i.cut.isAlone():
-		after = 0 // the next try reaches another instance of the zone
+	case !i.settings.Tuning.enabled(mechRetryAfter):
+	case i.partition.isIsolated():
+		after = 0 // the next attempt reaches another instance of the zone
 	default:
-		after = comeBackElsewhere(i.rotation.outIn(bootTime()))
+		after = retryAfterElsewhere(i.rotation.timeUntilRemoval(bootTime()))
 	}
 	return api.WithRetryAfter(api.NewError(api.KindStoreUnavailable, "%v", errCutOff), after)
 }
 
-// watchCut pings the other zones, one instance of each at a time, and checks all ways
-// out when none answers soon.
-func (i *Instance) watchCut(ctx context.Context) {
-	for turn := 0; ctx.Err() == nil; turn++ {
-		pause(ctx, pingEvery)
-		if i.hubsWatch() {
+// watchPartition pings one instance of each other zone at a time, and probes all routes
+// if none answers soon.
+func (i *Instance) watchPartition(ctx context.Context) {
+	for round := 0; ctx.Err() == nil; round++ {
+		pause(ctx, pingInterval)
+		if i.delegatesPartitionWatch() {
 			continue
 		}
-		zones := i.elsewhere()
+		zones := i.otherZoneInstances()
 		if len(zones) == 0 {
-			continue // there is nobody to be cut off from
+			continue // no other zone is known
 		}
-		began := bootTime()
-		silent, answered := i.tryWaysOut(ctx, zones, turn)
+		start := bootTime()
+		unresponsive, answered := i.probeZones(ctx, zones, round)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case answered:
-			i.reconnected(began)
-			i.suspectZones(silent)
-		case i.cut.notice(bootTime()):
-			alone := i.aloneInZone(ctx)
-			i.cut.setAlone(alone)
-			i.logger.Warn("cut off", zap.Int("zones_elsewhere", len(zones)), zap.Bool("alone", alone))
-			i.tellLeaves(ctx)
+			i.markReconnected(start)
+			i.suspectZones(unresponsive)
+		case i.partition.markCutOff(bootTime()):
+			isolated := i.isolatedInZone(ctx)
+			i.partition.setIsolated(isolated)
+			i.logger.Warn("cut off", zap.Int("zones_elsewhere", len(zones)), zap.Bool("alone", isolated))
+			i.notifyLeaves(ctx)
 		}
 	}
 }
 
-// hubQuiet is how long a leaf may hear nothing from the hubs of its zone before it
-// checks by itself whether it is cut off: a hello, and the time-out of the next one.
-const hubQuiet = helloEvery + helloTimeout
+// hubContactTimeout is how long a leaf receives nothing from the hubs of its zone
+// before it checks for a partition itself: a hello interval and the timeout of the next
+// hello.
+const hubContactTimeout = helloInterval + helloTimeout
 
-// hubsWatch reports whether this instance may leave the watch to the hubs of its zone:
-// it is a leaf, and one of them has said lately that it is not cut off.
-func (i *Instance) hubsWatch() bool {
-	if i.follows() || i.cut.cut() {
+// delegatesPartitionWatch reports whether this instance relies on the hubs of its zone
+// to detect a partition: it is a leaf, at least one hub has responded recently, and
+// none of those reported that it is cut off.
+func (i *Instance) delegatesPartitionWatch() bool {
+	if i.followsTable() || i.partition.isCutOff() {
 		return false
 	}
 	now := bootTime()
-	hubs := i.peers.fresh(func(v peerView) bool {
-		return v.hub && v.zone == i.settings.AvailabilityZone && now.Sub(v.at) < hubQuiet
+	hubs := i.peers.recent(func(v peerView) bool {
+		return v.hub && v.zone == i.settings.AvailabilityZone && now.Sub(v.receivedAt) < hubContactTimeout
 	})
-	connected := i.peers.fresh(func(v peerView) bool {
-		return v.hub && !v.cutOff && v.zone == i.settings.AvailabilityZone && now.Sub(v.at) < hubQuiet
+	connected := i.peers.recent(func(v peerView) bool {
+		return v.hub && !v.cutOff && v.zone == i.settings.AvailabilityZone && now.Sub(v.receivedAt) < hubContactTimeout
 	})
 	return len(connected) > 0 && len(connected) == len(hubs)
 }
 
-// tellLeaves tells the leaves of the zone that a cut was noticed: they look for
-// themselves.
-func (i *Instance) tellLeaves(ctx context.Context) {
+// notifyLeaves sends a hello to the leaves of the zone, which then check for the
+// partition themselves.
+func (i *Instance) notifyLeaves(ctx context.Context) {
 	hello := i.hello(false)
-	for _, id := range i.peers.fresh(func(v peerView) bool { return !v.hub && v.zone == i.settings.AvailabilityZone }) {
-		i.calls.Go(func() { i.sayHello(ctx, id, hello) })
+	for _, id := range i.peers.recent(func(v peerView) bool { return !v.hub && v.zone == i.settings.AvailabilityZone }) {
+		i.peerCalls.Go(func() { i.sendHello(ctx, id, hello) })
 	}
 }
 
-// aloneInZone reports whether none of the other instances of the zone answers that
-// said something lately.
-func (i *Instance) aloneInZone(ctx context.Context) bool {
-	mates := i.peers.fresh(func(v peerView) bool { return v.zone == i.settings.AvailabilityZone })
-	answers := make(chan bool, len(mates))
-	for _, id := range mates {
+// isolatedInZone reports whether none of the recently active instances of the zone
+// answers.
+func (i *Instance) isolatedInZone(ctx context.Context) bool {
+	members := i.peers.recent(func(v peerView) bool { return v.zone == i.settings.AvailabilityZone })
+	answers := make(chan bool, len(members))
+	for _, id := range members {
 		go func() { answers <- i.ping(ctx, id) }()
 	}
-	for range mates {
+	for range members {
 		if <-answers {
 			return false
 		}
 	}
-	return len(mates) > 0
+	return len(members) > 0
 }
 
-// tryWaysOut pings one instance of each zone and returns the first instances of the
-// zones that do not answer, and whether anybody did. If nobody has after checkAfter,
-// the store and some more instances are asked beside them.
-func (i *Instance) tryWaysOut(ctx context.Context, zones [][]string, turn int) (silent []string, answered bool) {
+// probeZones pings one instance of each zone. It returns the first member of each zone
+// whose pinged instance did not answer, and whether there was any answer. If there is
+// none after witnessDelay, the store and some more instances are probed concurrently.
+func (i *Instance) probeZones(ctx context.Context, zones [][]string, round int) (unresponsive []string, answered bool) {
 	answers := make(chan string, len(zones))
 	for _, members := range zones {
 		go func() {
-			if i.ping(ctx, members[turn%len(members)]) {
+			if i.ping(ctx, members[round%len(members)]) {
 				answers <- ""
 				return
 			}
 			answers <- members[0]
 		}()
 	}
-	check := time.NewTimer(checkAfter)
+	check := time.NewTimer(witnessDelay)
 	defer check.Stop()
 	checked := make(chan bool, 1)
 	checking := false
-	for left := len(zones); left > 0; {
+	for remaining := len(zones); remaining > 0; {
 		select {
 		case id := <-answers:
-			left--
+			remaining--
 			if id == "" {
 				answered = true
 			} else {
-				silent = append(silent, id)
+				unresponsive = append(unresponsive, id)
 			}
 		case <-check.C:
 			if checking = !answered; checking {
-				go func() { checked <- i.anyAnswers(ctx, slices.Concat(zones...), turn) }()
+				go func() { checked <- i.probeWitnesses(ctx, slices.Concat(zones...), round) }()
 			}
 		}
 	}
@@ -242,13 +247,13 @@
 	case checking:
 		answered = <-checked
 	default:
-		answered = i.anyAnswers(ctx, slices.Concat(zones...), turn)
+		answered = i.probeWitnesses(ctx, slices.Concat(zones...), round)
 	}
-	return silent, answered
+	return unresponsive, answered
 }
 
-// suspectZones lets the core look at the workers of zones of which an instance does
-// not answer, before it starts anything there.
+// suspectZones marks the zones of the given instances as suspect in the core, so that
+// it checks their workers before it starts anything there.
 func (i *Instance) suspectZones(members []string) {
 	leader := i.leader.Load()
 	if leader == nil {
@@ -260,24 +265,25 @@
 	}
 }
 
-// elsewhere lists the instances of each other zone. Those that said something lately
-// come first: rows of instances that are gone stay for a while.
-func (i *Instance) elsewhere() [][]string {
-	lately := make(map[string]bool)
-	for _, id := range i.peers.fresh(func(peerView) bool { return true }) {
-		lately[id] = true
+// otherZoneInstances returns the instances of each other zone, restricted to the
+// recently active ones where there are any: rows of instances that are gone remain for
+// a while.
+func (i *Instance) otherZoneInstances() [][]string {
+	recent := make(map[string]bool)
+	for _, id := range i.peers.recent(func(peerView) bool { return true }) {
+		recent[id] = true
 	}
 	zones := i.replica.otherZones(i.settings.AvailabilityZone)
 	for n, members := range zones {
-		if fresh := slices.DeleteFunc(slices.Clone(members), func(id string) bool { return !lately[id] }); len(fresh) > 0 {
-			zones[n] = fresh
+		if responsive := slices.DeleteFunc(slices.Clone(members), func(id string) bool { return !recent[id] }); len(responsive) > 0 {
+			zones[n] = responsive
 		}
 	}
 	return zones
 }
 
-// ping reports whether an instance answers. It sends a note without rows: a hello would
-// bring the leader's list of jobs each time.
+// ping reports whether an instance answers. It sends a rows message without rows, since
+// the answer to a hello would carry the leader's list of jobs.
 func (i *Instance) ping(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -285,23 +291,24 @@
 	return err == nil
 }
 
-// anyAnswers asks the store and some more instances at once.
-func (i *Instance) anyAnswers(ctx context.Context, others []string, turn int) bool {
+// probeWitnesses probes the store and some more instances concurrently, and reports
+// whether any of them answers.
+func (i *Instance) probeWitnesses(ctx context.Context, others []string, round int) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	asks := []func() bool{func() bool {
+	probes := []func() bool{func() bool {
 		_, err := i.store.direct.Read(ctx, workload.SourceOwn, mainPart, epochKey, leaderKey)
 		return err == nil
 	}}
-	for n := range min(witnesses, len(others)-1) {
-		id := others[(turn+1+n)%len(others)]
-		asks = append(asks, func() bool { return i.ping(ctx, id) })
+	for n := range min(witnessCount, len(others)-1) {
+		id := others[(round+1+n)%len(others)]
+		probes = append(probes, func() bool { return i.ping(ctx, id) })
 	}
-	answers := make(chan bool, len(asks))
-	for _, ask := range asks {
-		go func() { answers <- ask() }()
+	answers := make(chan bool, len(probes))
+	for _, probe := range probes {
+		go func() { answers <- probe() }()
 	}
-	for range asks {
+	for range probes {
 		if <-answers {
 			return true
 		}
@@ -309,9 +316,10 @@
 	return false
 }
 
-// reconnected ends a cut.
-func (i *Instance) reconnected(began time.Time) {
-	if i.cut.clear(began) {
+// markReconnected records an answer to a call that began at start, and logs the end of
+// a partition.
+func (i *Instance) markReconnected(start time.Time) {
+	if i.partition.clear(start) {
 		i.logger.Info("no longer cut off")
 	}
 }
--- a/internal/deployment/cut_test.go
+++ b/internal/deployment/cut_test.go
@@ -13,51 +13,52 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-func TestACutLastsUntilSomebodyAnswersACallThatBeganAfterIt(t *testing.T) {
-	c := newCutWatch()
-	began := time.Unix(100, 0)
+func TestCutOffEndsOnlyWithAnAnswerToALaterCall(t *testing.T) {
+	c := newPartitionWatch()
+	start := time.Unix(100, 0)
 	ctx, cancel := c.guard(t.Context())
 	defer cancel()
-	assert.Assert(t, !c.cut())
-	assert.Assert(t, c.notice(began))
-	assert.Assert(t, !c.notice(began.Add(time.Second)), "it is not new")
+	assert.Assert(t, !c.isCutOff())
+	assert.Assert(t, c.markCutOff(start))
+	assert.Assert(t, !c.markCutOff(start.Add(time.Second)), "it is cut off already")
 	<-ctx.Done()
 	assert.ErrorIs(t, context.Cause(ctx), errCutOff)
-	assert.Assert(t, !c.clear(began.Add(-time.Millisecond)), "that answer was on its way before")
-	assert.Assert(t, c.cut())
-	assert.Assert(t, c.clear(began.Add(time.Millisecond)))
-	assert.Assert(t, !c.cut())
+	assert.Assert(t, !c.clear(start.Add(-time.Millisecond)), "that call began before the partition was detected")
+	assert.Assert(t, c.isCutOff())
+	assert.Assert(t, c.clear(start.Add(time.Millisecond)))
+	assert.Assert(t, !c.isCutOff())
 	again, cancelAgain := c.guard(t.Context())
 	defer cancelAgain()
-	assert.NilError(t, again.Err(), "the next cut has a notice of its own")
+	assert.NilError(t, again.Err(), "the next partition has a channel of its own")
 }
 
-// silentStore never answers: what was sent to it may be performed.
-type silentStore struct {
+// unresponsiveStore never answers; a write sent to it may have been performed.
+type unresponsiveStore struct {
 	*memoryStore
 	written chan struct{}
 }
 
-func (s *silentStore) silence(ctx context.Context) error {
+func (s *unresponsiveStore) block(ctx context.Context) error {
 	<-ctx.Done()
 	return fmt.Errorf("%w: %w", workload.ErrUnknown, ctx.Err())
 }
 
 // Write implements workload.Store.
-func (s *silentStore) Write(ctx context.Context, _ workload.Write) (workload.Written, error) {
+func (s *unresponsiveStore) Write(ctx context.Context, _ workload.Write) (workload.Written, error) {
 	s.written <- struct{}{}
-	return workload.Written{}, s.silence(ctx)
+	return workload.Written{}, s.block(ctx)
 }
 
 // Read implements workload.Store.
-func (s *silentStore) Read(ctx context.Context, _ workload.Source, _, _, _ string) (workload.Page, error) {
-	return workload.Page{}, s.silence(ctx)
+func (s *unresponsiveStore) Read(ctx context.Context, _ workload.Source, _, _, _ string) (workload.Page, error) {
+	return workload.Page{}, s.block(ctx)
 }
 
-// cutOffInstance reaches neither the store nor the one instance of another zone.
-func cutOffInstance(t *testing.T) (*Instance, *silentStore) {
+// newCutOffInstance returns an instance that reaches neither the store nor the one
+// instance of another zone.
+func newCutOffInstance(t *testing.T) (*Instance, *unresponsiveStore) {
 	t.Helper()
-	store := &silentStore{memoryStore: newMemoryStore(), written: make(chan struct{}, 8)}
+	store := &unresponsiveStore{memoryStore: newMemoryStore(), written: make(chan struct{}, 8)}
 	settings := defaultSettings()
 	settings.AvailabilityZone = "zone-1"
 	settings.Listen.Peers = "127.0.0.1:1"
@@ -68,7 +69,7 @@
 }
 
 func TestACutOffInstanceAnswersAtOnceAndLeadsItsCallersElsewhere(t *testing.T) {
-	i, store := cutOffInstance(t)
+	i, store := newCutOffInstance(t)
 	assert.Assert(t, i.Ready())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -76,30 +77,30 @@
 	sent := make(chan error, 1)
 	go func() { sent <- i.Submit(ctx, caller, &workload.Job{ID: "sent-before"}) }()
 	<-store.written
-	go i.watchCut(ctx)
+	go i.watchPartition(ctx)
 
 	err := <-sent
-	assert.Equal(t, api.KindOf(err), api.KindResultUnknown, "it may be in the store: never said to be refused")
+	assert.Equal(t, api.KindOf(err), api.KindResultUnknown, "it may be in the store and must not be reported as refused")
 	assert.Assert(t, !i.Ready())
 
 	err = i.Submit(ctx, caller, &workload.Job{ID: "after"})
 	assert.Equal(t, api.KindOf(err), api.KindStoreUnavailable)
-	assert.Equal(t, api.RetryAfterS(err), comeBackSoonest.Seconds())
+	assert.Equal(t, api.RetryAfterS(err), minRetryAfter.Seconds())
 	select {
 	case <-store.written:
-		t.Fatal("nothing may be sent of what is refused")
+		t.Fatal("refused work must not be sent")
 	default:
 	}
 }
 
-func TestAnInstanceOfAnotherZoneThatSpeaksEndsTheCut(t *testing.T) {
-	i, _ := cutOffInstance(t)
-	i.cut.notice(bootTime())
+func TestAHelloFromAnotherZoneEndsCutOff(t *testing.T) {
+	i, _ := newCutOffInstance(t)
+	i.partition.markCutOff(bootTime())
 	assert.Assert(t, !i.Ready())
 	hello := i.hello(true)
-	i.heard("127.0.0.1:3", hello)
-	assert.Assert(t, !i.Ready(), "an instance of its own zone is cut off as well")
+	i.receiveHello("127.0.0.1:3", hello)
+	assert.Assert(t, !i.Ready(), "an instance of its own zone may be cut off as well")
 	hello.AvailabilityZone = "zone-2"
-	i.heard("127.0.0.1:2", hello)
+	i.receiveHello("127.0.0.1:2", hello)
 	assert.Assert(t, i.Ready())
 }
--- a/internal/deployment/drains.go
+++ b/internal/deployment/drains.go
@@ -13,52 +13,54 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file keeps which availability zones operators have drained. Each zone has a row
-// in the operators' table while it is drained. Rows arrive by the feed, by whole reads
-// and late by slow paths, so the newest word on each zone counts, and a removal is
-// remembered by its version.
+// This file tracks which availability zones operators have drained. Each zone has a row
+// in the operators' table while it is drained. Rows arrive from the feed, from whole
+// reads and late by slow routes, so the newest version for each zone wins, and the
+// version of a removal is remembered.
 
-// drains are the availability zones that operators have drained, as far as this
-// instance knows. mu guards its fields.
+// drains holds the availability zones that operators have drained, as last seen by this
+// instance. mu guards zones and asOf.
 type drains struct {
-	decode Decoder
-	logger *zap.Logger
+	decoder Decoder
+	logger  *zap.Logger
 
 	mu    sync.Mutex
-	zones map[string]drainMark
-	// asOf is when the newest answer about the whole table was asked for.
+	zones map[string]drainState
+	// asOf is when the request for the newest answer that covers the whole table was
+	// sent.
 	asOf time.Time
 }
 
-// drainMark is the newest word on one zone.
-type drainMark struct {
+// drainState is the newest known state of one zone.
+type drainState struct {
 	drained bool
 	version int64
 }
 
-func newDrains(decode Decoder, logger *zap.Logger) *drains {
-	return &drains{decode: decode, logger: logger, zones: make(map[string]drainMark)}
+func newDrains(decoder Decoder, logger *zap.Logger) *drains {
+	return &drains{decoder: decoder, logger: logger, zones: make(map[string]drainState)}
 }
 
-// apply takes changes of the table; it reports whether a zone changed.
+// apply applies changes of the table and reports whether a zone changed.
 func (d *drains) apply(rows []workload.Row) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	changed := false
 	for _, row := range rows {
-		if zone, names := d.decode.DrainedZone(row.Key); names {
-			changed = d.mark(zone, drainMark{!row.Deleted, row.Version}) || changed
+		if zone, ok := d.decoder.DrainedZone(row.Key); ok {
+			changed = d.update(zone, drainState{!row.Deleted, row.Version}) || changed
 		}
 	}
 	return changed
 }
 
-// reload takes a whole read of the table at a version; it reports whether a zone changed.
+// reload applies a whole read of the table at a version and reports whether a zone
+// changed.
 func (d *drains) reload(rows []workload.Row, version int64) bool {
 	changed := d.apply(rows)
 	present := make(map[string]bool)
 	for _, row := range rows {
-		if zone, names := d.decode.DrainedZone(row.Key); names {
+		if zone, names := d.decoder.DrainedZone(row.Key); names {
 			present[zone] = true
 		}
 	}
@@ -66,33 +68,33 @@
 	defer d.mu.Unlock()
 	for zone := range d.zones {
 		if !present[zone] {
-			changed = d.mark(zone, drainMark{false, version}) || changed
+			changed = d.update(zone, drainState{false, version}) || changed
 		}
 	}
 	return changed
 }
 
-// mark takes the word on a zone, unless a newer one is known.
-func (d *drains) mark(zone string, mark drainMark) bool {
+// update sets the state of a zone, unless a newer one is known.
+func (d *drains) update(zone string, state drainState) bool {
 	known := d.zones[zone]
-	if mark.version < known.version {
+	if state.version < known.version {
 		return false
 	}
-	d.zones[zone] = mark
-	if mark.drained == known.drained {
+	d.zones[zone] = state
+	if state.drained == known.drained {
 		return false
 	}
-	d.logger.Info("availability zone", zap.String("zone", zone), zap.Bool("drained", mark.drained), zap.Int64("version", mark.version))
+	d.logger.Info("availability zone", zap.String("zone", zone), zap.Bool("drained", state.drained), zap.Int64("version", state.version))
 	return true
 }
 
-// list returns the zones that are drained, in order.
+// list returns the drained zones, sorted.
 func (d *drains) list() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var zones []string
-	for zone, mark := range d.zones {
-		if mark.drained {
+	for zone, state := range d.zones {
+		if state.drained {
 			zones = append(zones, zone)
 		}
 	}
@@ -100,7 +102,8 @@
 	return zones
 }
 
-// confirm notes that the table was heard of by a call that was sent at a time.
+// confirm records that an answer to a request sent at the given time covers the whole
+// table.
 func (d *drains) confirm(sent time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,52 +112,52 @@
 	}
 }
 
-// age is how old what is known here may be.
+// age returns how old the local state may be.
 func (d *drains) age(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return now.Sub(d.asOf)
 }
 
-// drainReserve is kept of the bound within which nothing more may start in a drained
-// zone: a start that was ordered may still be carried out a little later.
+// drainReserve is subtracted from the bound within which starts in a drained zone must
+// cease: a start that was already ordered may be carried out a little later.
 const drainReserve = 1 * time.Second
 
-// drainsKnown reports whether this instance has heard lately enough which zones are
-// drained to start work.
-func (i *Instance) drainsKnown(now time.Time) bool {
-	return i.drains.age(now) <= i.live.Load().drainWithin()-drainReserve
+// drainsCurrent reports whether this instance's knowledge of drained zones is recent
+// enough to start work.
+func (i *Instance) drainsCurrent(now time.Time) bool {
+	return i.drains.age(now) <= i.liveSettings.Load().drainLimit()-drainReserve
 }
 
-// takeOperatorTable takes a whole read of the operators' table.
-func (i *Instance) takeOperatorTable(rows []workload.Row, version int64) {
-	i.takeConfiguration(rows)
+// applyOperatorTable applies a whole read of the operators' table.
+func (i *Instance) applyOperatorTable(rows []workload.Row, version int64) {
+	i.applyConfiguration(rows)
 	if i.drains.reload(rows, version) {
 		i.drainsChanged()
 	}
 }
 
-// takeOperatorRows takes changes of the operators' table.
-func (i *Instance) takeOperatorRows(rows []workload.Row) {
-	i.takeConfiguration(rows)
+// applyOperatorRows applies changes of the operators' table.
+func (i *Instance) applyOperatorRows(rows []workload.Row) {
+	i.applyConfiguration(rows)
 	if i.drains.apply(rows) {
 		i.drainsChanged()
 	}
 }
 
-// readOperatorTable reads the operators' table whole.
+// readOperatorTable reads and applies the whole operators' table.
 func (i *Instance) readOperatorTable(ctx context.Context) error {
 	sent := bootTime()
 	rows, version, err := readTable(ctx, i.store, workload.SourceConfiguration)
 	if err != nil {
 		return err
 	}
-	i.takeOperatorTable(rows, version)
+	i.applyOperatorTable(rows, version)
 	i.drains.confirm(sent)
 	return nil
 }
 
-// drainsChanged tells the core, if this instance leads.
+// drainsChanged passes the drained zones to the core if this instance leads.
 func (i *Instance) drainsChanged() {
 	leader := i.leader.Load()
 	if leader == nil {
@@ -163,8 +166,8 @@
 	leader.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.Drain(i.drains.list(), now, wallMS) })
 }
 
-// DrainedZones returns the availability zones that operators have drained, as far as is
-// known here.
+// DrainedZones returns the availability zones that operators have drained, as last seen
+// by this instance.
 func (i *Instance) DrainedZones() []string { return i.drains.list() }
 
 func (i *Instance) registerDrainMetrics() {
--- a/internal/deployment/entries_test.go
+++ b/internal/deployment/entries_test.go
@@ -14,7 +14,8 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// plainDecoder reads entries that are just the name of a pool; "?" cannot be read.
+// plainDecoder decodes entries that hold only the name of a pool; "?" cannot be
+// decoded.
 type plainDecoder struct{}
 
 // IsConfiguration implements Decoder.
@@ -26,7 +27,7 @@
 // Configuration implements Decoder.
 func (plainDecoder) Configuration(data []byte) (*workload.Configuration, error) {
 	if strings.Contains(string(data), "?") {
-		return nil, errors.New("played")
+		return nil, errors.New("injected")
 	}
 	return &workload.Configuration{Version: int64(len(data)), Pools: []string{string(data)}}, nil
 }
@@ -34,7 +35,7 @@
 // Worker implements Decoder.
 func (plainDecoder) Worker(id string, data []byte) (workload.Worker, error) {
 	if strings.Contains(string(data), "?") {
-		return workload.Worker{}, errors.New("played")
+		return workload.Worker{}, errors.New("injected")
 	}
 	return workload.Worker{ID: id, Addr: id, Pool: string(data)}, nil
 }
@@ -51,7 +52,7 @@
 	return set
 }
 
-func TestAnEntryThatCannotBeReadNamesNoWorkerAndTheOthersHold(t *testing.T) {
+func TestAnUnreadableEntryDelistsOnlyItsWorker(t *testing.T) {
 	core, logs := observer.New(zap.ErrorLevel)
 	r := newRoster(plainDecoder{}, time.Minute, zap.New(core))
 	r.reload([]workload.Row{entryRow("a", "pool", 1), entryRow("b", "?", 2), entryRow("c", "pool", 3)}, 3)
@@ -61,18 +62,18 @@
 		r.reload([]workload.Row{entryRow("a", "?", version), entryRow("b", "?", 2), entryRow("c", "pool", 3)}, version)
 	}
 	assert.DeepEqual(t, ids(r.list()), map[string]bool{"c": true})
-	assert.Equal(t, logs.FilterField(zap.String("worker", "a")).Len(), 1, "one line, however often it is repeated")
+	assert.Equal(t, logs.FilterField(zap.String("worker", "a")).Len(), 1, "logged once, however often it is repeated")
 	r.apply([]workload.Row{entryRow("a", "pool", 9)})
 	assert.DeepEqual(t, ids(r.list()), map[string]bool{"a": true, "c": true})
 }
 
-func TestWorkersOfPoolsThatNoConfigurationNamesAreNotListed(t *testing.T) {
+func TestWorkersOfUnconfiguredPoolsAreNotListed(t *testing.T) {
 	settings := defaultSettings()
 	i := New(Options{Settings: &settings, Store: newMemoryStore(), Decoder: plainDecoder{}, Logger: zap.NewNop()})
 	i.workers.apply([]workload.Row{entryRow("a", "pool", 1), entryRow("b", "elsewhere", 2)})
-	i.takeConfiguration([]workload.Row{entryRow("config", "pool", 1)})
+	i.applyConfiguration([]workload.Row{entryRow("config", "pool", 1)})
 	assert.DeepEqual(t, ids(i.listedWorkers()), map[string]bool{"a": true})
-	i.takeConfiguration([]workload.Row{entryRow("config", "elsewhere", 2)})
+	i.applyConfiguration([]workload.Row{entryRow("config", "elsewhere", 2)})
 	assert.DeepEqual(t, ids(i.listedWorkers()), map[string]bool{"b": true})
 }
 
@@ -80,27 +81,27 @@
 	core, logs := observer.New(zap.ErrorLevel)
 	settings := defaultSettings()
 	i := New(Options{Settings: &settings, Store: newMemoryStore(), Decoder: plainDecoder{}, Logger: zap.New(core)})
-	i.takeConfiguration([]workload.Row{entryRow("config", "pool", 1)})
+	i.applyConfiguration([]workload.Row{entryRow("config", "pool", 1)})
 	for range 3 {
-		i.takeConfiguration([]workload.Row{entryRow("config", "?", 2), entryRow("wave/1", "?", 3)})
+		i.applyConfiguration([]workload.Row{entryRow("config", "?", 2), entryRow("wave/1", "?", 3)})
 	}
 	assert.Equal(t, i.configVersion(), int64(len("pool")))
 	assert.Equal(t, logs.Len(), 1)
 }
 
-func TestRowsOfTheTableThatCannotBeReadHoldNothingElseUp(t *testing.T) {
-	sound := func(r *replica) {
+func TestUnreadableRowsDoNotAffectOthers(t *testing.T) {
+	applyValidJob := func(r *replica) {
 		r.apply([]workload.Row{jobRow("sound", 1)})
 	}
 	for name, c := range map[string]struct {
 		row   workload.Row
 		check func(t *testing.T, r *replica)
 	}{
-		"a job that is no document": {
+		"a job that is not a document": {
 			workload.Row{Key: jobPrefix + "bad", Value: []byte("{"), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 1) },
 		},
-		"a job of other types": {
+		"a job with fields of other types": {
 			workload.Row{Key: jobPrefix + "bad", Value: []byte(`{"id":"bad","steps":"none"}`), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 1) },
 		},
@@ -116,25 +117,25 @@
 			workload.Row{Key: jobPrefix + "bad", Value: []byte(`{"id":"other","steps":[{"count":1}]}`), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 1) },
 		},
-		"a record that is no document: what of the job is done is not known": {
+		"a record that is not a document: the job's progress is unknown": {
 			workload.Row{Key: recordPrefix + "sound", Value: []byte("?"), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 0) },
 		},
-		"a record with an end that is not known": {
+		"a record with an unknown final state": {
 			workload.Row{Key: recordPrefix + "sound", Value: []byte(`{"final":"evaporated"}`), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 0) },
 		},
-		"a worker that is no document may run something": {
+		"a worker that is not a document may run something": {
 			workload.Row{Key: workerPrefix + "w", Value: []byte("?"), Version: 2},
 			func(t *testing.T, r *replica) {
 				assert.DeepEqual(t, ids(r.storedWorkers()), map[string]bool{"w": true})
 			},
 		},
-		"an instance that is no document": {
+		"an instance that is not a document": {
 			workload.Row{Key: instancePrefix + "10.0.0.1:1", Value: []byte("7"), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.zones("")), 0) },
 		},
-		"a leader that is no document": {
+		"a leader that is not a document": {
 			workload.Row{Key: leaderKey, Value: []byte("[]"), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, r.seenLeader().version, int64(0)) },
 		},
@@ -145,7 +146,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newReplica(zap.NewNop())
-			sound(r)
+			applyValidJob(r)
 			r.apply([]workload.Row{c.row})
 			c.check(t, r)
 			_, ok := r.get("sound")
@@ -154,7 +155,7 @@
 	}
 }
 
-func TestARecordThatCanBeReadAgainFreesItsJob(t *testing.T) {
+func TestAJobIsUsableAgainOnceItsRecordIsReadable(t *testing.T) {
 	r := newReplica(zap.NewNop())
 	r.apply([]workload.Row{jobRow("a", 1), {Key: recordPrefix + "a", Value: []byte("?"), Version: 2}})
 	assert.Equal(t, len(r.snapshot()), 0)
--- a/internal/deployment/fake_test.go
+++ b/internal/deployment/fake_test.go
@@ -11,19 +11,19 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// memoryStore is a store in memory, of one table.
+// memoryStore is an in-memory store with a single table.
 type memoryStore struct {
 	mu   sync.Mutex
 	ver  int64
 	rows map[string]workload.Row
-	// fail, if set, is asked before each call.
+	// fail, if set, is called before each call and its error is returned.
 	fail  func() error
 	calls int
 }
 
 func newMemoryStore() *memoryStore { return &memoryStore{rows: make(map[string]workload.Row)} }
 
-func (s *memoryStore) begin() error {
+func (s *memoryStore) beforeCall() error {
 	s.calls++
 	if s.fail != nil {
 		return s.fail()
@@ -35,7 +35,7 @@
 func (s *memoryStore) Write(_ context.Context, write workload.Write) (workload.Written, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.beforeCall(); err != nil {
 		return workload.Written{}, err
 	}
 	var current []workload.Row
@@ -65,7 +65,7 @@
 func (s *memoryStore) Read(_ context.Context, source workload.Source, part, from, to string) (workload.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.beforeCall(); err != nil {
 		return workload.Page{}, err
 	}
 	page := workload.Page{Version: s.ver}
@@ -83,10 +83,10 @@
 
 // Follow implements workload.Store.
 func (s *memoryStore) Follow(context.Context, workload.Source, int64, time.Duration) (workload.Page, error) {
-	return workload.Page{}, fmt.Errorf("%w: not played", workload.ErrNotDone)
+	return workload.Page{}, fmt.Errorf("%w: not implemented", workload.ErrNotDone)
 }
 
-// packedNote is rows of the operators' table as a peer passes them on.
-func packedNote(rows ...workload.Row) *peerpb.RowsNote {
+// rowsMessage returns rows of the operators' table as a peer sends them.
+func rowsMessage(rows ...workload.Row) *peerpb.RowsNote {
 	return &peerpb.RowsNote{Source: string(workload.SourceConfiguration), Rows: packRows(rows)}
 }
--- a/internal/deployment/follow.go
+++ b/internal/deployment/follow.go
@@ -11,91 +11,96 @@
 )
 
 const (
-	// followWait is how long the store may wait for a change. It is shorter than
-	// the bounds within which changes must be in force, so that a feed that went
-	// silent is noticed in time.
+	// followWait is how long the store may wait for a change. It is shorter than the
+	// bounds within which changes must be in force, so that a feed that has stopped
+	// responding is noticed in time.
 	followWait = 1 * time.Second
-	// followPause is the pause after a failure.
-	followPause = 100 * time.Millisecond
-	// leaderGap, othersGap and restGap are the pauses of hubs after changes of the
-	// product's table. The leader is told of new jobs by whom callers asked; the feed
-	// brings what such a note missed. Those next in line see its renewals there. The
-	// others get records from the leader, and read a job that they do not know.
-	leaderGap = 50 * time.Millisecond
-	othersGap = 200 * time.Millisecond
-	restGap   = 600 * time.Millisecond
-	// workersGap is the same for the list of workers, which the leader alone follows:
-	// every heartbeat is a change of it.
+	// followRetryPause is the pause after a failure.
+	followRetryPause = 100 * time.Millisecond
+	// leaderGap, nextInLineGap and restGap are how long hubs pause after changes of the
+	// product's table. The leader is notified of new jobs by the instances that
+	// accepted them; its feed delivers those of which the notification was lost. The
+	// instances next in line observe renewals through the feed. The others receive
+	// records from the leader, and read jobs that they do not have.
+	leaderGap     = 50 * time.Millisecond
+	nextInLineGap = 200 * time.Millisecond
+	restGap       = 600 * time.Millisecond
+	// workersGap is the pause for the list of workers, which only the leader follows.
+	// Every heartbeat is a change of that list.
 	workersGap = 250 * time.Millisecond
-	// configurationGap batches changes that come in quick succession.
+	// configurationGap batches changes that arrive in quick succession.
 	configurationGap = 20 * time.Millisecond
-	// readEvery is how often a followed table is read all the same: a feed may
-	// hear nothing for a while although there are changes.
-	readEvery = 1 * time.Second
+	// rereadInterval is how often a followed table is read in addition: a feed may miss
+	// changes for a while.
+	rereadInterval = 1 * time.Second
 )
 
-// tableGap is the pause after changes of the product's table of an instance by its place
-// in line for the lease.
-func tableGap(holds bool, place int) time.Duration {
+// tableGap returns the pause after changes of the product's table, given whether the
+// instance holds the lease and its rank among the candidates.
+func tableGap(holds bool, rank int) time.Duration {
 	switch {
 	case holds:
 		return leaderGap
-	case place <= inLine:
-		return othersGap
+	case rank <= nextInLine:
+		return nextInLineGap
 	}
 	return restGap
 }
 
-// follower keeps up with one table: a whole read, then its changes.
+// follower follows one table: it reads the whole table, then its changes.
 type follower struct {
 	store  workload.Store
 	source workload.Source
 	logger *zap.Logger
-	// gap is the pause after changes, so that a table with many writers costs a
-	// call a gap and not a call a write.
+	// gap returns the pause after changes, so that a table with many writers costs one
+	// call per gap instead of one per write.
 	gap func() time.Duration
-	// whole takes a whole read, taken at a version; changes takes what follows.
-	whole   func(rows []workload.Row, at int64)
-	changes func(rows []workload.Row)
-	// wanted, if set, says whether the table is followed now; idle is called again and
-	// again while it is not.
-	wanted func() bool
-	idle   func()
-	// heard, if set, takes when a call was sent whose answer has been taken.
-	heard func(sent time.Time)
+	// reload receives a whole read and its version; apply receives the changes after
+	// it.
+	reload func(rows []workload.Row, at int64)
+	apply  func(rows []workload.Row)
+	// wanted, if set, reports whether the table is to be followed now; whileUnwanted is
+	// called repeatedly while it is not.
+	wanted        func() bool
+	whileUnwanted func()
+	// confirm, if set, is called with the time at which a call was sent, once its
+	// answer has been applied.
+	confirm func(sent time.Time)
 }
 
-// isWanted reports whether the table is followed now.
+// isWanted reports whether the table is to be followed now.
 func (f *follower) isWanted() bool { return f.wanted == nil || f.wanted() }
 
-// run follows until the context ends.
+// run follows the table until the context ends.
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !f.isWanted() {
-			f.idle()
-			pause(ctx, roleEvery)
+			f.whileUnwanted()
+			pause(ctx, roleCheckInterval)
 			continue
 		}
 		f.readAndFollow(ctx)
 	}
 }
 
-// readAndFollow follows from a whole read on, until the table is not wanted any more.
+// readAndFollow reads the whole table and follows its changes, until the table is no
+// longer wanted.
 func (f *follower) readAndFollow(ctx context.Context) {
 	for ctx.Err() == nil && f.isWanted() {
 		sent := bootTime()
 		rows, version, err := readTable(ctx, f.store, f.source)
 		if err != nil {
-			pause(ctx, followPause)
+			pause(ctx, followRetryPause)
 			continue
 		}
-		f.whole(rows, version)
-		f.noteHeard(sent)
+		f.reload(rows, version)
+		f.confirmAnswer(sent)
 		f.follow(ctx, version)
 	}
 }
 
-// follow takes changes until the history is gone, or the table is not wanted any more.
+// follow applies changes until the store no longer has the history, or the table is no
+// longer wanted.
 func (f *follower) follow(ctx context.Context, version int64) {
 	for ctx.Err() == nil && f.isWanted() {
 		sent := bootTime()
@@ -105,26 +110,26 @@
 			return
 		}
 		if err != nil {
-			pause(ctx, followPause)
+			pause(ctx, followRetryPause)
 			continue
 		}
-		f.changes(page.Rows)
-		f.noteHeard(sent)
+		f.apply(page.Rows)
+		f.confirmAnswer(sent)
 		version = max(version, page.Version)
 		pause(ctx, f.gap())
 	}
 }
 
-func (f *follower) noteHeard(sent time.Time) {
-	if f.heard != nil {
-		f.heard(sent)
+func (f *follower) confirmAnswer(sent time.Time) {
+	if f.confirm != nil {
+		f.confirm(sent)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) { pauseUnless(ctx, d, nil) }
+func pause(ctx context.Context, d time.Duration) { pauseOrWake(ctx, d, nil) }
 
-// pauseUnless pauses until something wakes it.
-func pauseUnless(ctx context.Context, d time.Duration, wake <-chan struct{}) {
+// pauseOrWake pauses until the duration has passed, the context ends, or wake delivers.
+func pauseOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/deployment/follow_test.go
+++ b/internal/deployment/follow_test.go
@@ -11,28 +11,28 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-func TestWhoIsFarFromTheLeaseAsksTheStoreSeldom(t *testing.T) {
-	for sentence, c := range map[string]struct {
+func TestInstancesFarFromTheLeasePollTheStoreLessOften(t *testing.T) {
+	for name, c := range map[string]struct {
 		holds bool
-		place int
+		rank  int
 		want  time.Duration
 	}{
-		"the leader schedules what it finds": {true, 0, leaderGap},
-		"the next one":                       {false, 0, othersGap},
-		"the last one in line":               {false, inLine, othersGap},
-		"behind those in line":               {false, inLine + 1, restGap},
+		"the leader":                     {true, 0, leaderGap},
+		"the next in line":               {false, 0, nextInLineGap},
+		"the last of those next in line": {false, nextInLine, nextInLineGap},
+		"after those next in line":       {false, nextInLine + 1, restGap},
 	} {
-		t.Run(sentence, func(t *testing.T) { assert.Equal(t, tableGap(c.holds, c.place), c.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, tableGap(c.holds, c.rank), c.want) })
 	}
 }
 
-func TestWhoIsFarFromTheLeaseSeesARenewalBeforeItSuspectsTheHolder(t *testing.T) {
-	turn := time.Duration(inLine+1) * candidateStep
-	assert.Assert(t, restGap+renewEvery < suspectAfter+turn)
+func TestInstancesFarFromTheLeaseSeeARenewalBeforeSuspectingTheLeader(t *testing.T) {
+	turn := time.Duration(nextInLine+1) * candidateDelay
+	assert.Assert(t, restGap+renewInterval < suspectAfter+turn)
 }
 
 func TestATableThatIsNoLongerFollowedIsDropped(t *testing.T) {
-	i := leaf(t)
+	i := newTestLeaf(t)
 	store := i.store.direct.(*memoryStore)
 	key := jobPrefix + "a"
 	job := workload.Row{Key: key, Value: encode(workload.Job{ID: "a", Steps: []workload.Step{{Count: 1}}})}
@@ -41,8 +41,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f := &follower{
-		store: store, source: workload.SourceOwn, logger: zap.NewNop(), whole: i.replica.reload, changes: i.replica.apply,
-		gap: func() time.Duration { return 0 }, wanted: i.follows, idle: i.forgetTable,
+		store: store, source: workload.SourceOwn, logger: zap.NewNop(), reload: i.replica.reload, apply: i.replica.apply,
+		gap: func() time.Duration { return 0 }, wanted: i.followsTable, whileUnwanted: i.dropTable,
 	}
 	go f.run(ctx)
 	eventually := func(what string, holds func() bool) {
@@ -56,8 +56,8 @@
 	eventually("followed", func() bool { return known() && i.replica.isLoaded() })
 	i.replica.pin()
 	i.setRole(false)
-	pause(ctx, 3*roleEvery)
-	assert.Assert(t, known(), "it leads yet")
+	pause(ctx, 3*roleCheckInterval)
+	assert.Assert(t, known(), "it still leads")
 	i.replica.unpin()
 	eventually("dropped", func() bool { return !known() && !i.replica.isLoaded() })
 }
--- a/internal/deployment/gossip.go
+++ b/internal/deployment/gossip.go
@@ -14,21 +14,23 @@
 )
 
 const (
-	// helloEvery is the time between two hellos to a peer. A count of waiting
-	// jobs may be two seconds old; half of it leaves one hello to be lost.
-	helloEvery = 700 * time.Millisecond
-	// helloFresh is for how long a peer that said hello is not called: less than the
-	// interval, so that one of the two calls in each.
-	helloFresh = helloEvery * 3 / 4
+	// helloInterval is the time between two hellos to a peer. A count of waiting jobs
+	// may be two seconds old; with less than half of that as the interval, one hello
+	// may be lost.
+	helloInterval = 700 * time.Millisecond
+	// helloSkipWindow is how long no hello is sent to a peer after one was received
+	// from it. It is shorter than the interval, so that one of the two sends a hello in
+	// each interval.
+	helloSkipWindow = helloInterval * 3 / 4
 	// helloTimeout bounds one hello.
 	helloTimeout = 600 * time.Millisecond
-	// noteTimeout bounds passing rows on.
-	noteTimeout = 800 * time.Millisecond
-	// peerFreshFor is how long a peer's hello counts.
-	peerFreshFor = 2 * time.Second
+	// rowsTimeout bounds sending rows to a peer.
+	rowsTimeout = 800 * time.Millisecond
+	// peerViewTTL is how long a peer's hello counts as recent.
+	peerViewTTL = 2 * time.Second
 )
 
-// hello is what this instance says of itself, to a hub or to a leaf.
+// hello returns the state that this instance sends to a hub or to a leaf.
 func (i *Instance) hello(toHub bool) *peerpb.Hello {
 	_, directly := i.store.reachable()
 	h := &peerpb.Hello{
@@ -36,14 +38,14 @@
 		ConfigVersion:    i.configVersion(),
 		StoreReachable:   directly,
 		Leaving:          i.stopping.Load(),
-		Hub:              i.follows() && i.replica.isLoaded(),
+		Hub:              i.followsTable() && i.replica.isLoaded(),
 		Leader:           i.leaderAddr(),
-		CutOff:           i.cut.cut(),
+		CutOff:           i.partition.isCutOff(),
 	}
 	if g := i.lease.current(); g != nil && !g.ended() {
 		h.Epoch = g.epoch
 		if toHub {
-			h.Began = i.replica.beganList()
+			h.Began = i.replica.startedJobs()
 		}
 	}
 	if h.Hub && !toHub {
@@ -52,53 +54,53 @@
 	return h
 }
 
-// pendingCounts keeps what was counted last: a hub tells it to every leaf.
+// pendingCounts caches the counts of waiting jobs, which a hub sends to every leaf.
 type pendingCounts struct {
-	mu     sync.Mutex
-	counts map[string]int64
-	at     time.Time
+	mu        sync.Mutex
+	counts    map[string]int64
+	countedAt time.Time
 }
 
-// countsFresh is for how long a count of waiting jobs is told.
-const countsFresh = 250 * time.Millisecond
+// pendingCountsTTL is how long the cached counts are used.
+const pendingCountsTTL = 250 * time.Millisecond
 
 func (p *pendingCounts) of(r *replica, now time.Time) map[string]int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.counts == nil || now.Sub(p.at) > countsFresh {
-		p.counts, p.at = r.pending(), now
+	if p.counts == nil || now.Sub(p.countedAt) > pendingCountsTTL {
+		p.counts, p.countedAt = r.pending(), now
 	}
 	return p.counts
 }
 
-// gossip says hello to every contact at an interval. A hello is answered with one, so
-// a peer that has just said hello needs none: of two, one calls.
+// gossip sends a hello to every contact at an interval. A hello is answered with a
+// hello, so none is sent to a peer from which one was received just before.
 func (i *Instance) gossip(ctx context.Context) {
 	for ctx.Err() == nil {
 		hello := i.hello(true)
 		for _, id := range i.contacts() {
-			if i.peers.heardSince(id, bootTime().Add(-helloFresh)) {
+			if i.peers.helloSince(id, bootTime().Add(-helloSkipWindow)) {
 				continue
 			}
-			i.calls.Go(func() { i.sayHello(ctx, id, hello) })
+			i.peerCalls.Go(func() { i.sendHello(ctx, id, hello) })
 		}
-		pause(ctx, helloEvery)
+		pause(ctx, helloInterval)
 	}
 }
 
-func (i *Instance) sayHello(ctx context.Context, id string, hello *peerpb.Hello) {
+func (i *Instance) sendHello(ctx context.Context, id string, hello *peerpb.Hello) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	response, err := i.node.Call(ctx, id, &peerpb.Request{Body: &peerpb.Request_Hello{Hello: hello}})
 	if err != nil {
-		i.peers.miss(id)
+		i.peers.recordMiss(id)
 		return
 	}
-	i.heard(id, response.GetHello())
+	i.receiveHello(id, response.GetHello())
 }
 
-// leads asks an instance whether it holds the lease.
-func (i *Instance) leads(ctx context.Context, id string) (bool, error) {
+// peerHoldsLease asks an instance whether it holds the lease.
+func (i *Instance) peerHoldsLease(ctx context.Context, id string) (bool, error) {
 	response, err := i.node.Call(ctx, id, &peerpb.Request{Body: &peerpb.Request_Hello{Hello: i.hello(true)}})
 	if err != nil {
 		return false, err
@@ -106,9 +108,9 @@
 	return response.GetHello().GetEpoch() > 0, nil
 }
 
-// heard takes a peer's hello, and passes the configuration on to a peer that
-// has an older one.
-func (i *Instance) heard(id string, hello *peerpb.Hello) {
+// receiveHello records a peer's hello, and sends the configuration to a peer that has
+// an older one.
+func (i *Instance) receiveHello(id string, hello *peerpb.Hello) {
 	if hello == nil {
 		return
 	}
@@ -120,49 +122,50 @@
 		cutOff:         hello.GetCutOff(),
 		leaderAddr:     hello.GetLeader(),
 		pending:        hello.GetPending(),
-		at:             now,
+		receivedAt:     now,
 	})
 	switch {
 	case hello.GetAvailabilityZone() != i.settings.AvailabilityZone:
-		i.reconnected(now)
+		i.markReconnected(now)
 	case hello.GetHub() && !hello.GetLeaving():
-		i.hubHeard(now)
+		i.recordHubContact(now)
 	}
 	if hello.GetEpoch() > 0 {
-		i.replica.setBegan(hello.GetEpoch(), hello.GetBegan())
+		i.replica.setStarted(hello.GetEpoch(), hello.GetBegan())
 	}
 	if row := i.configRow.Load(); row != nil && hello.GetConfigVersion() < i.configVersion() && i.peers.mayPush(id, row.Version, now) {
-		i.calls.Go(func() { i.sendRows(id, workload.SourceConfiguration, []workload.Row{*row}) })
+		i.peerCalls.Go(func() { i.sendRows(id, workload.SourceConfiguration, []workload.Row{*row}) })
 	}
 }
 
 func (i *Instance) sendRows(id string, source workload.Source, rows []workload.Row) {
-	ctx, cancel := context.WithTimeout(context.Background(), noteTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), rowsTimeout)
 	defer cancel()
-	note := &peerpb.RowsNote{Source: string(source), Rows: packRows(rows)}
-	compressRows(note.Rows)
-	if _, err := i.node.Call(ctx, id, &peerpb.Request{Body: &peerpb.Request_Rows{Rows: note}}); err != nil {
+	message := &peerpb.RowsNote{Source: string(source), Rows: packRows(rows)}
+	compressRows(message.Rows)
+	if _, err := i.node.Call(ctx, id, &peerpb.Request{Body: &peerpb.Request_Rows{Rows: message}}); err != nil {
 		i.logger.Debug("passing rows on failed", zap.String("peer", id), zap.Error(err))
 	}
 }
 
-// passOn sends rows to every hub: one whose feed is silent has them too.
-func (i *Instance) passOn(source workload.Source, rows []workload.Row) {
-	for _, id := range i.peers.fresh(func(v peerView) bool { return v.hub }) {
-		i.calls.Go(func() { i.sendRows(id, source, rows) })
+// sendToHubs sends rows to every hub, so that hubs whose feed has stopped responding
+// receive them too.
+func (i *Instance) sendToHubs(source workload.Source, rows []workload.Row) {
+	for _, id := range i.peers.recent(func(v peerView) bool { return v.hub }) {
+		i.peerCalls.Go(func() { i.sendRows(id, source, rows) })
 	}
 }
 
-// tellLeader sends rows to the leader, and a leaf to the hub that it asks
-// as well. Both have them from their feeds a little later.
-func (i *Instance) tellLeader(rows []workload.Row) {
-	told := []string{i.leaderAddr()}
-	if hubs := i.zoneHubs(); len(hubs) > 0 && !i.follows() {
-		told = append(told, hubs[0])
+// notifyLeader sends rows to the leader and, from a leaf, also to the hub that it
+// queries. Both receive them from their feeds a little later.
+func (i *Instance) notifyLeader(rows []workload.Row) {
+	recipients := []string{i.leaderAddr()}
+	if hubs := i.zoneHubs(); len(hubs) > 0 && !i.followsTable() {
+		recipients = append(recipients, hubs[0])
 	}
-	for _, id := range slices.Compact(told) {
+	for _, id := range slices.Compact(recipients) {
 		if id != "" && id != i.settings.Listen.Peers {
-			i.calls.Go(func() { i.sendRows(id, workload.SourceOwn, rows) })
+			i.peerCalls.Go(func() { i.sendRows(id, workload.SourceOwn, rows) })
 		}
 	}
 }
@@ -171,10 +174,10 @@
 func (i *Instance) Handle(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_Hello:
-		i.heard(request.GetFrom(), body.Hello)
+		i.receiveHello(request.GetFrom(), body.Hello)
 		return &peerpb.Response{Body: &peerpb.Response_Hello{Hello: i.hello(body.Hello.GetHub())}}, nil
 	case *peerpb.Request_Rows:
-		i.takeRows(body.Rows)
+		i.receiveRows(body.Rows)
 		return &peerpb.Response{}, nil
 	case *peerpb.Request_Store:
 		answer := serveStore(ctx, i.store.direct, body.Store)
@@ -182,7 +185,7 @@
 	case *peerpb.Request_WorkerCalls:
 		return &peerpb.Response{}, i.relayCalls(request.GetFrom(), body.WorkerCalls.GetCalls())
 	case *peerpb.Request_WorkerAnswers:
-		i.workerReach.takeAnswers(request.GetFrom(), body.WorkerAnswers.GetAnswers())
+		i.routedWorkers.receiveAnswers(request.GetFrom(), body.WorkerAnswers.GetAnswers())
 		return &peerpb.Response{}, nil
 	case *peerpb.Request_JobQuery:
 		return i.answerQuery(ctx, body.JobQuery)
@@ -190,18 +193,18 @@
 	return nil, api.NewError(api.KindMethodNotAllowed, "a deployment-wide instance does not take this call")
 }
 
-func (i *Instance) takeRows(note *peerpb.RowsNote) {
-	if err := expandRows(note.GetRows()); err != nil {
+func (i *Instance) receiveRows(message *peerpb.RowsNote) {
+	if err := expandRows(message.GetRows()); err != nil {
 		i.logger.Error("rows of a peer cannot be read", zap.Error(err))
 		return
 	}
-	rows := unpackRows(note.GetRows())
-	switch workload.Source(note.GetSource()) {
+	rows := unpackRows(message.GetRows())
+	switch workload.Source(message.GetSource()) {
 	case workload.SourceOwn:
 		i.replica.apply(rows)
 	case workload.SourceConfiguration:
-		i.takeConfiguration(rows)
+		i.applyConfiguration(rows)
 	case sourceAnnounced:
-		i.replica.announce(rows)
+		i.replica.applyAnnounced(rows)
 	}
 }
--- a/internal/deployment/gossip_test.go
+++ b/internal/deployment/gossip_test.go
@@ -6,12 +6,12 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAPeerThatHasJustSaidHelloNeedsNone(t *testing.T) {
+func TestNoHelloIsSentToAPeerThatJustSentOne(t *testing.T) {
 	p := newPeers()
 	now := bootTime()
-	assert.Assert(t, !p.heardSince("a", now.Add(-helloFresh)), "it has said nothing yet")
-	p.set("a", peerView{at: now.Add(-helloFresh / 2)})
-	assert.Assert(t, p.heardSince("a", now.Add(-helloFresh)))
-	p.set("a", peerView{at: now.Add(-helloEvery)})
-	assert.Assert(t, !p.heardSince("a", now.Add(-helloFresh)), "its next hello may be lost")
+	assert.Assert(t, !p.helloSince("a", now.Add(-helloSkipWindow)), "it has sent no hello yet")
+	p.set("a", peerView{receivedAt: now.Add(-helloSkipWindow / 2)})
+	assert.Assert(t, p.helloSince("a", now.Add(-helloSkipWindow)))
+	p.set("a", peerView{receivedAt: now.Add(-helloInterval)})
+	assert.Assert(t, !p.helloSince("a", now.Add(-helloSkipWindow)), "its next hello may be lost")
 }
--- a/internal/deployment/grant.go
+++ b/internal/deployment/grant.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// grant is a lease that this instance holds.
+// grant is a lease that this instance holds. mu guards version, expiresAt and over.
 type grant struct {
 	epoch int64
-	// why the lease could be taken, for the log.
-	why string
-	// epochVersion is the version of the epoch row: every write of the leader
-	// expects it, so that the store refuses a leader that was replaced.
+	// reason is why the lease could be taken, for the log.
+	reason string
+	// epochVersion is the version of the epoch row. Every write of the leader expects
+	// it, so that the store refuses writes of a leader that was replaced.
 	epochVersion int64
-	// earlier says that there was an epoch before this one.
-	earlier bool
-	// overlap is until when the leader before may still believe in its lease.
-	overlap time.Time
-	// trust says that the leader before promised that it stored begins, promise is what
-	// this one does.
-	trust   bool
-	promise promise
+	// hasPredecessor is set if there was an epoch before this one.
+	hasPredecessor bool
+	// predecessorUntil is the time until which the previous leader may still consider
+	// its lease valid.
+	predecessorUntil time.Time
+	// trustIntents is set if the previous leader promised that it stored start intents;
+	// promise is what this leader promises.
+	trustIntents bool
+	promise      intentPromise
 
-	mu      sync.Mutex
-	version int64
-	until   time.Time
-	over    bool
+	mu        sync.Mutex
+	version   int64
+	expiresAt time.Time
+	over      bool
 }
 
-// valid reports whether the lease holds now. A lease that ran out is valid again
-// once it is renewed: the store renews it only if nobody took it in between.
+// valid reports whether the lease is valid now. An expired lease is valid again once it
+// is renewed: the store renews it only if no other instance has taken it in between.
 func (g *grant) valid() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.over && bootTime().Before(g.until)
+	return !g.over && bootTime().Before(g.expiresAt)
 }
 
-// ended reports whether the lease was given up or taken by another.
+// ended reports whether the lease was given up or taken by another instance.
 func (g *grant) ended() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.over
 }
 
-// end gives the lease up locally, for good.
+// end gives up the lease locally and permanently.
 func (g *grant) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,7 +55,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.version = version
-	if until.After(g.until) {
-		g.until = until
+	if until.After(g.expiresAt) {
+		g.expiresAt = until
 	}
 }
--- a/internal/deployment/instance.go
+++ b/internal/deployment/instance.go
@@ -21,19 +21,19 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// Decoder reads the documents that others keep in the store.
+// Decoder decodes the documents that operators and the platform keep in the store.
 type Decoder interface {
 	// IsConfiguration reports whether a row of SourceConfiguration is the
 	// configuration.
 	IsConfiguration(key string) bool
 	// DrainedZone returns the availability zone that a row of SourceConfiguration
-	// drains for as long as it exists, whatever its value; false for other rows.
-	DrainedZone(key string) (zone string, names bool)
+	// drains for as long as it exists, whatever its value. ok is false for other rows.
+	DrainedZone(key string) (zone string, ok bool)
 	Configuration(data []byte) (*workload.Configuration, error)
 	Worker(id string, data []byte) (workload.Worker, error)
 }
 
-// Options are what an instance needs.
+// Options holds the dependencies of an instance.
 type Options struct {
 	Settings *Settings
 	Store    workload.Store
@@ -42,85 +42,86 @@
 	Advisor workload.Advisor
 	Decoder Decoder
 	Logger  *zap.Logger
-	// Reload reads the settings again. Changed is told of new ones.
+	// Reload reads the settings again. Changed is called with settings that differ.
 	Reload  func() (*Settings, error)
 	Changed func(*Settings)
 }
 
-// Servers is what takes callers.
+// Servers serve the callers.
 type Servers interface {
-	// Announce makes answers close their connections.
+	// Announce makes responses close their connections.
 	Announce()
-	// Drain takes nothing new and waits for the requests in flight.
+	// Drain accepts no new requests and waits for those in flight.
 	Drain(ctx context.Context) error
 	Close()
 }
 
 // Instance is one instance of a deployment-wide scheduler.
 type Instance struct {
-	// settings are those of the start; its addresses and names stay.
+	// settings are the settings at the start; the addresses and names in them do not
+	// change.
 	settings *Settings
-	// live are the newest ones: seeds and bounds are taken from here.
-	live    atomic.Pointer[Settings]
-	options Options
-	logger  *zap.Logger
-	decoder Decoder
-	// store is the store by any path.
-	store *reach
-	// workerReach is the way to the workers.
-	workerReach *workerReach
-	// relayed runs the calls to workers that this hub makes for the leader, and answers
-	// takes what became of them to it.
-	relayed  pond.Pool
-	answers  *batcher[*peerpb.WorkerAnswer]
-	replica  *replica
-	workers  *roster
-	drains   *drains
-	lease    *lease
-	cut      *cutWatch
-	rotation rotation
-	// unread are the configuration's rows of which a line said that they cannot be read.
-	unread        unreadRows
+	// liveSettings are the newest settings, which provide seeds and bounds.
+	liveSettings atomic.Pointer[Settings]
+	options      Options
+	logger       *zap.Logger
+	decoder      Decoder
+	// store reaches the store by any route.
+	store *routedStore
+	// routedWorkers reaches the workers.
+	routedWorkers *routedWorkers
+	// relayPool runs the calls to workers that this hub makes for the leader;
+	// workerAnswers sends their answers to it.
+	relayPool     pond.Pool
+	workerAnswers *batcher[*peerpb.WorkerAnswer]
+	replica       *replica
+	workers       *roster
+	drains        *drains
+	lease         *lease
+	partition     *partitionWatch
+	rotation      rotation
+	// unreadable holds the configuration rows that were logged as undecodable.
+	unreadable    unreadableRows
 	node          *peer.Node
 	peers         *peers
 	role          role
 	counts        pendingCounts
-	calls         pond.Pool
-	life          *lifecycle.Life
+	peerCalls     pond.Pool
+	lifecycle     *lifecycle.Life
 	configuration atomic.Pointer[workload.Configuration]
 	configRow     atomic.Pointer[workload.Row]
 	configMu      sync.Mutex
 	leader        atomic.Pointer[leader]
 	stopping      atomic.Bool
-	// background ends the duties that outlive the lease at a stop.
-	background context.CancelFunc
-	leaseOver  context.CancelFunc
-	duties     sync.WaitGroup
-	leaseDuty  sync.WaitGroup
+	// stopLoops stops the background loops that outlive the lease during a shutdown.
+	stopLoops context.CancelFunc
+	stopLease context.CancelFunc
+	loops     sync.WaitGroup
+	leaseLoop sync.WaitGroup
 }
 
-// callsAtOnce bounds the calls to peers under way; more are dropped, because
-// each carries news that comes again.
-const callsAtOnce = 128
+// maxPeerCalls bounds the calls to peers in flight. Further calls are dropped, since
+// each carries information that is sent again.
+const maxPeerCalls = 128
 
-// peerLimits keeps a peer that went silent from holding calls for long.
+// peerLimits bounds how long an unresponsive peer can hold calls.
 var peerLimits = peer.Limits{DialTimeout: 500 * time.Millisecond, CallTimeout: 2 * time.Second, IOTimeout: time.Second}
 
 // New returns an instance that does nothing until Run.
 func New(o Options) *Instance {
 	s := o.Settings
 	i := &Instance{
-		settings: s,
-		options:  o,
-		logger:   o.Logger,
-		decoder:  o.Decoder,
-		replica:  newReplica(o.Logger),
-		cut:      newCutWatch(),
-		peers:    newPeers(),
-		calls:    pond.NewPool(callsAtOnce, pond.WithQueueSize(callsAtOnce), pond.WithNonBlocking(true)),
+		settings:  s,
+		options:   o,
+		logger:    o.Logger,
+		decoder:   o.Decoder,
+		replica:   newReplica(o.Logger),
+		partition: newPartitionWatch(),
+		peers:     newPeers(),
+		peerCalls: pond.NewPool(maxPeerCalls, pond.WithQueueSize(maxPeerCalls), pond.WithNonBlocking(true)),
 	}
-	i.live.Store(s)
-	i.replica.keepInstances()
+	i.liveSettings.Store(s)
+	i.replica.keepOnlyInstances()
 	i.node = peer.New(peer.Options{
 		Instance:    s.Listen.Peers,
 		Incarnation: time.Now().UnixMilli(),
@@ -130,112 +131,112 @@
 		Resolve:     func(id string) (string, bool) { return id, true },
 		Limits:      peerLimits,
 	})
-	i.workerReach = newWorkerReach(o.Workers, i.node, i.hubsToRelay, ownWorkers(s), o.Logger)
-	i.relayed = pond.NewPool(relayedAtOnce, pond.WithQueueSize(relayedAtOnce), pond.WithNonBlocking(true))
-	i.answers = newBatcher(answersLinger, answersAtOnceMost, i.sendAnswers)
-	i.store = &reach{
-		limit:    pathTimeout,
-		patience: pathPatience,
-		reachState: &reachState{
-			direct:  o.Store,
-			caller:  i.node,
-			logger:  o.Logger,
-			helpers: i.helpers,
+	i.routedWorkers = newRoutedWorkers(o.Workers, i.node, i.relayHubs, maxDirectWorkers(s), o.Logger)
+	i.relayPool = pond.NewPool(maxRelayedCalls, pond.WithQueueSize(maxRelayedCalls), pond.WithNonBlocking(true))
+	i.workerAnswers = newBatcher(answerBatchLinger, maxAnswersPerMessage, i.sendAnswers)
+	i.store = &routedStore{
+		limit:      routeTimeout,
+		hedgeDelay: routeHedgeDelay,
+		routeState: &routeState{
+			direct:     o.Store,
+			caller:     i.node,
+			logger:     o.Logger,
+			relayPeers: i.storeRelayPeers,
 		},
 	}
-	if !s.Tuning.has(mechOvertaking) {
-		i.store.patience = pathTimeout
+	if !s.Tuning.enabled(mechOvertaking) {
+		i.store.hedgeDelay = routeTimeout
 	}
-	i.store.answered = i.reconnected
-	kept := 2 * s.bounds().LongestLease
-	i.workers = newRoster(o.Decoder, kept, o.Logger)
+	i.store.onAnswer = i.markReconnected
+	retention := 2 * s.bounds().LongestLease
+	i.workers = newRoster(o.Decoder, retention, o.Logger)
 	i.drains = newDrains(o.Decoder, o.Logger)
 	i.lease = &lease{
-		self:     s.Listen.Peers,
-		store:    i.store.within(leasePathTimeout),
-		replica:  i.replica,
-		logger:   o.Logger,
-		eligible: i.eligible,
-		steady:   i.store.steady,
-		holds:    i.leads,
-		pings:    i.ping,
-		lead:     i.lead,
-		cores:    i.cores(),
-		tuning:   s.Tuning,
-		rivals:   i.rivals,
-		known:    i.otherInstances,
-		synced:   i.synced,
-		finish:   i.finish,
+		self:            s.Listen.Peers,
+		store:           i.store.withLimit(leaseRouteTimeout),
+		replica:         i.replica,
+		logger:          o.Logger,
+		eligible:        i.eligible,
+		storeStable:     i.store.stableFor,
+		holdsLease:      i.peerHoldsLease,
+		ping:            i.ping,
+		lead:            i.lead,
+		cores:           i.cores(),
+		tuning:          s.Tuning,
+		otherCandidates: i.otherCandidates,
+		otherInstances:  i.otherInstances,
+		synced:          i.synced,
+		quiesce:         i.quiesce,
 	}
-	i.replica.changed = i.jobChanged
-	i.workers.changed = i.workersChanged
+	i.replica.onChange = i.jobChanged
+	i.workers.onChange = i.workersChanged
 	return i
 }
 
-// eligible reports whether this instance may take the lease: it knows the
-// table, the configuration and the workers, reaches the store, and stays.
+// eligible reports whether this instance may take the lease: it has the table and the
+// configuration, reaches the store, and is not stopping.
 func (i *Instance) eligible() bool {
 	reachable, _ := i.store.reachable()
-	return reachable && i.follows() && i.replica.isLoaded() && i.configuration.Load() != nil && !i.stopping.Load()
+	return reachable && i.followsTable() && i.replica.isLoaded() && i.configuration.Load() != nil && !i.stopping.Load()
 }
 
-// helpers are the peers that can make store calls for this instance.
-func (i *Instance) helpers() []string {
-	if !i.settings.Tuning.has(mechPeerPaths) {
+// storeRelayPeers returns the peers that can make store calls for this instance.
+func (i *Instance) storeRelayPeers() []string {
+	if !i.settings.Tuning.enabled(mechPeerPaths) {
 		return nil
 	}
-	return i.peers.fresh(func(v peerView) bool { return v.storeReachable })
+	return i.peers.recent(func(v peerView) bool { return v.storeReachable })
 }
 
-// hubsToRelay are the hubs of a zone that can make calls to its workers for this
-// instance.
-func (i *Instance) hubsToRelay(zone string) []string {
-	if !i.settings.Tuning.has(mechWorkerRelays) {
+// relayHubs returns the hubs of a zone that can call its workers for this instance.
+func (i *Instance) relayHubs(zone string) []string {
+	if !i.settings.Tuning.enabled(mechWorkerRelays) {
 		return nil
 	}
-	return i.peers.fresh(func(v peerView) bool { return v.hub && !v.cutOff && v.zone == zone })
+	return i.peers.recent(func(v peerView) bool { return v.hub && !v.cutOff && v.zone == zone })
 }
 
-// cores is what this instance may use of the processor.
+// cores returns the processor time that this instance may use, in cores.
 func (i *Instance) cores() float64 {
-	if !i.settings.Tuning.has(mechLargerFirst) {
+	if !i.settings.Tuning.enabled(mechLargerFirst) {
 		return 0
 	}
 	return i.settings.Processor.cores()
 }
 
-// otherInstances are all others in the table, with their sizes.
+// otherInstances returns all other instances in the table with their sizes.
 func (i *Instance) otherInstances() []peerSize {
 	return i.replica.sizes(func(addr string) bool { return addr != i.settings.Listen.Peers })
 }
 
-// rivals are the other hubs that could take the lease now, as far as they said lately.
-func (i *Instance) rivals() []peerSize {
+// otherCandidates returns the other hubs that could take the lease now, according to
+// their recent hellos.
+func (i *Instance) otherCandidates() []peerSize {
 	ready := make(map[string]bool)
-	for _, addr := range i.peers.fresh(func(v peerView) bool { return v.hub && v.storeReachable }) {
+	for _, addr := range i.peers.recent(func(v peerView) bool { return v.hub && v.storeReachable }) {
 		ready[addr] = true
 	}
 	return i.replica.sizes(func(addr string) bool { return ready[addr] })
 }
 
-// synced reports whether this leader could hand the lease on now.
+// synced reports whether this leader could hand over the lease now.
 func (i *Instance) synced() bool {
 	leader := i.leader.Load()
 	return leader != nil && leader.synced.Load()
 }
 
-// finish lets the orders and writes of this leader end before it gives up the lease.
-func (i *Instance) finish() {
+// quiesce waits for the orders and writes of this leader before it gives up the lease.
+func (i *Instance) quiesce() {
 	if leader := i.leader.Load(); leader != nil {
-		leader.finish()
+		leader.quiesce()
 	}
 }
 
-// jobChanged tells the core, if this instance leads, of a new job or cancel.
+// jobChanged passes a new job or a cancellation to the core if this instance leads.
 func (i *Instance) jobChanged(c change) {
 	leader := i.leader.Load()
 	known, ok := i.replica.get(c.job)
-	if leader == nil || !ok || known.unread {
+	if leader == nil || !ok || known.unreadable {
 		return
 	}
 	leader.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
@@ -254,34 +255,33 @@
 	}
 }
 
-// listedWorkers are the workers that the platform lists, of pools that the
-// configuration names.
+// listedWorkers returns the workers that the platform lists, without those of pools
+// that the configuration does not name.
 func (i *Instance) listedWorkers() []workload.Worker {
 	config := i.configuration.Load()
 	list := slices.DeleteFunc(i.workers.list(), func(w workload.Worker) bool { return config != nil && !config.HasPool(w.Pool) })
-	i.workerReach.setWorkers(len(list))
+	i.routedWorkers.setWorkerCount(len(list))
 	return list
 }
 
-// Ready reports whether callers should come here.
+// Ready reports whether this instance should receive callers.
 func (i *Instance) Ready() bool {
 	if i.stopping.Load() || i.configuration.Load() == nil {
 		return false
 	}
-	// Cut off, callers are served better elsewhere. When the store is away for all
-	// instances, nobody is better off elsewhere.
-	return !i.cut.cut()
+	// Callers of a cut-off instance are served better elsewhere. If all instances have
+	// lost the store, moving callers does not help.
+	return !i.partition.isCutOff()
 }
 
-// CheckReady answers a check of the balancer.
+// CheckReady answers a readiness check of the balancer and records the answer.
 func (i *Instance) CheckReady() bool {
 	ready := i.Ready()
-	i.rotation.checked(ready, bootTime())
+	i.rotation.recordCheck(ready, bootTime())
 	return ready
 }
 
-// Run starts to take callers by serve and runs until a signal, then shuts down
-// gracefully.
+// Run serves callers with serve until a signal arrives, then shuts down gracefully.
 func (i *Instance) Run(serve func(*Instance) (Servers, error), signals <-chan os.Signal) error {
 	started := time.Now()
 	if err := i.node.Start(); err != nil {
@@ -291,24 +291,24 @@
 	if err != nil {
 		return err
 	}
-	i.life = lifecycle.New(lifecycle.Options{
+	i.lifecycle = lifecycle.New(lifecycle.Options{
 		StopWithin: time.Duration(i.settings.StopWithinMS) * time.Millisecond, Linger: stopLinger, Logger: i.logger,
 		Announce: func(context.Context) error { servers.Announce(); return nil },
 		HandOver: i.handOver,
 		Drain:    servers.Drain,
 		Close:    func(context.Context) error { i.close(servers); return nil },
 	})
-	i.startDuties()
+	i.startLoops()
 	i.logger.Info("started", zap.Duration("took", time.Since(started)), zap.Int("pid", os.Getpid()))
 	i.awaitStop(signals)
 	i.stopping.Store(true)
-	return i.life.Stop()
+	return i.lifecycle.Stop()
 }
 
-// awaitStop returns at the first signal to stop. SIGHUP, and a file that
-// changed without one, make new settings take effect.
+// awaitStop returns at the first signal to stop. SIGHUP, or a change of the file
+// without a signal, reloads the settings.
 func (i *Instance) awaitStop(signals <-chan os.Signal) {
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -323,10 +323,10 @@
 	}
 }
 
-// settingsEvery is how often the settings file is polled.
-const settingsEvery = 1 * time.Second
+// settingsPollInterval is how often the settings file is polled.
+const settingsPollInterval = 1 * time.Second
 
-// reload puts changed settings in force. Settings with problems change nothing.
+// reload puts changed settings in force. Invalid settings change nothing.
 func (i *Instance) reload() {
 	if i.options.Reload == nil {
 		return
@@ -336,88 +336,88 @@
 		i.logger.Error("settings not taken", zap.Error(err))
 		return
 	}
-	if reflect.DeepEqual(settings, i.live.Load()) {
+	if reflect.DeepEqual(settings, i.liveSettings.Load()) {
 		return
 	}
-	i.live.Store(settings)
+	i.liveSettings.Store(settings)
 	if i.options.Changed != nil {
 		i.options.Changed(settings)
 	}
 	i.logger.Info("settings in force", zap.String("store", settings.Store), zap.Strings("seeds", settings.Seeds))
 }
 
-// stopLinger covers a balancer that looks once a second and takes an instance
-// out after two misses.
+// stopLinger is long enough for a balancer that checks once a second and removes an
+// instance after two failed checks.
 const stopLinger = 2200 * time.Millisecond
 
-func (i *Instance) startDuties() {
+func (i *Instance) startLoops() {
 	ctx, cancel := context.WithCancel(context.Background())
-	i.background = cancel
-	duty := func(run func(context.Context)) {
-		i.duties.Add(1)
+	i.stopLoops = cancel
+	start := func(run func(context.Context)) {
+		i.loops.Add(1)
 		go func() {
-			defer i.duties.Done()
+			defer i.loops.Done()
 			run(ctx)
 		}()
 	}
-	own := &follower{
-		store:   i.store,
-		source:  workload.SourceOwn,
-		logger:  i.logger,
-		whole:   i.replica.reload,
-		changes: i.replica.apply,
-		gap:     i.tableGap,
-		wanted:  i.follows,
-		idle:    i.forgetTable,
+	ownTable := &follower{
+		store:         i.store,
+		source:        workload.SourceOwn,
+		logger:        i.logger,
+		reload:        i.replica.reload,
+		apply:         i.replica.apply,
+		gap:           i.tableGap,
+		wanted:        i.followsTable,
+		whileUnwanted: i.dropTable,
 	}
-	config := &follower{
-		store:   i.store,
-		source:  workload.SourceConfiguration,
-		logger:  i.logger,
-		changes: i.takeOperatorRows,
-		gap:     func() time.Duration { return configurationGap },
-		wanted:  i.readsConfiguration,
-		idle:    func() {},
-		whole:   i.takeOperatorTable,
-		heard:   i.drains.confirm,
+	operatorTable := &follower{
+		store:         i.store,
+		source:        workload.SourceConfiguration,
+		logger:        i.logger,
+		apply:         i.applyOperatorRows,
+		gap:           func() time.Duration { return configurationGap },
+		wanted:        i.readsConfiguration,
+		whileUnwanted: func() {},
+		reload:        i.applyOperatorTable,
+		confirm:       i.drains.confirm,
 	}
-	duty(own.run)
-	duty(config.run)
-	duty(i.listInstances)
-	duty(i.watchRole)
-	duty(i.rereadConfiguration)
-	if i.settings.Tuning.has(mechEarlyReplacement) {
-		duty(i.lease.watchLeader)
+	start(ownTable.run)
+	start(operatorTable.run)
+	start(i.listInstances)
+	start(i.watchRole)
+	start(i.rereadConfiguration)
+	if i.settings.Tuning.enabled(mechEarlyReplacement) {
+		start(i.lease.watchLeader)
 	}
-	duty(i.register)
-	duty(i.gossip)
-	duty(i.watchBusyLoop)
-	if i.settings.Tuning.has(mechCutWatch) {
-		duty(i.watchCut)
+	start(i.register)
+	start(i.gossip)
+	start(i.watchBusyLoop)
+	if i.settings.Tuning.enabled(mechCutWatch) {
+		start(i.watchPartition)
 	}
-	leasing, over := context.WithCancel(ctx)
-	i.leaseOver = over
-	i.leaseDuty.Add(1)
+	leaseCtx, stopLease := context.WithCancel(ctx)
+	i.stopLease = stopLease
+	i.leaseLoop.Add(1)
 	go func() {
-		defer i.leaseDuty.Done()
-		i.lease.run(leasing)
+		defer i.leaseLoop.Done()
+		i.lease.run(leaseCtx)
 	}()
 	i.registerMetrics()
 	i.registerDrainMetrics()
 }
 
-// tableGap is the pause after changes of the product's table.
+// tableGap returns the pause after changes of the product's table.
 func (i *Instance) tableGap() time.Duration {
-	if !i.settings.Tuning.has(mechSeldomReads) {
+	if !i.settings.Tuning.enabled(mechSeldomReads) {
 		return tableGap(i.lease.current() != nil, 0)
 	}
-	return tableGap(i.lease.current() != nil, placeAmong(i.lease.size(), i.rivals()))
+	return tableGap(i.lease.current() != nil, rankAmong(i.lease.size(), i.otherCandidates()))
 }
 
-// registerPause is the pause between two tries to register.
-const registerPause = 500 * time.Millisecond
+// registerRetryPause is the pause between two attempts to register.
+const registerRetryPause = 500 * time.Millisecond
 
-// register writes this instance's row, by which the others find it.
+// register writes the row by which other instances find this one.
 func (i *Instance) register(ctx context.Context) {
 	key := instancePrefix + i.settings.Listen.Peers
 	row := workload.Row{Key: key, Value: encode(instanceRow{Name: i.settings.Instance, Zone: i.settings.AvailabilityZone, Cores: i.cores()})}
@@ -429,25 +429,25 @@
 			return
 		}
 		i.logger.Debug("registering failed", zap.Error(err))
-		pause(ctx, registerPause)
+		pause(ctx, registerRetryPause)
 	}
 }
 
-// handOver gives the lease up, so that another instance schedules while
-// requests finish here.
+// handOver gives up the lease, so that another instance leads while requests finish
+// here.
 func (i *Instance) handOver(context.Context) error {
-	i.leaseOver()
-	i.leaseDuty.Wait()
+	i.stopLease()
+	i.leaseLoop.Wait()
 	return nil
 }
 
 func (i *Instance) close(servers Servers) {
-	i.background()
+	i.stopLoops()
 	servers.Close()
 	i.node.Close()
-	i.duties.Wait()
-	i.calls.Stop()
-	i.relayed.Stop()
+	i.loops.Wait()
+	i.peerCalls.Stop()
+	i.relayPool.Stop()
 }
 
 func (i *Instance) registerMetrics() {
--- a/internal/deployment/jobstate.go
+++ b/internal/deployment/jobstate.go
@@ -5,7 +5,7 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// JobState is a job's state as callers see it.
+// JobState is the state of a job as shown to callers.
 type JobState string
 
 // The states of a job.
@@ -23,7 +23,7 @@
 	dispatch.FinalCancelled: StateCancelled,
 }
 
-// state returns a job's state and the job; false if it is not known.
+// state returns the state of a job and the job; false if it is not known.
 func (r *replica) state(id string) (JobState, *workload.Job, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,13 +40,13 @@
 		return stateOfFinal[known.record.Final]
 	case known.cancelled:
 		return StateCancelled
-	case r.began[id]:
+	case r.started[id]:
 		return StateRunning
 	}
 	return StateQueued
 }
 
-// pending counts, by queue, the jobs of which no task has started.
+// pending returns, by queue, the number of jobs of which no task has started.
 func (r *replica) pending() map[string]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/deployment/leader.go
+++ b/internal/deployment/leader.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// eventCapacity bounds the events that wait for the loop: a burst of answers
-	// from every worker at once. A sender waits when it is full.
+	// eventCapacity bounds the queued events: a burst of answers from every worker at
+	// once. Senders block while the queue is full.
 	eventCapacity = 4096
-	// roundEvery is the longest time between two decisions.
-	roundEvery = 50 * time.Millisecond
-	// roundGap is the shortest: with a round for each event a burst takes the processor
-	// from renewals and answers.
-	roundGap = 15 * time.Millisecond
-	// roundRest is how many times as long as a round took the loop rests after it, up to
-	// roundRestMost. Without it rounds take what processor time there is on a large
-	// deployment, and polls that extend leases come late.
-	roundRest     = 3
-	roundRestMost = 100 * time.Millisecond
-	// leaderGCPercent is how much the heap grows between two collections while this
-	// instance leads. A leader allocates with each poll and round: collecting as often as
-	// the others takes more processor time than deciding.
+	// maxRoundInterval is the longest time between two rounds.
+	maxRoundInterval = 50 * time.Millisecond
+	// minRoundInterval is the shortest time between two rounds. With a round for each
+	// event, a burst takes processor time from renewals and answers.
+	minRoundInterval = 15 * time.Millisecond
+	// roundRestFactor times the duration of a round is how long the loop rests after
+	// it, up to maxRoundRest. Without the rest, rounds take all available processor
+	// time on a large deployment, and polls that extend leases are late.
+	roundRestFactor = 3
+	maxRoundRest    = 100 * time.Millisecond
+	// leaderGCPercent is the heap growth between two garbage collections while this
+	// instance leads. A leader allocates with each poll and round; at the default
+	// setting collections take more processor time than deciding does.
 	leaderGCPercent = 300
-	// ordersAtOnce bounds the orders under way.
-	ordersAtOnce = 1024
-	// pollsAtOnce bounds the polls under way, of which each worker has a waiting one and
-	// at times a quick one. They are apart from the orders: a start that waits behind
-	// polls of thousands of workers comes seconds late.
-	pollsAtOnce = 16_384
+	// maxOrders bounds the orders in flight.
+	maxOrders = 1024
+	// maxPolls bounds the polls in flight; each worker has one that waits and at times
+	// a quick one. Polls and orders have separate pools, since a start that queues
+	// behind the polls of thousands of workers is seconds late.
+	maxPolls = 16_384
 )
 
-// event changes the core; the loop runs them one after the other.
+// event changes the core. The loop runs events one after the other.
 type event func(core *dispatch.Core, now time.Time, wallMS int64)
 
-// leader is the loop of one held lease: it feeds the core, carries out what
-// the core decides, and stores its records.
+// leader runs the loop of one held lease: it feeds the core, executes its actions and
+// stores its records.
 type leader struct {
 	instance *Instance
 	grant    *grant
@@ -53,31 +53,33 @@
 	orders   pond.Pool
 	polls    pond.Pool
 	logger   *zap.Logger
-	// writing says that records are on their way to the store.
+	// writing is set while a write of records is in flight.
 	writing bool
-	// recordVersions are the versions of the record rows.
+	// recordVersions holds the versions of record and worker rows; only the write in
+	// flight uses it.
 	recordVersions map[string]int64
-	// announced are the jobs whose end was announced before it was stored.
+	// announced holds the jobs whose completion was announced before it was stored.
 	announced   map[string]bool
 	collectedAt time.Time
-	// unsyncedAt is when a line last said which workers are waited for.
-	unsyncedAt time.Time
-	// priorities are those of which steps have waited.
+	// unsyncedLoggedAt is when the workers that are waited for were last logged.
+	unsyncedLoggedAt time.Time
+	// priorities holds the priorities for which steps have waited.
 	priorities map[int]bool
-	// unreadSights are the workers of which a line said that what they list cannot be
-	// read.
-	unreadSights unreadRows
-	// begins says whether the begin of a job is stored before its first start.
-	begins *beginsMode
-	// startsHeld says that nothing starts until it is known which zones are drained.
+	// unreadableReports holds the workers for which unreadable rows in a report were
+	// logged.
+	unreadableReports unreadableRows
+	// intents decides whether a start intent is stored before the first start of a job.
+	intents *intentMode
+	// startsHeld is set while nothing starts because the drained zones are not known
+	// recently enough.
 	startsHeld bool
-	// synced says, for the lease, that no worker is waited for.
+	// synced is set while no worker is waited for; the lease reads it.
 	synced atomic.Bool
-	// a closing leader decides nothing any more; underWay counts the orders and
-	// writes that are not answered.
-	closing  atomic.Bool
-	underWay atomic.Int64
-	ctx      context.Context
+	// quiescing leaders decide nothing any more; inFlight counts the unanswered orders
+	// and writes.
+	quiescing atomic.Bool
+	inFlight  atomic.Int64
+	ctx       context.Context
 }
 
 // lead schedules until the context ends or the lease is over.
@@ -87,8 +89,8 @@
 	c := newLeader(ctx, i, g)
 	defer c.stopPools()
 	defer debug.SetGCPercent(debug.SetGCPercent(leaderGCPercent))
-	// Events are taken from here on, before the table is read: what comes while
-	// it is read waits in the ring, and adding a job twice changes nothing.
+	// Events are accepted before the table is read: those that arrive meanwhile wait in
+	// the queue, and adding a job twice has no effect.
 	i.leader.Store(c)
 	defer i.leader.Store(nil)
 	i.replica.pin()
@@ -113,8 +115,8 @@
 		grant:          g,
 		events:         make(chan event, eventCapacity),
 		ctx:            ctx,
-		orders:         pond.NewPool(ordersAtOnce),
-		polls:          pond.NewPool(pollsAtOnce),
+		orders:         pond.NewPool(maxOrders),
+		polls:          pond.NewPool(maxPolls),
 		logger:         i.logger.Named("leader"),
 		recordVersions: make(map[string]int64),
 		announced:      make(map[string]bool),
@@ -127,8 +129,8 @@
 	c.polls.Stop()
 }
 
-// post hands an event to the loop; it waits while the ring is full, and gives
-// up when the lease is over.
+// post queues an event for the loop. It blocks while the queue is full, and drops the
+// event once the lease is over.
 func (c *leader) post(e event) {
 	select {
 	case c.events <- e:
@@ -139,33 +141,33 @@
 func (c *leader) run() {
 	next := time.NewTimer(0)
 	defer next.Stop()
-	var last pastRound
+	var last roundTiming
 	for {
 		select {
 		case e := <-c.events:
 			c.apply(e)
-			c.drain()
-			next.Reset(c.untilRound(last, time.Now()))
+			c.applyQueued()
+			next.Reset(c.delayUntilRound(last, time.Now()))
 			continue
 		case <-next.C:
 		case <-c.ctx.Done():
 			return
 		}
-		last = pastRound{at: time.Now()}
-		next.Reset(roundEvery)
+		last = roundTiming{startedAt: time.Now()}
+		next.Reset(maxRoundInterval)
 		if c.grant.ended() {
 			return
 		}
-		if c.closing.Load() {
+		if c.quiescing.Load() {
 			continue
 		}
 		if !c.grant.valid() {
-			c.watch() // nothing is decided until the lease is renewed
+			c.watchWorkers() // no decisions until the lease is renewed
 			continue
 		}
-		c.round()
-		last.took = time.Since(last.at)
-		next.Reset(max(roundEvery, last.took+last.rest()))
+		c.runRound()
+		last.duration = time.Since(last.startedAt)
+		next.Reset(max(maxRoundInterval, last.duration+last.rest()))
 		if c.core.Fenced() {
 			c.logger.Warn("a worker has seen a higher epoch", zap.Int64("epoch", c.grant.epoch))
 			c.grant.end()
@@ -174,32 +176,32 @@
 	}
 }
 
-// pastRound is when the last round began, and how long it took.
-type pastRound struct {
-	at   time.Time
-	took time.Duration
+// roundTiming is the start and the duration of a round.
+type roundTiming struct {
+	startedAt time.Time
+	duration  time.Duration
 }
 
-// rest is how long no round comes after it.
-func (r pastRound) rest() time.Duration { return min(roundRest*r.took, roundRestMost) }
+// rest returns how long the loop rests after the round.
+func (r roundTiming) rest() time.Duration { return min(roundRestFactor*r.duration, maxRoundRest) }
 
-// untilRound is how long an event waits for the next round: one that comes alone
-// does not, and of many that come together one round answers all.
-func untilRound(last pastRound, now time.Time) time.Duration {
-	return max(max(roundGap, last.took+last.rest())-now.Sub(last.at), 0)
+// delayUntilRound returns how long an event waits for the next round. A single event
+// does not wait; many events that arrive together share a round.
+func delayUntilRound(last roundTiming, now time.Time) time.Duration {
+	return max(max(minRoundInterval, last.duration+last.rest())-now.Sub(last.startedAt), 0)
 }
 
-func (c *leader) untilRound(last pastRound, now time.Time) time.Duration {
-	if !c.instance.settings.Tuning.has(mechRoundGap) {
+func (c *leader) delayUntilRound(last roundTiming, now time.Time) time.Duration {
+	if !c.instance.settings.Tuning.enabled(mechRoundGap) {
 		return 0
 	}
-	return untilRound(last, now)
+	return delayUntilRound(last, now)
 }
 
 func (c *leader) apply(e event) { e(c.core, bootTime(), time.Now().UnixMilli()) }
 
-// drain takes what else waits, so that one round answers all of it.
-func (c *leader) drain() {
+// applyQueued applies all queued events, so that one round handles them.
+func (c *leader) applyQueued() {
 	for range eventCapacity {
 		select {
 		case e := <-c.events:
@@ -210,41 +212,41 @@
 	}
 }
 
-// watch looks at the workers without deciding or extending anything, and announces
-// what has ended: ends are true whoever schedules.
-func (c *leader) watch() {
+// watchWorkers polls the workers without deciding or extending anything, and announces
+// completions, which remain true under any leader.
+func (c *leader) watchWorkers() {
 	for _, action := range c.core.Watch(bootTime(), time.Now().UnixMilli()) {
-		c.carryOut(action)
+		c.execute(action)
 	}
-	c.announce()
+	c.announceCompletions()
 }
 
-// round decides and carries out.
-func (c *leader) round() {
+// runRound runs one round: it decides, executes the actions, and stores records.
+func (c *leader) runRound() {
 	started := bootTime()
 	c.holdStarts(started)
-	c.begins.update(started)
+	c.intents.update(started)
 	for _, action := range c.core.Decide(started, time.Now().UnixMilli()) {
-		c.carryOut(action)
+		c.execute(action)
 	}
 	took := bootTime().Sub(started)
 	metricRound.Update(took.Seconds())
-	if took > slowRound {
+	if took > slowRoundThreshold {
 		c.logger.Warn("slow round", zap.Duration("took", took), zap.Int64("epoch", c.grant.epoch))
 	}
-	c.measureWaiting()
+	c.updateWaitingGauges()
 	c.logUnsynced(started)
 	c.write()
-	c.announce()
-	c.collect()
-	c.instance.replica.setBegan(c.grant.epoch, c.core.Began())
+	c.announceCompletions()
+	c.removeExpired()
+	c.instance.replica.setStarted(c.grant.epoch, c.core.Began())
 	c.synced.Store(c.core.Synced())
 }
 
-// holdStarts keeps the core from starting work while this instance has not heard for long
-// which zones are drained, and says so once.
+// holdStarts keeps the core from starting work while this instance's knowledge of
+// drained zones is too old, and logs each change.
 func (c *leader) holdStarts(now time.Time) {
-	hold := !c.instance.drainsKnown(now)
+	hold := !c.instance.drainsCurrent(now)
 	if hold != c.startsHeld {
 		c.startsHeld = hold
 		c.logger.Warn("starts held", zap.Bool("held", hold), zap.Int64("epoch", c.grant.epoch),
@@ -254,40 +256,42 @@
 }
 
 const (
-	// finishWithin bounds how long a leader that gives the lease up lets its orders
-	// end: a gang of which some members were started would be broken by the next one.
-	// Workers answer within milliseconds; a planned stop has seconds.
-	finishWithin = 400 * time.Millisecond
-	finishPoll   = 5 * time.Millisecond
+	// quiesceTimeout bounds how long a leader that gives up the lease waits for its
+	// orders: the next leader would interrupt a gang of which only some members were
+	// started. Workers answer within milliseconds, and a planned stop has seconds.
+	quiesceTimeout      = 400 * time.Millisecond
+	quiescePollInterval = 5 * time.Millisecond
 )
 
-// finish decides nothing any more and waits for what is under way.
-func (c *leader) finish() {
-	c.closing.Store(true)
-	ctx, cancel := context.WithTimeout(c.ctx, finishWithin)
+// quiesce stops deciding and waits for the orders and writes in flight.
+func (c *leader) quiesce() {
+	c.quiescing.Store(true)
+	ctx, cancel := context.WithTimeout(c.ctx, quiesceTimeout)
 	defer cancel()
-	pause(ctx, finishPoll) // a round may be under way
-	for ctx.Err() == nil && c.underWay.Load() > 0 {
-		pause(ctx, finishPoll)
+	pause(ctx, quiescePollInterval) // a round may be running
+	for ctx.Err() == nil && c.inFlight.Load() > 0 {
+		pause(ctx, quiescePollInterval)
 	}
 }
 
-// unsyncedEvery is how often a line says which workers a new leader waits for.
-const unsyncedEvery = time.Second
+// unsyncedLogInterval is how often the workers that a new leader waits for are logged.
+const unsyncedLogInterval = time.Second
 
-// logUnsynced says which workers work of an earlier epoch waits for.
+// logUnsynced logs the workers that must answer before work of an earlier epoch can
+// continue.
 func (c *leader) logUnsynced(now time.Time) {
-	if now.Sub(c.unsyncedAt) < unsyncedEvery {
+	if now.Sub(c.unsyncedLoggedAt) < unsyncedLogInterval {
 		return
 	}
 	if unsynced := c.core.Unsynced(); len(unsynced) > 0 {
-		c.unsyncedAt = now
+		c.unsyncedLoggedAt = now
 		c.logger.Info("waiting for workers", zap.Int64("epoch", c.grant.epoch), zap.Int("count", len(unsynced)), zap.String("first", unsynced[0]))
 	}
 }
 
-// measureStart keeps how long a job waited for its first start.
-func measureStart(first *dispatch.FirstStart) {
+// recordFirstStart updates the histogram of the time that jobs wait for their first
+// start.
+func recordFirstStart(first *dispatch.FirstStart) {
 	if first == nil {
 		return
 	}
@@ -295,9 +299,9 @@
 	metrics.GetOrCreateHistogram(name).Update(first.Waited.Seconds())
 }
 
-// measureWaiting shows how many steps wait, by priority; those of which none waits
-// any more go to zero.
-func (c *leader) measureWaiting() {
+// updateWaitingGauges updates the number of waiting steps by priority; priorities
+// without waiting steps go to zero.
+func (c *leader) updateWaitingGauges() {
 	waiting := c.core.Waiting()
 	for priority := range waiting {
 		c.priorities[priority] = true
@@ -307,8 +311,8 @@
 	}
 }
 
-// slowRound is what a round may take before a line says so: a fifth of the time
-// between two renewals, which wait for the processor as well.
-const slowRound = renewEvery / 5
+// slowRoundThreshold is the duration above which a round is logged as slow: a fifth of
+// the time between two renewals, which compete with rounds for the processor.
+const slowRoundThreshold = renewInterval / 5
 
 var metricRound = metrics.NewHistogram("corianderbank_deployment_round_seconds")
--- a/internal/deployment/leader_test.go
+++ b/internal/deployment/leader_test.go
@@ -7,35 +7,35 @@
 	"gotest.tools/v3/assert"
 )
 
-// roundsWithin plays a second with an event every two milliseconds, and returns how
-// many rounds it had and how long the loop was busy with them.
-func roundsWithin(took time.Duration) (rounds int, busy time.Duration) {
+// simulateRounds simulates a second with an event every two milliseconds, and returns
+// the number of rounds and their total duration.
+func simulateRounds(duration time.Duration) (rounds int, busy time.Duration) {
 	start := bootTime()
 	now := start
-	last, due := pastRound{at: now.Add(-time.Second)}, time.Time{}
+	last, due := roundTiming{startedAt: now.Add(-time.Second)}, time.Time{}
 	for now.Sub(start) < time.Second {
 		now = now.Add(2 * time.Millisecond)
 		if !due.IsZero() && !now.Before(due) {
-			last, due = pastRound{at: now, took: took}, time.Time{}
-			now = now.Add(took)
-			rounds, busy = rounds+1, busy+took
+			last, due = roundTiming{startedAt: now, duration: duration}, time.Time{}
+			now = now.Add(duration)
+			rounds, busy = rounds+1, busy+duration
 		}
-		due = now.Add(untilRound(last, now))
+		due = now.Add(delayUntilRound(last, now))
 	}
 	return rounds, busy
 }
 
 func TestEventsThatComeTogetherShareARound(t *testing.T) {
-	rounds, _ := roundsWithin(0)
-	assert.Assert(t, rounds <= int(time.Second/roundGap)+1, "%d rounds in a second", rounds)
+	rounds, _ := simulateRounds(0)
+	assert.Assert(t, rounds <= int(time.Second/minRoundInterval)+1, "%d rounds in a second", rounds)
 	now := bootTime()
-	assert.Equal(t, untilRound(pastRound{at: now.Add(-time.Second)}, now), time.Duration(0), "one that comes alone does not wait")
+	assert.Equal(t, delayUntilRound(roundTiming{startedAt: now.Add(-time.Second)}, now), time.Duration(0), "a single event does not wait")
 }
 
 func TestLongRoundsLeaveTheProcessorToPollsAndAnswers(t *testing.T) {
-	for _, took := range []time.Duration{5 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond} {
-		rounds, busy := roundsWithin(took)
-		assert.Assert(t, busy <= time.Second*3/10, "rounds of %v take %v of a second", took, busy)
-		assert.Assert(t, rounds >= 5, "%d rounds of %v in a second", rounds, took)
+	for _, duration := range []time.Duration{5 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond} {
+		rounds, busy := simulateRounds(duration)
+		assert.Assert(t, busy <= time.Second*3/10, "rounds of %v take %v of a second", duration, busy)
+		assert.Assert(t, rounds >= 5, "%d rounds of %v in a second", rounds, duration)
 	}
 }
--- a/internal/deployment/orders.go
+++ b/internal/deployment/orders.go
@@ -13,27 +13,27 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file carries out what the core decides: orders and polls to workers, questions to
-// the placement advisor, and the lines that say so.
+// This file executes the actions of the core: orders and polls to workers, questions to
+// the placement advisor, and the log lines about them.
 
 var (
 	errLeaseOver = errors.New("the lease is over")
-	// errNoAdvisor meets jobs that were accepted before their queue got an advisor
-	// that the settings do not name.
+	// errNoAdvisor is returned for jobs that were accepted before their queue required
+	// an advisor, if the settings name none.
 	errNoAdvisor = errors.New("the settings name no placement advisor")
 )
 
-func (c *leader) carryOut(action dispatch.Action) {
+func (c *leader) execute(action dispatch.Action) {
 	switch action.Kind {
 	case dispatch.ActStart:
 		c.logOrder("start", action, zap.Bool("resumes", action.Order.Checkpoint != ""))
-		measureStart(action.First)
-		c.underWay.Add(1)
-		c.orders.Submit(func() { c.give("start", action, c.instance.workerReach.Start, (*dispatch.Core).StartAnswered) })
+		recordFirstStart(action.First)
+		c.inFlight.Add(1)
+		c.orders.Submit(func() { c.sendOrder("start", action, c.instance.routedWorkers.Start, (*dispatch.Core).StartAnswered) })
 	case dispatch.ActStop:
 		c.logOrder("stop", action)
-		c.underWay.Add(1)
-		c.orders.Submit(func() { c.give("stop", action, c.instance.workerReach.Stop, (*dispatch.Core).StopAnswered) })
+		c.inFlight.Add(1)
+		c.orders.Submit(func() { c.sendOrder("stop", action, c.instance.routedWorkers.Stop, (*dispatch.Core).StopAnswered) })
 	case dispatch.ActPoll:
 		c.polls.Submit(func() { c.poll(action) })
 	case dispatch.ActReason:
@@ -41,23 +41,23 @@
 	case dispatch.ActGaveUp:
 		c.logger.Warn("job given up", append(taskFields(action.Order.Task), zap.Int64("epoch", action.Order.Epoch), zap.String("reason", action.Reason))...)
 	case dispatch.ActLost:
-		c.logLost(action)
+		c.logLostRun(action)
 	case dispatch.ActAsk:
-		c.orders.Submit(func() { c.ask(action.Ask) })
+		c.orders.Submit(func() { c.askAdvisor(action.Ask) })
 	}
 }
 
-// ask puts a question to the placement advisor.
-func (c *leader) ask(question workload.Question) {
+// askAdvisor asks the placement advisor.
+func (c *leader) askAdvisor(question workload.Question) {
 	ctx, cancel := context.WithTimeout(c.ctx, question.Within)
 	defer cancel()
-	counsel := workload.Counsel{Err: errNoAdvisor}
+	advice := workload.Counsel{Err: errNoAdvisor}
 	if advisor := c.instance.options.Advisor; advisor != nil {
-		counsel = advisor.Advise(ctx, question)
+		advice = advisor.Advise(ctx, question)
 	}
 	c.logger.Info("advice", zap.String("job", question.Step.Job), zap.Int("occurrence", question.Step.Occurrence),
-		zap.Int("step", question.Step.Step), zap.Int("asked", len(question.Workers)), zap.Int("allowed", len(counsel.Allowed)), zap.Error(counsel.Err))
-	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.Advised(question, counsel, now, wallMS) })
+		zap.Int("step", question.Step.Step), zap.Int("asked", len(question.Workers)), zap.Int("allowed", len(advice.Allowed)), zap.Error(advice.Err))
+	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.Advised(question, advice, now, wallMS) })
 }
 
 func (c *leader) logOrder(what string, action dispatch.Action, more ...zap.Field) {
@@ -65,15 +65,15 @@
 	c.logger.Info("order", append(fields, more...)...)
 }
 
-// orderFields name an order in a log line.
+// orderFields returns the log fields that identify an order.
 func orderFields(what string, o workload.Order, more ...zap.Field) []zap.Field {
 	fields := append([]zap.Field{zap.String("order", what)}, taskFields(o.Task)...)
 	fields = append(fields, zap.Int64("attempt", o.Attempt), zap.String("worker", o.Worker))
 	return append(fields, more...)
 }
 
-// logLost says that a run is over because its worker was lost.
-func (c *leader) logLost(action dispatch.Action) {
+// logLostRun logs and counts a run that ended because its worker was lost.
+func (c *leader) logLostRun(action dispatch.Action) {
 	o, lost := action.Order, action.Lost
 	metrics.GetOrCreateCounter(fmt.Sprintf(`corianderbank_deployment_lost_runs_total{cause="%s"}`, lost.Cause)).Inc()
 	c.logger.Warn("run lost", append(taskFields(o.Task), zap.Int64("attempt", o.Attempt), zap.String("worker", o.Worker),
@@ -81,27 +81,27 @@
 		zap.Int("beside", lost.Beside))...)
 }
 
-// taskFields name a task in a log line.
+// taskFields returns the log fields that identify a task.
 func taskFields(t workload.TaskID) []zap.Field {
 	return []zap.Field{
 		zap.String("job", t.Job), zap.Int("occurrence", t.Occurrence), zap.Int("step", t.Step), zap.Int("task", t.Index),
 	}
 }
 
-// give gives an order, if the lease still holds at the moment it leaves, and
-// hands the answer to the core.
-func (c *leader) give(
+// sendOrder sends an order if the lease is still valid at that moment, and passes the
+// answer to the core.
+func (c *leader) sendOrder(
 	what string, action dispatch.Action, send func(context.Context, workload.Order) workload.Receipt,
 	answered func(*dispatch.Core, workload.Order, workload.Receipt, time.Time, int64),
 ) {
-	defer c.underWay.Add(-1)
+	defer c.inFlight.Add(-1)
 	receipt := workload.Receipt{Verdict: workload.VerdictUnsent, Err: errLeaseOver}
 	sent := time.Now()
 	if c.grant.valid() {
 		receipt = send(c.ctx, action.Order)
 	}
 	metricOrder(what, receipt.Verdict).UpdateDuration(sent)
-	c.logReceipt(what, action, receipt)
+	c.logFailedOrder(what, action, receipt)
 	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
 		answered(core, action.Order, receipt, now, wallMS)
 	})
@@ -110,9 +110,9 @@
 func (c *leader) poll(action dispatch.Action) {
 	report := workload.Report{Verdict: workload.VerdictUnsent, Err: errLeaseOver}
 	if action.Poll.UntilMS == 0 || c.grant.valid() {
-		report = c.instance.workerReach.Poll(c.ctx, action.Poll)
+		report = c.instance.routedWorkers.Poll(c.ctx, action.Poll)
 	}
-	if report.Unread > 0 && c.unreadSights.first(action.Poll.Worker, c.grant.epoch) {
+	if report.Unread > 0 && c.unreadableReports.firstSeen(action.Poll.Worker, c.grant.epoch) {
 		c.logger.Error("worker lists what cannot be read", zap.String("worker", action.Poll.Worker), zap.Int("rows", report.Unread))
 	}
 	for _, e := range report.Ended {
@@ -128,7 +128,7 @@
 	return metrics.GetOrCreateHistogram(`corianderbank_deployment_order_seconds{order="` + kind + `",verdict="` + verdict.String() + `"}`)
 }
 
-func (c *leader) logReceipt(what string, action dispatch.Action, receipt workload.Receipt) {
+func (c *leader) logFailedOrder(what string, action dispatch.Action, receipt workload.Receipt) {
 	if receipt.Verdict == workload.VerdictDone {
 		return
 	}
--- a/internal/deployment/orders_test.go
+++ b/internal/deployment/orders_test.go
@@ -13,7 +13,7 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// waitingWorkers answer starts at once, and polls only when their calls are ended.
+// waitingWorkers answer starts at once, and polls only when their contexts end.
 type waitingWorkers struct{ started chan struct{} }
 
 // Start implements workload.Workers.
@@ -42,11 +42,11 @@
 		workers := &waitingWorkers{started: make(chan struct{}, 1)}
 		settings := defaultSettings()
 		i := New(Options{Settings: &settings, Store: newMemoryStore(), Workers: workers, Decoder: plainDecoder{}, Logger: zap.NewNop()})
-		c := newLeader(ctx, i, &grant{epoch: 1, until: bootTime().Add(leaseLength)})
+		c := newLeader(ctx, i, &grant{epoch: 1, expiresAt: bootTime().Add(leaseDuration)})
 		for n := range 3000 {
-			c.carryOut(dispatch.Action{Kind: dispatch.ActPoll, Poll: workload.Poll{Worker: fmt.Sprint("w", n)}})
+			c.execute(dispatch.Action{Kind: dispatch.ActPoll, Poll: workload.Poll{Worker: fmt.Sprint("w", n)}})
 		}
-		c.carryOut(dispatch.Action{Kind: dispatch.ActStart, Order: workload.Order{Worker: "w0"}})
+		c.execute(dispatch.Action{Kind: dispatch.ActStart, Order: workload.Order{Worker: "w0"}})
 		synctest.Wait()
 		assert.Equal(t, len(workers.started), 1)
 		cancel()
--- a/internal/deployment/parts.go
+++ b/internal/deployment/parts.go
@@ -10,20 +10,21 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file answers a store that is slow. It carries out the transactions of one part
-// of a table one after the other: with all rows in one part, jobs queue behind each
-// other, behind records and behind the renewals of the lease, and are turned away as
-// soon as one takes longer than they are apart. So jobs and cancels are spread over
-// parts by their id. What a leader writes under its epoch lies with the epoch.
+// This file spreads the product's table over parts. The store performs the transactions
+// of one part one after the other: with all rows in one part, jobs queue behind each
+// other, behind records and behind lease renewals, and are refused as soon as a
+// transaction takes longer than the interval between jobs. Jobs and cancellations are
+// therefore spread over parts by their id. The rows that a leader writes under its
+// epoch share the part of the epoch row.
 
 const (
 	// mainPart holds the lease, records, workers and instances.
 	mainPart = ""
-	// jobParts is how many parts jobs and cancels are spread over.
+	// jobParts is the number of parts for jobs and cancellations.
 	jobParts = 16
 )
 
-// partOf is the part that a key of the product's table lies in.
+// partOf returns the part of a key of the product's table.
 func partOf(key string) string {
 	id, isJob := strings.CutPrefix(key, jobPrefix)
 	if !isJob {
@@ -36,7 +37,7 @@
 
 func jobPart(n uint64) string { return "jobs-" + strconv.FormatUint(n, 10) }
 
-// partsOf lists the parts of a table.
+// partsOf returns the parts of a table.
 func partsOf(source workload.Source) []string {
 	parts := []string{mainPart}
 	if source != workload.SourceOwn {
@@ -48,37 +49,37 @@
 	return parts
 }
 
-// partRead is one part of a table as it was at a version.
-type partRead struct {
+// readResult is the result of reading a part or a whole table.
+type readResult struct {
 	rows    []workload.Row
 	version int64
 	err     error
 }
 
-// readTable reads a whole table, its parts beside each other. The version is the oldest
-// of them: what changed since then is in the feed.
+// readTable reads a whole table, its parts concurrently. The returned version is the
+// oldest of the parts; the feed has the changes since then.
 func readTable(ctx context.Context, store workload.Store, source workload.Source) ([]workload.Row, int64, error) {
 	parts := partsOf(source)
-	reads := make(chan partRead, len(parts))
+	reads := make(chan readResult, len(parts))
 	for _, part := range parts {
 		go func() {
 			rows, version, err := readAll(ctx, store, source, part, "", "")
-			reads <- partRead{rows, version, err}
+			reads <- readResult{rows, version, err}
 		}()
 	}
-	var whole partRead
+	var table readResult
 	for n := range parts {
 		read := <-reads
 		if read.err != nil {
-			whole.err = read.err
+			table.err = read.err
 		}
-		whole.rows = append(whole.rows, read.rows...)
-		if n == 0 || read.version < whole.version {
-			whole.version = read.version
+		table.rows = append(table.rows, read.rows...)
+		if n == 0 || read.version < table.version {
+			table.version = read.version
 		}
 	}
-	if whole.err != nil {
-		return nil, 0, whole.err
+	if table.err != nil {
+		return nil, 0, table.err
 	}
-	return whole.rows, whole.version, nil
+	return table.rows, table.version, nil
 }
--- a/internal/deployment/parts_test.go
+++ b/internal/deployment/parts_test.go
@@ -9,7 +9,7 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-func TestJobsAreSpreadOverPartsAndWhatTheHolderWritesLiesWithItsEpoch(t *testing.T) {
+func TestJobsAreSpreadOverPartsAndLeaderRowsShareThePartOfTheEpoch(t *testing.T) {
 	counts := make(map[string]int)
 	const jobs = 1600
 	for n := range jobs {
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestAWholeReadHasAllPartsAsOfTheOldestOne(t *testing.T) {
+func TestReadTableReturnsAllPartsAtTheOldestVersion(t *testing.T) {
 	store := newMemoryStore()
 	for n := range 40 {
 		key := fmt.Sprintf("%s%016x", jobPrefix, n)
