--- a/internal/deployment/peerviews.go
+++ b/internal/deployment/peerviews.go
@@ -5,59 +5,63 @@
 	"time"
 )
 
-// peerView is what a peer said last.
+// peerView is the state that a peer reported in its last hello.
 type peerView struct {
 	zone           string
 	storeReachable bool
-	// hub says that it follows the table, cutOff that it reaches nobody outside its zone.
+	// hub is set if the peer follows the table, cutOff if it reaches no instance
+	// outside its zone.
 	hub, cutOff bool
-	// leader is who schedules, as far as it knows.
+	// leaderAddr is the leader's address according to the peer.
 	leaderAddr string
-	// pending counts the jobs of each queue that have not begun, if it said so.
-	pending map[string]int64
-	at      time.Time
+	// pending is the number of jobs of each queue that have not started; nil if the
+	// peer did not report it.
+	pending    map[string]int64
+	receivedAt time.Time
 }
 
-// peers keeps what the peers said.
+// peers holds the reported states of the peers. It is safe for concurrent use.
 type peers struct {
 	mu    sync.Mutex
 	views map[string]peerView
-	// misses are the hellos in a row that a peer left unanswered.
-	misses map[string]missed
-	// pushed is what configuration a peer was sent last.
-	pushed map[string]push
+	// misses holds the consecutive hellos that a peer left unanswered.
+	misses map[string]missedHellos
+	// pushed holds the configuration last sent to a peer.
+	pushed map[string]sentConfiguration
 }
 
-// push is a configuration that was sent to a peer.
-type push struct {
+// sentConfiguration is the version of a configuration that was sent to a peer, and
+// when.
+type sentConfiguration struct {
 	version int64
-	at      time.Time
+	sentAt  time.Time
 }
 
-// pushAgain is the least time between two copies of one configuration for the same peer:
-// other hubs send it as well, and more copies only fill a small link.
-const pushAgain = 2 * time.Second
+// pushRepeatInterval is the minimum time between sending the same configuration to a
+// peer again. Other hubs send it as well, and more copies only fill a slow link.
+const pushRepeatInterval = 2 * time.Second
 
-// mayPush reports whether a peer should be sent a row of the configuration now, and notes
-// that it was.
+// mayPush reports whether a version of the configuration should be sent to a peer now,
+// and if so records it as sent.
 func (p *peers) mayPush(id string, version int64, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if last := p.pushed[id]; last.version == version && now.Sub(last.at) < pushAgain {
+	if last := p.pushed[id]; last.version == version && now.Sub(last.sentAt) < pushRepeatInterval {
 		return false
 	}
-	p.pushed[id] = push{version, now}
+	p.pushed[id] = sentConfiguration{version, now}
 	return true
 }
 
-// missed is how many hellos a peer left unanswered, and when the last one failed.
-type missed struct {
-	count int
-	at    time.Time
+// missedHellos is the number of hellos that a peer left unanswered, and when the last
+// one failed.
+type missedHellos struct {
+	count    int
+	lastMiss time.Time
 }
 
 func newPeers() *peers {
-	return &peers{views: make(map[string]peerView), misses: make(map[string]missed), pushed: make(map[string]push)}
+	return &peers{views: make(map[string]peerView), misses: make(map[string]missedHellos), pushed: make(map[string]sentConfiguration)}
 }
 
 func (p *peers) set(id string, view peerView) {
@@ -67,67 +71,67 @@
 	delete(p.misses, id)
 }
 
-// miss notes a hello that a peer did not answer.
-func (p *peers) miss(id string) {
+// recordMiss records an unanswered hello.
+func (p *peers) recordMiss(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.misses[id] = missed{p.misses[id].count + 1, bootTime()}
+	p.misses[id] = missedHellos{p.misses[id].count + 1, bootTime()}
 }
 
-// isSilent reports whether a peer left several hellos unanswered, and has said nothing
-// since.
-func (p *peers) isSilent(id string) bool {
+// isUnresponsive reports whether a peer left several hellos unanswered and has sent
+// none since.
+func (p *peers) isUnresponsive(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.misses[id].count >= silentMisses
+	return p.misses[id].count >= missesUntilUnresponsive
 }
 
-// silentDue lists the silent peers that should be tried again.
-func (p *peers) silentDue(now time.Time) []string {
+// unresponsiveDue returns the unresponsive peers to which another hello is due.
+func (p *peers) unresponsiveDue(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var due []string
 	for id, m := range p.misses {
-		if m.count >= silentMisses && now.Sub(m.at) >= silentAgain {
+		if m.count >= missesUntilUnresponsive && now.Sub(m.lastMiss) >= unresponsiveRetryInterval {
 			due = append(due, id)
 		}
 	}
 	return due
 }
 
-// latest is what a hub said last.
+// latest returns the most recent view among the hubs.
 func (p *peers) latest() peerView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var latest peerView
 	for _, view := range p.views {
-		if view.hub && view.at.After(latest.at) {
+		if view.hub && view.receivedAt.After(latest.receivedAt) {
 			latest = view
 		}
 	}
 	return latest
 }
 
-// leader is who schedules, as a hub said last.
+// leaderAddr returns the leader's address according to the most recent hello of a hub.
 func (p *peers) leaderAddr() string { return p.latest().leaderAddr }
 
-// fresh lists the peers that said something lately and match.
-func (p *peers) fresh(match func(peerView) bool) []string {
+// recent returns the matching peers whose last hello is recent.
+func (p *peers) recent(match func(peerView) bool) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := bootTime()
 	var ids []string
 	for id, view := range p.views {
-		if now.Sub(view.at) < peerFreshFor && match(view) {
+		if now.Sub(view.receivedAt) < peerViewTTL && match(view) {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// heardSince reports whether a peer has said something since a time.
-func (p *peers) heardSince(id string, since time.Time) bool {
+// helloSince reports whether a hello of a peer was received after a time.
+func (p *peers) helloSince(id string, since time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.views[id].at.After(since)
+	return p.views[id].receivedAt.After(since)
 }
--- a/internal/deployment/query.go
+++ b/internal/deployment/query.go
@@ -12,33 +12,36 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// jobView is what a caller may know of a job.
+// jobView is the part of a job's state that is reported to callers.
 type jobView struct {
 	known   bool
 	state   JobState
 	account string
 }
 
-// queryTimeout bounds asking one hub: within a zone it answers in a few milliseconds.
+// queryTimeout bounds a query to one hub; within a zone it answers in a few
+// milliseconds.
 const queryTimeout = 250 * time.Millisecond
 
-// view is what is known of a job here, by a hub of the zone, or in the store.
-func (i *Instance) view(ctx context.Context, id string) (jobView, error) {
+// lookupJob returns the state of a job from the local replica, from a hub of the zone,
+// or from the store.
+func (i *Instance) lookupJob(ctx context.Context, id string) (jobView, error) {
 	if state, job, ok := i.replica.state(id); ok {
 		return jobView{known: true, state: state, account: job.Account}, nil
 	}
 	if !i.replica.isLoaded() {
-		if view, ok := i.askHubs(ctx, id); ok {
+		if view, ok := i.queryHubs(ctx, id); ok {
 			return view, nil
 		}
 	}
-	return i.fetch(ctx, id)
+	return i.readJob(ctx, id)
 }
 
-// zoneHubs lists the hubs of the zone that said something lately, the one first that
-// this instance asks first: each leaf has its own, so that they share the load.
+// zoneHubs returns the recently active hubs of the zone in the order in which this
+// instance queries them. Each leaf starts with a hub of its own, so that the hubs share
+// the load.
 func (i *Instance) zoneHubs() []string {
-	hubs := i.peers.fresh(func(v peerView) bool { return v.hub && v.zone == i.settings.AvailabilityZone })
+	hubs := i.peers.recent(func(v peerView) bool { return v.hub && v.zone == i.settings.AvailabilityZone })
 	if len(hubs) == 0 {
 		return nil
 	}
@@ -47,18 +50,18 @@
 	return append(hubs[first:], hubs[:first]...)
 }
 
-// askHubs asks the hubs of the zone for a job, one after the other; false if none of
-// them answers.
-func (i *Instance) askHubs(ctx context.Context, id string) (jobView, bool) {
+// queryHubs queries the hubs of the zone for a job one after the other; false if none
+// of them answers.
+func (i *Instance) queryHubs(ctx context.Context, id string) (jobView, bool) {
 	for _, hub := range i.zoneHubs() {
-		if view, err := i.askHub(ctx, hub, id); err == nil {
+		if view, err := i.queryHub(ctx, hub, id); err == nil {
 			return view, true
 		}
 	}
 	return jobView{}, false
 }
 
-func (i *Instance) askHub(ctx context.Context, hub, id string) (jobView, error) {
+func (i *Instance) queryHub(ctx context.Context, hub, id string) (jobView, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	response, err := i.node.Call(ctx, hub, &peerpb.Request{Body: &peerpb.Request_JobQuery{JobQuery: &peerpb.JobQuery{JobId: id}}})
@@ -69,12 +72,12 @@
 	return jobView{known: job.GetKnown(), state: JobState(job.GetState()), account: job.GetClientAccount()}, nil
 }
 
-// answerQuery answers a leaf.
+// answerQuery answers the query of a leaf.
 func (i *Instance) answerQuery(ctx context.Context, query *peerpb.JobQuery) (*peerpb.Response, error) {
 	if !i.replica.isLoaded() {
 		return nil, api.NewError(api.KindNotReady, "not a hub")
 	}
-	view, err := i.view(ctx, query.GetJobId())
+	view, err := i.lookupJob(ctx, query.GetJobId())
 	if err != nil {
 		return nil, err
 	}
@@ -83,14 +86,14 @@
 	}}}, nil
 }
 
-// fetch reads a job's rows from the store.
-func (i *Instance) fetch(ctx context.Context, id string) (jobView, error) {
+// readJob reads the rows of a job from the store.
+func (i *Instance) readJob(ctx context.Context, id string) (jobView, error) {
 	read := newReplica(i.logger)
 	for _, prefix := range []string{jobPrefix, cancelPrefix, recordPrefix} {
 		key := prefix + id
 		page, err := i.store.Read(ctx, workload.SourceOwn, partOf(key), key, key+"\x00")
 		if err != nil {
-			return jobView{}, api.WithRetryAfter(api.NewError(api.KindStoreUnavailable, "the store was not reached: %w", err), i.comeBack(ctx))
+			return jobView{}, api.WithRetryAfter(api.NewError(api.KindStoreUnavailable, "the store was not reached: %w", err), i.retryAfter(ctx))
 		}
 		read.apply(page.Rows)
 		i.replica.apply(page.Rows)
@@ -104,7 +107,7 @@
 	}
 	state, job, ok := replica.state(id)
 	if !ok {
-		return jobView{}, nil // its row cannot be read
+		return jobView{}, nil // the row cannot be decoded
 	}
 	return jobView{known: true, state: state, account: job.Account}, nil
 }
--- a/internal/deployment/query_test.go
+++ b/internal/deployment/query_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestALeafWhoseHubsDoNotAnswerReadsAJobFromTheStore(t *testing.T) {
-	i := leaf(t)
-	i.speaks("127.0.0.1:1") // and then answers no call
+	i := newTestLeaf(t)
+	i.receiveHubHello("127.0.0.1:1") // the hub does not answer calls after this hello
 	store := i.store.direct.(*memoryStore)
 	record := dispatch.Record{Final: dispatch.FinalCompleted}
 	job := &workload.Job{ID: "a", Account: "acme", Steps: []workload.Step{{Count: 1}}}
@@ -32,7 +32,7 @@
 	assert.Assert(t, !kept)
 }
 
-func TestALeafIsAskedNothing(t *testing.T) {
-	_, err := leaf(t).answerQuery(t.Context(), nil)
+func TestALeafRejectsJobQueries(t *testing.T) {
+	_, err := newTestLeaf(t).answerQuery(t.Context(), nil)
 	assert.Equal(t, api.KindOf(err), api.KindNotReady)
 }
--- a/internal/deployment/reach.go
+++ b/internal/deployment/reach.go
@@ -15,126 +15,127 @@
 )
 
 const (
-	// pathTimeout bounds one attempt on one path. The store answers within
+	// routeTimeout bounds one attempt on one route. The store answers within
 	// milliseconds; when it is slow, within a few hundred.
-	pathTimeout = 900 * time.Millisecond
-	// pathPatience is how long a path may take before the next one is tried as well.
-	// Without it an instance that the store does not answer holds an urgent job for most
-	// of the time that it has.
-	pathPatience = 250 * time.Millisecond
-	// directAgainAfter is how soon the direct path is tried first again after it
-	// failed, while a peer has one.
-	directAgainAfter = 1 * time.Second
-	// followSlack is added to the time that the store may wait.
+	routeTimeout = 900 * time.Millisecond
+	// routeHedgeDelay is how long a route may take before the next one is tried
+	// concurrently. Without it, an instance that the store does not answer would hold
+	// an urgent job for most of the time that the job has.
+	routeHedgeDelay = 250 * time.Millisecond
+	// directRetryAfter is how soon after a failure the direct route is tried first
+	// again, while a peer offers another one.
+	directRetryAfter = 1 * time.Second
+	// followSlack is added to the time that the store may wait for a change.
 	followSlack = 900 * time.Millisecond
-	// reachableFor is how long an answer of the store counts as a sign that it
-	// can be reached.
-	reachableFor = 1500 * time.Millisecond
+	// reachableWindow is how long the store counts as reachable after an answer.
+	reachableWindow = 1500 * time.Millisecond
 )
 
-// reach is the store by whatever path works: directly, or through a peer that
-// reaches it. Often the store turns away only some instances. It implements
+// routedStore reaches the store by whatever route works: directly, or through a peer
+// that reaches it. Often only some instances are refused by the store. It implements
 // workload.Store.
-type reach struct {
-	*reachState
-	// limit bounds one attempt on one path; after patience the next one is tried too.
-	limit, patience time.Duration
+type routedStore struct {
+	*routeState
+	// limit bounds one attempt on one route; after hedgeDelay the next one is tried
+	// concurrently.
+	limit, hedgeDelay time.Duration
 }
 
-// limits are the times of one call.
+// limits are the time limits of one call.
 type limits struct {
-	// attempt bounds one attempt; patience is after how long without an answer the
-	// next path is tried beside it.
-	attempt, patience time.Duration
+	// attempt bounds one attempt. After hedgeDelay without an answer, the next route is
+	// tried concurrently.
+	attempt, hedgeDelay time.Duration
 }
 
 const (
-	// slowFactor is how many times what the store took lately a path may take.
+	// slowFactor is how many times the average latency a route may take.
 	slowFactor = 2
-	// longestAttempt bounds an attempt on a slow store.
-	longestAttempt = 1200 * time.Millisecond
-	// latencyWeight is the weight of the newest answer in what the store took lately.
+	// maxAttemptTimeout bounds an attempt on a slow store.
+	maxAttemptTimeout = 1200 * time.Millisecond
+	// latencyWeight is the weight of the newest answer in the average latency.
 	latencyWeight = 0.3
 )
 
-// limitsFor are the times of a call when the store took so long lately. A slow store
-// that is asked again on another path does the work twice, and is slower for it.
-func limitsFor(limit, patience, lately time.Duration) limits {
-	slow := min(slowFactor*lately, longestAttempt)
-	return limits{attempt: max(limit, slow), patience: max(patience, slow)}
+// limitsFor returns the limits of a call given the average latency. Asking a slow store
+// again on another route doubles its work and makes it slower.
+func limitsFor(limit, hedgeDelay, avgLatency time.Duration) limits {
+	slow := min(slowFactor*avgLatency, maxAttemptTimeout)
+	return limits{attempt: max(limit, slow), hedgeDelay: max(hedgeDelay, slow)}
 }
 
-func (r *reach) limits() limits {
+func (r *routedStore) limits() limits {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return limitsFor(r.limit, r.patience, r.lately)
+	return limitsFor(r.limit, r.hedgeDelay, r.avgLatency)
 }
 
-// noteLatency takes in how long the store took to answer directly.
-func (r *reach) noteLatency(took time.Duration) {
+// recordLatency updates the average latency of direct answers.
+func (r *routedStore) recordLatency(took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lately += time.Duration(latencyWeight * float64(took-r.lately))
+	r.avgLatency += time.Duration(latencyWeight * float64(took-r.avgLatency))
 }
 
-// within returns the same reach with another bound for an attempt.
-func (r *reach) within(limit time.Duration) *reach {
-	return &reach{reachState: r.reachState, limit: limit, patience: min(r.patience, limit)}
+// withLimit returns a routedStore with the same state and another bound for an attempt.
+func (r *routedStore) withLimit(limit time.Duration) *routedStore {
+	return &routedStore{routeState: r.routeState, limit: limit, hedgeDelay: min(r.hedgeDelay, limit)}
 }
 
-// reachState is what all uses of the reach share.
-type reachState struct {
+// routeState is the state shared by all variants of a routedStore.
+type routeState struct {
 	direct workload.Store
 	caller peer.Caller
 	logger *zap.Logger
-	// helpers lists the peers that said that they reach the store.
-	helpers func() []string
-	// answered is told when a call that the store answered had begun.
-	answered func(began time.Time)
+	// relayPeers returns the peers that reported that they reach the store.
+	relayPeers func() []string
+	// onAnswer, if set, is called with the start of each call that the store answered.
+	onAnswer func(start time.Time)
 
 	mu sync.Mutex
-	// failedAt is when the direct path failed last; zero after a success.
+	// failedAt is when the direct route failed last; zero after a success.
 	failedAt time.Time
-	// answeredAt is when the store answered last, directly and by any path.
+	// directAt and answeredAt are when the store answered last directly and by any
+	// route.
 	directAt, answeredAt time.Time
-	// silentAt is when no path worked last; zero if that never happened.
-	silentAt time.Time
-	// lately is how long the store took to answer directly, averaged.
-	lately time.Duration
-	lost   bool
+	// unreachableAt is when all routes last failed; zero if that never happened.
+	unreachableAt time.Time
+	// avgLatency is the moving average of the latency of direct answers.
+	avgLatency time.Duration
+	directLost bool
 }
 
-// callFollow is the call that waits for changes; how long it takes says nothing of the
-// store.
+// callFollow is the call that waits for changes. Its duration does not measure the
+// latency of the store.
 const callFollow = "follow"
 
-// attempt is one try of a call on one path.
+// attempt makes a call on one route.
 type attempt[T any] func(ctx context.Context, store workload.Store) (T, error)
 
-// outcome is what became of an attempt on one path.
+// outcome is the result of an attempt on one route.
 type outcome[T any] struct {
-	path  workload.Store
-	began time.Time
-	got   T
-	err   error
+	route  workload.Store
+	start  time.Time
+	result T
+	err    error
 }
 
-// byAnyPath tries the paths in turn, the next one as soon as one failed or has not
-// answered for a while, and takes the first answer. An error wraps
+// tryRoutes tries the routes in turn, the next one as soon as one failed or has not
+// answered for the hedge delay, and returns the first answer. The error wraps
 // workload.ErrUnknown if any attempt may have been performed.
-func byAnyPath[T any](ctx context.Context, r *reach, call string, limits limits, try attempt[T]) (T, error) {
-	paths := r.paths()
-	within, cancel := context.WithCancel(ctx)
+func tryRoutes[T any](ctx context.Context, r *routedStore, call string, limits limits, try attempt[T]) (T, error) {
+	routes := r.routes()
+	attemptsCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	outcomes := make(chan outcome[T], len(paths))
-	next := time.NewTimer(limits.patience)
-	defer next.Stop()
+	outcomes := make(chan outcome[T], len(routes))
+	hedge := time.NewTimer(limits.hedgeDelay)
+	defer hedge.Stop()
 	started := 0
 	start := func() {
-		path := paths[started]
+		route := routes[started]
 		started++
-		next.Reset(limits.patience)
-		go func() { outcomes <- attemptOn(within, path, limits.attempt, try) }()
+		hedge.Reset(limits.hedgeDelay)
+		go func() { outcomes <- tryRoute(attemptsCtx, route, limits.attempt, try) }()
 	}
 	start()
 	var f failures
@@ -142,44 +143,44 @@
 		select {
 		case o := <-outcomes:
 			ended++
-			r.measure(call, o.path, o.began, o.err)
+			r.observeDuration(call, o.route, o.start, o.err)
 			if o.err == nil || errors.Is(o.err, workload.ErrHistoryGone) {
-				r.answeredBy(o.path, o.began, paths[:started])
-				if o.path == r.direct && call != callFollow {
-					r.noteLatency(bootTime().Sub(o.began))
+				r.recordAnsweredBy(o.route, o.start, routes[:started])
+				if o.route == r.direct && call != callFollow {
+					r.recordLatency(bootTime().Sub(o.start))
 				}
-				return o.got, o.err
+				return o.result, o.err
 			}
 			f.add(o.err)
 			if ctx.Err() != nil {
 				continue
 			}
-			r.note(o.path, o.began, o.err)
-			if started < len(paths) {
+			r.recordResult(o.route, o.start, o.err)
+			if started < len(routes) {
 				start()
 			}
-		case <-next.C:
-			if started < len(paths) && ctx.Err() == nil {
+		case <-hedge.C:
+			if started < len(routes) && ctx.Err() == nil {
 				start()
 			}
 		}
 	}
 	if ctx.Err() == nil {
-		r.noteSilence()
+		r.recordUnreachable()
 	}
 	var zero T
 	return zero, f.err()
 }
 
-func attemptOn[T any](ctx context.Context, path workload.Store, limit time.Duration, try attempt[T]) outcome[T] {
+func tryRoute[T any](ctx context.Context, route workload.Store, limit time.Duration, try attempt[T]) outcome[T] {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	o := outcome[T]{path: path, began: bootTime()}
-	o.got, o.err = try(ctx, path)
+	o := outcome[T]{route: route, start: bootTime()}
+	o.result, o.err = try(ctx, route)
 	return o
 }
 
-// failures collects why all paths failed.
+// failures collects the errors of all routes.
 type failures struct {
 	list    []error
 	unknown bool
@@ -198,50 +199,50 @@
 	return fmt.Errorf("%w: %w", kind, errors.Join(f.list...))
 }
 
-// errOvertaken is noted of the direct path when a peer's answer came first.
-var errOvertaken = errors.New("a peer had an answer first")
+// errPeerFaster is recorded for the direct route when a peer answered first.
+var errPeerFaster = errors.New("a peer answered first")
 
-// answeredBy notes the path that answered, and that the direct one was slower than
-// a peer.
-func (r *reach) answeredBy(path workload.Store, began time.Time, tried []workload.Store) {
-	r.note(path, began, nil)
-	r.noteAnswer(began)
-	if path != r.direct && tried[0] == r.direct {
-		r.note(r.direct, began, errOvertaken)
+// recordAnsweredBy records the route that answered, and that the direct one was slower
+// than a peer if it was tried first.
+func (r *routedStore) recordAnsweredBy(route workload.Store, start time.Time, tried []workload.Store) {
+	r.recordResult(route, start, nil)
+	r.notifyAnswer(start)
+	if route != r.direct && tried[0] == r.direct {
+		r.recordResult(r.direct, start, errPeerFaster)
 	}
 }
 
-// mostHelpers bounds the peers that are asked for one call.
-const mostHelpers = 2
+// maxRelayPeers bounds the peers that are tried for one call.
+const maxRelayPeers = 2
 
-// paths lists the ways to the store, the likeliest first.
-func (r *reach) paths() []workload.Store {
+// routes returns the routes to the store, the most promising first.
+func (r *routedStore) routes() []workload.Store {
 	r.mu.Lock()
-	failed := !r.failedAt.IsZero() && bootTime().Sub(r.failedAt) < directAgainAfter
+	failed := !r.failedAt.IsZero() && bootTime().Sub(r.failedAt) < directRetryAfter
 	r.mu.Unlock()
-	var helpers []workload.Store
-	for _, id := range r.helpers() {
-		if len(helpers) < mostHelpers {
-			helpers = append(helpers, &relay{peer: id, caller: r.caller})
+	var relays []workload.Store
+	for _, id := range r.relayPeers() {
+		if len(relays) < maxRelayPeers {
+			relays = append(relays, &relayStore{peer: id, caller: r.caller})
 		}
 	}
-	if failed && len(helpers) > 0 {
-		return append(helpers, r.direct)
+	if failed && len(relays) > 0 {
+		return append(relays, r.direct)
 	}
-	return append([]workload.Store{r.direct}, helpers...)
+	return append([]workload.Store{r.direct}, relays...)
 }
 
-// note keeps the result of an attempt that began at a time, and logs when the
-// store is lost and when it is back. An answer to a call that began before the
-// last failure says nothing: the store lets calls that wait for changes end.
-func (r *reach) note(path workload.Store, began time.Time, err error) {
+// recordResult records the result of an attempt that began at start, and logs when the
+// direct route to the store is lost and regained. An answer to a call that began before
+// the last failure proves nothing: the store lets calls that wait for changes complete.
+func (r *routedStore) recordResult(route workload.Store, start time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := bootTime()
-	if err == nil && began.After(r.silentAt) {
+	if err == nil && start.After(r.unreachableAt) {
 		r.answeredAt = now
 	}
-	if path != r.direct || err == nil && began.Before(r.failedAt) {
+	if route != r.direct || err == nil && start.Before(r.failedAt) {
 		return
 	}
 	if err == nil {
@@ -249,8 +250,8 @@
 	} else {
 		r.failedAt = now
 	}
-	if lost := err != nil; lost != r.lost {
-		r.lost = lost
+	if lost := err != nil; lost != r.directLost {
+		r.directLost = lost
 		if lost {
 			r.logger.Warn("dependency lost", zap.String("dependency", "store"), zap.Error(err))
 		} else {
@@ -259,10 +260,10 @@
 	}
 }
 
-// measure keeps how long a call took, by its path and what became of it.
-func (r *reach) measure(call string, path workload.Store, began time.Time, err error) {
+// observeDuration updates the histogram of call durations by route and result.
+func (r *routedStore) observeDuration(call string, route workload.Store, start time.Time, err error) {
 	by, result := "peer", "done"
-	if path == r.direct {
+	if route == r.direct {
 		by = "direct"
 	}
 	switch {
@@ -272,66 +273,67 @@
 		result = "not_done"
 	}
 	name := fmt.Sprintf(`corianderbank_deployment_store_seconds{call=%q,path=%q,result=%q}`, call, by, result)
-	metrics.GetOrCreateHistogram(name).Update(bootTime().Sub(began).Seconds())
+	metrics.GetOrCreateHistogram(name).Update(bootTime().Sub(start).Seconds())
 }
 
-func (r *reach) noteAnswer(began time.Time) {
-	if r.answered != nil {
-		r.answered(began)
+func (r *routedStore) notifyAnswer(start time.Time) {
+	if r.onAnswer != nil {
+		r.onAnswer(start)
 	}
 }
 
-func (r *reach) noteSilence() {
+func (r *routedStore) recordUnreachable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silentAt = bootTime()
+	r.unreachableAt = bootTime()
 }
 
-// steady reports whether the store has answered without a break for a while.
-func (r *reach) steady(d time.Duration) bool {
+// stableFor reports whether the store has answered without interruption for a duration.
+func (r *routedStore) stableFor(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.silentAt.IsZero() || bootTime().Sub(r.silentAt) >= d
+	return r.unreachableAt.IsZero() || bootTime().Sub(r.unreachableAt) >= d
 }
 
-// away is how long the store has not answered by any path.
-func (r *reach) away() time.Duration {
+// outageDuration returns the time since the store last answered by any route.
+func (r *routedStore) outageDuration() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return bootTime().Sub(r.answeredAt)
 }
 
-// reachable reports whether the store answered lately by any path, and directly.
-func (r *reach) reachable() (byAnyPath, directly bool) {
+// reachable reports whether the store answered recently by any route, and whether it
+// did directly.
+func (r *routedStore) reachable() (byAnyRoute, directly bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := bootTime()
-	return now.Sub(r.answeredAt) < reachableFor, now.Sub(r.directAt) < reachableFor && r.failedAt.IsZero()
+	return now.Sub(r.answeredAt) < reachableWindow, now.Sub(r.directAt) < reachableWindow && r.failedAt.IsZero()
 }
 
 // Write implements workload.Store.
-func (r *reach) Write(ctx context.Context, write workload.Write) (workload.Written, error) {
-	return byAnyPath(ctx, r, "write", r.limits(), func(ctx context.Context, store workload.Store) (workload.Written, error) {
+func (r *routedStore) Write(ctx context.Context, write workload.Write) (workload.Written, error) {
+	return tryRoutes(ctx, r, "write", r.limits(), func(ctx context.Context, store workload.Store) (workload.Written, error) {
 		return store.Write(ctx, write)
 	})
 }
 
 // Read implements workload.Store.
-func (r *reach) Read(ctx context.Context, source workload.Source, part, from, to string) (workload.Page, error) {
-	return byAnyPath(ctx, r, "read", r.limits(), func(ctx context.Context, store workload.Store) (workload.Page, error) {
+func (r *routedStore) Read(ctx context.Context, source workload.Source, part, from, to string) (workload.Page, error) {
+	return tryRoutes(ctx, r, "read", r.limits(), func(ctx context.Context, store workload.Store) (workload.Page, error) {
 		return store.Read(ctx, source, part, from, to)
 	})
 }
 
 // Follow implements workload.Store.
-func (r *reach) Follow(ctx context.Context, source workload.Source, after int64, wait time.Duration) (workload.Page, error) {
-	return byAnyPath(ctx, r, callFollow, limits{wait + followSlack, wait + r.patience}, func(ctx context.Context, store workload.Store) (workload.Page, error) {
+func (r *routedStore) Follow(ctx context.Context, source workload.Source, after int64, wait time.Duration) (workload.Page, error) {
+	return tryRoutes(ctx, r, callFollow, limits{wait + followSlack, wait + r.hedgeDelay}, func(ctx context.Context, store workload.Store) (workload.Page, error) {
 		return store.Follow(ctx, source, after, wait)
 	})
 }
 
-// readAll reads a whole range of a part, page by page. The version is that of the first
-// page: what changed since then is in the feed.
+// readAll reads a whole range of a part, page by page. The returned version is that of
+// the first page; the feed has the changes since then.
 func readAll(ctx context.Context, store workload.Store, source workload.Source, part, from, to string) ([]workload.Row, int64, error) {
 	var rows []workload.Row
 	version := int64(-1)
--- a/internal/deployment/reach_test.go
+++ b/internal/deployment/reach_test.go
@@ -15,11 +15,11 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// helper is a peer that makes store calls; nil makes it unreachable.
-type helper struct{ store workload.Store }
+// storePeer is a peer that makes store calls; a nil store makes it unreachable.
+type storePeer struct{ store workload.Store }
 
 // Call implements peer.Caller.
-func (h helper) Call(ctx context.Context, _ string, request *peerpb.Request) (*peerpb.Response, error) {
+func (h storePeer) Call(ctx context.Context, _ string, request *peerpb.Request) (*peerpb.Response, error) {
 	if h.store == nil {
 		return nil, api.NewError(api.KindNotReady, "no connection")
 	}
@@ -27,13 +27,13 @@
 	return &peerpb.Response{Body: &peerpb.Response_Store{Store: answer}}, nil
 }
 
-func newTestReach(direct workload.Store, by helper) *reach {
-	return &reach{limit: time.Second, patience: pathPatience, reachState: &reachState{
-		direct: direct, caller: by, logger: zap.NewNop(), helpers: func() []string { return []string{"peer"} },
+func newTestRoutedStore(direct workload.Store, by storePeer) *routedStore {
+	return &routedStore{limit: time.Second, hedgeDelay: routeHedgeDelay, routeState: &routeState{
+		direct: direct, caller: by, logger: zap.NewNop(), relayPeers: func() []string { return []string{"peer"} },
 	}}
 }
 
-func failing(err error) func() error { return func() error { return fmt.Errorf("played: %w", err) } }
+func failing(err error) func() error { return func() error { return fmt.Errorf("injected: %w", err) } }
 
 func TestAWriteGoesThroughAPeerWhereTheDirectPathFails(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -42,22 +42,22 @@
 		want         error
 		stored       bool
 	}{
-		"direct":                                {nil, nil, false, nil, true},
-		"turned away, the peer is not":          {failing(workload.ErrNotDone), nil, false, nil, true},
-		"no answer, the peer has one":           {failing(workload.ErrUnknown), nil, false, nil, true},
-		"turned away both":                      {failing(workload.ErrNotDone), failing(workload.ErrNotDone), false, workload.ErrNotDone, false},
-		"turned away and the peer out of reach": {failing(workload.ErrNotDone), nil, true, workload.ErrNotDone, false},
-		"no answer, then turned away: not a no": {failing(workload.ErrUnknown), failing(workload.ErrNotDone), false, workload.ErrUnknown, false},
-		"turned away, then no answer: not a no": {failing(workload.ErrNotDone), failing(workload.ErrUnknown), false, workload.ErrUnknown, false},
+		"direct": {nil, nil, false, nil, true},
+		"refused directly, accepted through the peer": {failing(workload.ErrNotDone), nil, false, nil, true},
+		"no direct answer, accepted through the peer": {failing(workload.ErrUnknown), nil, false, nil, true},
+		"refused on both routes":                      {failing(workload.ErrNotDone), failing(workload.ErrNotDone), false, workload.ErrNotDone, false},
+		"refused directly, the peer is unreachable":   {failing(workload.ErrNotDone), nil, true, workload.ErrNotDone, false},
+		"no direct answer, then refused: unknown":     {failing(workload.ErrUnknown), failing(workload.ErrNotDone), false, workload.ErrUnknown, false},
+		"refused directly, then no answer: unknown":   {failing(workload.ErrNotDone), failing(workload.ErrUnknown), false, workload.ErrUnknown, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			direct, byPeer := newMemoryStore(), newMemoryStore()
 			direct.fail, byPeer.fail = c.direct, c.peer
-			by := helper{byPeer}
+			by := storePeer{byPeer}
 			if c.unreachable {
 				by.store = nil
 			}
-			r := newTestReach(direct, by)
+			r := newTestRoutedStore(direct, by)
 			_, err := r.Write(t.Context(), workload.Write{Put: []workload.Row{{Key: "j/1", Value: []byte("x")}}})
 			assert.Assert(t, errors.Is(err, c.want), "%v", err)
 			if c.want != nil {
@@ -68,25 +68,25 @@
 	}
 }
 
-func TestAfterAFailureThePeerIsAskedFirstForAWhile(t *testing.T) {
+func TestAfterADirectFailureThePeerIsTriedFirst(t *testing.T) {
 	direct, byPeer := newMemoryStore(), newMemoryStore()
 	direct.fail = failing(workload.ErrNotDone)
-	r := newTestReach(direct, helper{byPeer})
+	r := newTestRoutedStore(direct, storePeer{byPeer})
 	for range 5 {
 		_, err := r.Read(t.Context(), workload.SourceOwn, mainPart, "", "")
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, direct.calls, 1)
-	anyhow, directly := r.reachable()
-	assert.Assert(t, anyhow && !directly)
+	byAnyRoute, directly := r.reachable()
+	assert.Assert(t, byAnyRoute && !directly)
 }
 
-func TestAConflictThroughAPeerShowsTheRowsAsTheyAre(t *testing.T) {
+func TestAConflictThroughAPeerReturnsTheCurrentRows(t *testing.T) {
 	direct, byPeer := newMemoryStore(), newMemoryStore()
 	direct.fail = failing(workload.ErrNotDone)
 	_, err := byPeer.Write(t.Context(), workload.Write{Put: []workload.Row{{Key: "j/1", Value: []byte("first")}}})
 	assert.NilError(t, err)
-	written, err := newTestReach(direct, helper{byPeer}).Write(t.Context(), workload.Write{
+	written, err := newTestRoutedStore(direct, storePeer{byPeer}).Write(t.Context(), workload.Write{
 		Expect: []workload.Row{{Key: "j/1"}}, Put: []workload.Row{{Key: "j/1", Value: []byte("second")}},
 	})
 	assert.NilError(t, err)
@@ -94,32 +94,32 @@
 	assert.Equal(t, string(written.Rows[0].Value), "first")
 }
 
-func TestASilentPathIsOvertakenByAPeer(t *testing.T) {
-	direct := &silentStore{memoryStore: newMemoryStore(), written: make(chan struct{}, 8)}
+func TestAnUnresponsiveDirectRouteIsHedgedThroughAPeer(t *testing.T) {
+	direct := &unresponsiveStore{memoryStore: newMemoryStore(), written: make(chan struct{}, 8)}
 	byPeer := newMemoryStore()
-	r := newTestReach(direct, helper{byPeer})
+	r := newTestRoutedStore(direct, storePeer{byPeer})
 	r.limit = time.Hour
 	for range 3 {
 		_, err := r.Write(t.Context(), workload.Write{Put: []workload.Row{{Key: "j/1", Value: []byte("x")}}})
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(direct.written), 1, "after it was overtaken, the peer is asked first")
+	assert.Equal(t, len(direct.written), 1, "after the peer answered first, it is tried first")
 	assert.Equal(t, len(byPeer.rows), 1)
 }
 
 func TestASlowStoreIsNotAskedOnEveryPathAtOnce(t *testing.T) {
-	for sentence, c := range map[string]struct {
-		lately, attempt, patience time.Duration
+	for name, c := range map[string]struct {
+		avgLatency, attempt, hedgeDelay time.Duration
 	}{
-		"it answers within milliseconds":    {4 * time.Millisecond, pathTimeout, pathPatience},
-		"each answer takes a while":         {300 * time.Millisecond, pathTimeout, 600 * time.Millisecond},
-		"slower than an attempt may be":     {500 * time.Millisecond, time.Second, time.Second},
-		"so slow that a peer is as good":    {5 * time.Second, longestAttempt, longestAttempt},
-		"nothing was seen of the store yet": {0, pathTimeout, pathPatience},
+		"answers within milliseconds":          {4 * time.Millisecond, routeTimeout, routeHedgeDelay},
+		"slower than the hedge delay":          {300 * time.Millisecond, routeTimeout, 600 * time.Millisecond},
+		"slower than the route timeout allows": {500 * time.Millisecond, time.Second, time.Second},
+		"slower than the maximum attempt":      {5 * time.Second, maxAttemptTimeout, maxAttemptTimeout},
+		"no answer yet":                        {0, routeTimeout, routeHedgeDelay},
 	} {
-		t.Run(sentence, func(t *testing.T) {
-			got := limitsFor(pathTimeout, pathPatience, c.lately)
-			assert.Equal(t, got, limits{attempt: c.attempt, patience: c.patience})
+		t.Run(name, func(t *testing.T) {
+			got := limitsFor(routeTimeout, routeHedgeDelay, c.avgLatency)
+			assert.Equal(t, got, limits{attempt: c.attempt, hedgeDelay: c.hedgeDelay})
 		})
 	}
 }
--- a/internal/deployment/records.go
+++ b/internal/deployment/records.go
@@ -12,44 +12,46 @@
 )
 
 const (
-	// recordsAtOnce bounds the records of one transaction. Each is two entries of
-	// the hundred that a transaction may have, the epoch one, and some are left for
-	// workers.
-	recordsAtOnce = 40
-	// entriesAtOnce bounds the entries of one transaction.
-	entriesAtOnce = 100
-	// writePause is the pause after a failed write of records.
-	writePause = 100 * time.Millisecond
-	// collectEvery is how often rows of jobs that ended long ago are removed.
-	collectEvery = 5 * time.Second
-	// keptTimes says how many times the promised time states are kept.
-	keptTimes = 2
+	// maxRecordsPerWrite bounds the records of one transaction. Each record takes two
+	// of the hundred entries that a transaction may have, the epoch takes one, and the
+	// rest is left for workers.
+	maxRecordsPerWrite = 40
+	// maxEntriesPerWrite bounds the entries of one transaction.
+	maxEntriesPerWrite = 100
+	// writeRetryPause is the pause after a failed write of records.
+	writeRetryPause = 100 * time.Millisecond
+	// collectInterval is how often the rows of jobs that ended long ago are removed.
+	collectInterval = 5 * time.Second
+	// retentionFactor is by how much the retention of job states exceeds the promised
+	// time.
+	retentionFactor = 2
 )
 
-// batch is what one write stores: records, workers that may get work from then on,
-// and workers that are gone.
+// batch is the content of one write: records, workers that may get work once they are
+// stored, and workers to remove.
 type batch struct {
 	records []dispatch.Unpersisted
 	workers []workload.Worker
-	gone    []string
+	removed []string
 }
 
-// nextBatch takes from the core what fits into one transaction.
+// nextBatch returns the next changes of the core that fit into one transaction.
 func nextBatch(core *dispatch.Core) batch {
-	b := batch{records: core.Unpersisted(recordsAtOnce)}
-	left := entriesAtOnce - 1 - 2*len(b.records)
-	b.workers = core.Unstored(left)
-	if len(b.records) < recordsAtOnce {
-		// The records of what was lost with a worker go before the worker's row does.
-		b.gone = core.Gone((left - len(b.workers)) / 2)
+	b := batch{records: core.Unpersisted(maxRecordsPerWrite)}
+	remaining := maxEntriesPerWrite - 1 - 2*len(b.records)
+	b.workers = core.Unstored(remaining)
+	if len(b.records) < maxRecordsPerWrite {
+		// The records of runs that were lost with a worker are written before the
+		// worker's row is removed.
+		b.removed = core.Gone((remaining - len(b.workers)) / 2)
 	}
 	return b
 }
 
-func (b *batch) empty() bool { return len(b.records)+len(b.workers)+len(b.gone) == 0 }
+func (b *batch) empty() bool { return len(b.records)+len(b.workers)+len(b.removed) == 0 }
 
-// write stores what the store does not have yet; one write is under way at a
-// time.
+// write starts storing what the store does not have yet. Only one write is in flight at
+// a time.
 func (c *leader) write() {
 	if c.writing {
 		return
@@ -59,15 +61,14 @@
 		return
 	}
 	c.writing = true
-	c.underWay.Add(1)
+	c.inFlight.Add(1)
 	c.orders.Submit(func() { c.writeBatch(&b) })
 }
 
-// transaction is the write of a batch. It expects the epoch and the version of
-// every record, so that neither a leader that was replaced nor a late copy of an
-// earlier write can change anything; nor can a late removal take out a worker that
-// came back. A worker's row holds the same whoever writes it, so the epoch alone
-// guards that.
+// transaction returns the write of a batch. It expects the epoch and the version of
+// every record, so that neither a replaced leader nor a late copy of an earlier write
+// can change anything, and a late removal cannot remove a worker that came back. A
+// worker's row has the same content regardless of its writer, so the epoch alone guards it.
 func (c *leader) transaction(b *batch) workload.Write {
 	tx := workload.Write{Expect: []workload.Row{{Key: epochKey, Version: c.grant.epochVersion}}}
 	for _, u := range b.records {
@@ -78,7 +79,7 @@
 	for i := range b.workers {
 		tx.Put = append(tx.Put, workload.Row{Key: workerPrefix + b.workers[i].ID, Value: encode(b.workers[i])})
 	}
-	for _, id := range b.gone {
+	for _, id := range b.removed {
 		key := workerPrefix + id
 		tx.Expect = append(tx.Expect, workload.Row{Key: key, Version: c.recordVersion(key)})
 		tx.Remove = append(tx.Remove, key)
@@ -86,19 +87,19 @@
 	return tx
 }
 
-// writeBatch tries one write.
+// writeBatch makes one attempt to write a batch.
 func (c *leader) writeBatch(b *batch) {
-	defer c.underWay.Add(-1)
+	defer c.inFlight.Add(-1)
 	tx := c.transaction(b)
 	written, err := c.instance.store.Write(c.ctx, tx)
 	switch {
 	case err != nil:
 		c.logger.Debug("writing records failed", zap.Error(err))
-		pause(c.ctx, writePause)
+		pause(c.ctx, writeRetryPause)
 	case written.Conflict:
-		c.conflict(tx.Expect, written.Rows)
+		c.resolveConflict(tx.Expect, written.Rows)
 	default:
-		c.written(b, tx, written.Version)
+		c.applyWritten(b, tx, written.Version)
 	}
 	stored := err == nil && !written.Conflict
 	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
@@ -106,38 +107,39 @@
 		if stored {
 			core.Recorded(b.records, now, wallMS)
 			core.Stored(b.workers)
-			core.Removed(b.gone)
+			core.Removed(b.removed)
 		}
 	})
 }
 
-// written takes what the store has now.
-func (c *leader) written(b *batch, tx workload.Write, version int64) {
+// applyWritten applies a successful write to the replica and sends completions to the
+// hubs.
+func (c *leader) applyWritten(b *batch, tx workload.Write, version int64) {
 	for n := range tx.Put {
 		tx.Put[n].Version = version
 		c.recordVersions[tx.Put[n].Key] = version
 	}
 	c.instance.replica.apply(tx.Put)
 	if finals := finalRows(b, tx.Put); len(finals) > 0 {
-		c.instance.passOn(workload.SourceOwn, finals)
+		c.instance.sendToHubs(workload.SourceOwn, finals)
 	}
-	c.logFinals(b.records)
+	c.logEndedJobs(b.records)
 }
 
-// finalRows are the rows of a write that callers are waiting for: records of jobs that
-// have ended. What else a record holds matters to the next leader alone, which reads the
+// finalRows returns the rows of a write that callers wait for: records of jobs that
+// have ended. The rest of a record matters only to the next leader, which reads the
 // table.
 func finalRows(b *batch, put []workload.Row) []workload.Row {
 	var rows []workload.Row
 	for n, u := range b.records {
 		if u.Final != "" {
-			rows = append(rows, put[n]) // records come first in a write
+			rows = append(rows, put[n]) // records come first in tx.Put
 		}
 	}
 	return rows
 }
 
-func (c *leader) logFinals(list []dispatch.Unpersisted) {
+func (c *leader) logEndedJobs(list []dispatch.Unpersisted) {
 	for _, u := range list {
 		if u.Final != "" {
 			c.logger.Info("job ended", zap.String("job", u.Job), zap.String("state", string(u.Final)), zap.Int64("epoch", c.grant.epoch))
@@ -145,7 +147,8 @@
 	}
 }
 
-// recordVersion is only called by the one write under way.
+// recordVersion returns the expected version of a row. It is only called by the one
+// write in flight.
 func (c *leader) recordVersion(key string) int64 {
 	if version, ok := c.recordVersions[key]; ok {
 		return version
@@ -153,43 +156,43 @@
 	return c.instance.replica.version(key)
 }
 
-// conflict takes the versions that a refused write met: either an earlier copy
-// of it was performed although its answer was lost, or the lease is lost. A row that
-// was expected and is not among them does not exist any more.
-func (c *leader) conflict(expected, rows []workload.Row) {
-	met := make(map[string]int64, len(rows))
+// resolveConflict records the actual versions that a refused write found. Either an
+// earlier copy of the write was performed although its answer was lost, or the lease is
+// lost. An expected row that is not among rows no longer exists.
+func (c *leader) resolveConflict(expected, rows []workload.Row) {
+	actual := make(map[string]int64, len(rows))
 	for _, row := range rows {
-		met[row.Key] = row.Version
+		actual[row.Key] = row.Version
 	}
 	for _, row := range expected {
 		if row.Key != epochKey {
-			c.recordVersions[row.Key] = met[row.Key]
+			c.recordVersions[row.Key] = actual[row.Key]
 			continue
 		}
-		if met[epochKey] != c.grant.epochVersion {
+		if actual[epochKey] != c.grant.epochVersion {
 			c.logger.Warn("the store has a higher epoch", zap.Int64("epoch", c.grant.epoch))
 			c.grant.end()
 		}
 	}
 }
 
-// collect removes the rows of jobs whose states need not be shown any more.
-func (c *leader) collect() {
+// removeExpired removes the rows of jobs whose states need not be shown any more.
+func (c *leader) removeExpired() {
 	now := bootTime()
-	if now.Sub(c.collectedAt) < collectEvery {
+	if now.Sub(c.collectedAt) < collectInterval {
 		return
 	}
 	c.collectedAt = now
-	kept := keptTimes * c.instance.live.Load().bounds().StatusKept
-	ids := c.instance.replica.expired(time.Now().Add(-kept).UnixMilli(), recordsAtOnce/2)
+	retention := retentionFactor * c.instance.liveSettings.Load().bounds().StatusKept
+	ids := c.instance.replica.expired(time.Now().Add(-retention).UnixMilli(), maxRecordsPerWrite/2)
 	if len(ids) == 0 {
 		return
 	}
-	c.orders.Submit(func() { c.remove(ids) })
+	c.orders.Submit(func() { c.removeRows(ids) })
 }
 
-// removals are the writes that remove the rows of ended jobs: the jobs first and their
-// records last, since a job without its record would run again.
+// removals returns the writes that remove the rows of ended jobs: the jobs first and
+// their records last, since a job without its record would run again.
 func removals(ids []string, epochVersion int64) []workload.Write {
 	parts := make(map[string]*workload.Write)
 	for _, id := range ids {
@@ -210,7 +213,7 @@
 	return append(list, records)
 }
 
-func (c *leader) remove(ids []string) {
+func (c *leader) removeRows(ids []string) {
 	for _, tx := range removals(ids, c.grant.epochVersion) {
 		written, err := c.instance.store.Write(c.ctx, tx)
 		if err != nil || written.Conflict {
--- a/internal/deployment/records_test.go
+++ b/internal/deployment/records_test.go
@@ -11,13 +11,13 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// batchCore is a core with changed records and workers that the table lacks.
+// batchCore returns a core with changed records and workers that are not stored.
 func batchCore(jobs, workers int) *dispatch.Core {
 	now := time.Unix(1_000_000, 0)
 	core := dispatch.New(workload.Bounds{}, 1, now, time.Time{})
 	for n := range jobs {
 		job := &workload.Job{ID: fmt.Sprintf("%016x", n), Steps: []workload.Step{{Count: 1}}}
-		core.AddJob(job, dispatch.Record{}, true, now, 0) // its cancelling is to be recorded
+		core.AddJob(job, dispatch.Record{}, true, now, 0) // its cancellation has to be recorded
 	}
 	var list []workload.Worker
 	for n := range workers {
@@ -30,9 +30,9 @@
 func TestABatchStaysWithinTheEntriesOfATransaction(t *testing.T) {
 	for name, c := range map[string]struct{ jobs, workers, records, stored int }{
 		"few of both":           {3, 10, 3, 10},
-		"many records":          {200, 0, recordsAtOnce, 0},
-		"many workers":          {0, 350, 0, entriesAtOnce - 1},
-		"many of both":          {200, 350, recordsAtOnce, entriesAtOnce - 1 - 2*recordsAtOnce},
+		"many records":          {200, 0, maxRecordsPerWrite, 0},
+		"many workers":          {0, 350, 0, maxEntriesPerWrite - 1},
+		"many of both":          {200, 350, maxRecordsPerWrite, maxEntriesPerWrite - 1 - 2*maxRecordsPerWrite},
 		"nothing to be written": {0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -42,21 +42,21 @@
 			assert.Equal(t, len(b.workers), c.stored)
 			leader := &leader{grant: &grant{}, recordVersions: make(map[string]int64), instance: &Instance{replica: newReplica(nil)}}
 			tx := leader.transaction(&b)
-			assert.Assert(t, len(tx.Expect)+len(tx.Put)+len(tx.Remove) <= entriesAtOnce)
+			assert.Assert(t, len(tx.Expect)+len(tx.Put)+len(tx.Remove) <= maxEntriesPerWrite)
 		})
 	}
 }
 
-func TestARowThatIsGoneIsExpectedToBeGone(t *testing.T) {
+func TestAMissingRowIsExpectedToBeMissing(t *testing.T) {
 	c := &leader{grant: &grant{epochVersion: 5}, recordVersions: map[string]int64{"w/a": 7, "e/b": 8}}
 	expected := []workload.Row{{Key: epochKey, Version: 5}, {Key: "w/a", Version: 7}, {Key: "e/b", Version: 8}}
-	c.conflict(expected, []workload.Row{{Key: epochKey, Version: 5}, {Key: "e/b", Version: 9}})
-	assert.Equal(t, c.recordVersion("w/a"), int64(0), "its removal was performed, the answer was lost")
+	c.resolveConflict(expected, []workload.Row{{Key: epochKey, Version: 5}, {Key: "e/b", Version: 9}})
+	assert.Equal(t, c.recordVersion("w/a"), int64(0), "its removal was performed and the answer was lost")
 	assert.Equal(t, c.recordVersion("e/b"), int64(9))
 	assert.Assert(t, !c.grant.ended())
 }
 
-func TestOnlyEndsAreToldToAllInstances(t *testing.T) {
+func TestOnlyFinalRecordsAreSentToHubs(t *testing.T) {
 	b := &batch{
 		records: []dispatch.Unpersisted{{Job: "a"}, {Job: "b", Final: dispatch.FinalCompleted}, {Job: "c"}, {Job: "d", Final: dispatch.FinalFailed}},
 		workers: []workload.Worker{{ID: "w"}},
--- a/internal/deployment/relay.go
+++ b/internal/deployment/relay.go
@@ -12,7 +12,7 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// The store calls that peers make for each other, and how they fail.
+// The store calls that peers make for each other, and their failures.
 const (
 	opWrite  = "write"
 	opRead   = "read"
@@ -23,7 +23,7 @@
 	failureHistoryGone = "history_gone"
 )
 
-// relayError tells a call to a peer that never left from one that may have
+// relayError distinguishes a call to a peer that was never sent from one that may have
 // reached the store.
 func relayError(err error) error {
 	if api.IsKind(err, api.KindResultUnknown) {
@@ -32,8 +32,8 @@
 	return fmt.Errorf("%w: %w", workload.ErrNotDone, err)
 }
 
-// serveStore makes a store call for a peer, directly: a peer that cannot reach
-// the store itself must not pass the call on.
+// serveStore makes a store call for a peer, directly: a peer that cannot reach the
+// store itself must not pass the call on.
 func serveStore(ctx context.Context, store workload.Store, call *peerpb.StoreCall) *peerpb.StoreAnswer {
 	var answer *peerpb.StoreAnswer
 	var err error
@@ -72,13 +72,13 @@
 	return failureNotDone
 }
 
-// relay is the store through one peer. It implements workload.Store.
-type relay struct {
+// relayStore reaches the store through one peer. It implements workload.Store.
+type relayStore struct {
 	peer   string
 	caller peer.Caller
 }
 
-func (s *relay) call(ctx context.Context, call *peerpb.StoreCall) (*peerpb.StoreAnswer, error) {
+func (s *relayStore) call(ctx context.Context, call *peerpb.StoreCall) (*peerpb.StoreAnswer, error) {
 	response, err := s.caller.Call(ctx, s.peer, &peerpb.Request{Body: &peerpb.Request_Store{Store: call}})
 	if err != nil {
 		return nil, relayError(err)
@@ -96,7 +96,7 @@
 }
 
 // Write implements workload.Store.
-func (s *relay) Write(ctx context.Context, write workload.Write) (workload.Written, error) {
+func (s *relayStore) Write(ctx context.Context, write workload.Write) (workload.Written, error) {
 	answer, err := s.call(ctx, &peerpb.StoreCall{
 		Op: opWrite, Part: write.Part, Expect: packRows(write.Expect), Put: packRows(write.Put), Remove: write.Remove,
 	})
@@ -107,13 +107,13 @@
 }
 
 // Read implements workload.Store.
-func (s *relay) Read(ctx context.Context, source workload.Source, part, from, to string) (workload.Page, error) {
+func (s *relayStore) Read(ctx context.Context, source workload.Source, part, from, to string) (workload.Page, error) {
 	answer, err := s.call(ctx, &peerpb.StoreCall{Op: opRead, Source: string(source), Part: part, From: from, To: to})
 	return relayPage(answer, err)
 }
 
 // Follow implements workload.Store.
-func (s *relay) Follow(ctx context.Context, source workload.Source, after int64, wait time.Duration) (workload.Page, error) {
+func (s *relayStore) Follow(ctx context.Context, source workload.Source, after int64, wait time.Duration) (workload.Page, error) {
 	answer, err := s.call(ctx, &peerpb.StoreCall{Op: opFollow, Source: string(source), After: after, WaitMs: wait.Milliseconds()})
 	return relayPage(answer, err)
 }
--- a/internal/deployment/replica.go
+++ b/internal/deployment/replica.go
@@ -14,7 +14,7 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// The keys of the product's table; parts.go says where they lie.
+// The keys of the product's table; parts.go assigns them to parts.
 const (
 	epochKey       = "a/epoch"
 	leaderKey      = "a/leader"
@@ -25,106 +25,107 @@
 	workerPrefix   = "w/"
 )
 
-// knownJob is what an instance knows of one job.
+// knownJob is the state of one job as this instance has it.
 type knownJob struct {
 	job       *workload.Job
 	cancelled bool
 	record    dispatch.Record
-	// announced says that the record comes from a leader that could not store it yet.
+	// announced is set if the record comes from a leader that could not store it yet.
 	announced bool
-	// unread jobs have a record that cannot be read.
-	unread bool
+	// unreadable is set if the record of the job cannot be decoded.
+	unreadable bool
 }
 
-// leaderRow says who holds the lease.
+// leaderRow is the row that names the holder of the lease.
 type leaderRow struct {
 	Leader string `json:"leader"`
 	Epoch  int64  `json:"epoch"`
-	// Released leases can be taken at once.
+	// Released is set if the lease was given up and can be taken at once.
 	Released bool `json:"released,omitempty"`
 	// Beat changes with each renewal.
 	Beat int64 `json:"beat"`
-	// Begins promises that the record of a job that was ever started says so.
-	Begins bool `json:"begins,omitempty"`
+	// StoresIntents promises that the record of every started job has its start
+	// intent.
+	StoresIntents bool `json:"begins,omitempty"`
 }
 
-// seenLeader is the leader row as an instance has seen it.
+// seenLeader is the leader row as this instance has seen it.
 type seenLeader struct {
 	leaderRow
 	version int64
-	// since is when this version was first seen.
-	since time.Time
+	// firstSeen is when this version was first seen.
+	firstSeen time.Time
 }
 
-// change is something new in the replica that the leader's core must know.
+// change is a new job or cancellation that is passed to the leader's core.
 type change struct {
 	job       string
 	cancelled bool
 }
 
-// replica is the product's table as this instance knows it. Rows come from the
-// feed, from reads and from peers, in any order; a row's version decides which
-// is newer. It is safe for concurrent use.
+// replica is this instance's copy of the product's table. Rows arrive from the feed,
+// from reads and from peers, in any order; the version of a row decides which is newer.
+// It is safe for concurrent use.
 type replica struct {
 	logger *zap.Logger
-	// changed is called, without the lock, for new jobs and cancels.
-	changed func(change)
+	// onChange is called, without the lock held, for new jobs and cancellations.
+	onChange func(change)
 
 	mu       sync.Mutex
 	versions map[string]int64
 	jobs     map[string]*knownJob
-	began    map[string]bool
-	// beganEpoch is the epoch that began comes from.
-	beganEpoch int64
-	leader     seenLeader
-	peers      map[string]instanceRow
-	// workers are those that may run something, by id.
+	started  map[string]bool
+	// startedEpoch is the highest epoch from which started was reported.
+	startedEpoch int64
+	leader       seenLeader
+	instances    map[string]instanceRow
+	// workers holds the workers that may run something, by id.
 	workers map[string]workload.Worker
-	// loaded says that the table was read whole, and is followed since.
+	// loaded is set once the whole table was read, and while it is followed.
 	loaded bool
-	// whole says that all rows are kept: a leaf keeps those of the instances alone.
-	whole bool
-	// pinned says that this instance leads, and that no row may be dropped.
+	// allRows is set if all rows are kept. A leaf keeps only those of the instances.
+	allRows bool
+	// pinned is set while this instance leads and no row may be dropped.
 	pinned bool
 }
 
-// instanceRow is what an instance writes of itself; its key is its address for
-// peers.
+// instanceRow is the row that an instance writes about itself; its key is its address
+// for peers.
 type instanceRow struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
-	// Cores is what it may use of the processor.
+	// Cores is the processor time that the instance may use, in cores.
 	Cores float64 `json:"cores,omitempty"`
 }
 
 func newReplica(logger *zap.Logger) *replica {
 	return &replica{
 		logger: logger, versions: make(map[string]int64), jobs: make(map[string]*knownJob),
-		began: make(map[string]bool), peers: make(map[string]instanceRow), workers: make(map[string]workload.Worker), changed: func(change) {}, whole: true,
+		started: make(map[string]bool), instances: make(map[string]instanceRow), workers: make(map[string]workload.Worker), onChange: func(change) {}, allRows: true,
 	}
 }
 
-// apply takes rows in.
+// apply applies rows that are newer than the known ones.
 func (r *replica) apply(rows []workload.Row) {
 	var changes []change
 	r.mu.Lock()
 	for _, row := range rows {
-		if row.Version <= r.versions[row.Key] || !r.whole && !strings.HasPrefix(row.Key, instancePrefix) {
+		if row.Version <= r.versions[row.Key] || !r.allRows && !strings.HasPrefix(row.Key, instancePrefix) {
 			continue
 		}
 		r.versions[row.Key] = row.Version
-		if c, ok := r.take(row); ok {
+		if c, ok := r.applyRow(row); ok {
 			changes = append(changes, c)
 		}
 	}
-	changed := r.changed
+	onChange := r.onChange
 	r.mu.Unlock()
 	for _, c := range changes {
-		changed(c)
+		onChange(c)
 	}
 }
 
-func (r *replica) take(row workload.Row) (change, bool) {
+func (r *replica) applyRow(row workload.Row) (change, bool) {
 	prefix, id := row.Key[:min(2, len(row.Key))], row.Key[min(2, len(row.Key)):]
 	if row.Deleted {
 		r.drop(prefix, id, row.Key)
@@ -132,44 +133,45 @@
 	}
 	switch prefix {
 	case jobPrefix:
-		return change{job: id}, r.takeJob(id, row)
+		return change{job: id}, r.applyJob(id, row)
 	case cancelPrefix:
-		r.known(id).cancelled = true
+		r.ensureJob(id).cancelled = true
 		return change{job: id, cancelled: true}, true
 	case recordPrefix:
 		record, err := dispatch.DecodeRecord(row.Value)
 		if err != nil {
 			r.logger.Error("record cannot be read", zap.String("job", id), zap.Error(err))
-			r.known(id).unread = true // what of it is done is not known: it must not run
+			r.ensureJob(id).unreadable = true // the job must not run, because what it has completed is unknown
 			return change{}, false
 		}
-		known := r.known(id)
+		known := r.ensureJob(id)
 		if known.announced && record.Final == "" {
-			break // an older record that came late: the announced end stands
+			break // an older record that arrived late does not replace the announced completion
 		}
-		known.record, known.announced, known.unread = record, false, false
+		known.record, known.announced, known.unreadable = record, false, false
 	case instancePrefix:
 		var peer instanceRow
 		if err := json.Unmarshal(row.Value, &peer); err != nil {
 			r.logger.Error("instance's row cannot be read", zap.String("peer", id), zap.Error(err))
 			return change{}, false
 		}
-		r.peers[id] = peer
+		r.instances[id] = peer
 	case workerPrefix:
 		var worker workload.Worker
 		if err := json.Unmarshal(row.Value, &worker); err != nil || worker.ID != id {
-			// It may run something all the same: whoever schedules next waits for it.
+			// The worker may run something all the same, so the next leader waits for
+			// it.
 			r.logger.Error("stored worker cannot be read", zap.String("worker", id), zap.Error(err))
 			worker = workload.Worker{ID: id}
 		}
 		r.workers[id] = worker
 	default:
-		r.takeLeader(row)
+		r.applyLeader(row)
 	}
 	return change{}, false
 }
 
-func (r *replica) takeJob(id string, row workload.Row) bool {
+func (r *replica) applyJob(id string, row workload.Row) bool {
 	var job workload.Job
 	if err := json.Unmarshal(row.Value, &job); err != nil {
 		r.logger.Error("job cannot be read", zap.String("job", id), zap.Error(err))
@@ -179,7 +181,7 @@
 		r.logger.Error("job cannot be read", zap.String("job", id), zap.String("id_inside", job.ID), zap.Error(err))
 		return false
 	}
-	known := r.known(id)
+	known := r.ensureJob(id)
 	if known.job != nil {
 		return false
 	}
@@ -187,9 +189,9 @@
 	return true
 }
 
-// announce takes the final records of jobs that a leader could not store yet. What
-// the store has goes before.
-func (r *replica) announce(rows []workload.Row) {
+// applyAnnounced applies the final records of jobs that a leader could not store yet.
+// Stored final records take precedence.
+func (r *replica) applyAnnounced(rows []workload.Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, row := range rows {
@@ -205,11 +207,11 @@
 	}
 }
 
-func (r *replica) takeLeader(row workload.Row) {
+func (r *replica) applyLeader(row workload.Row) {
 	if row.Key != leaderKey {
 		return
 	}
-	seen := seenLeader{version: row.Version, since: bootTime()}
+	seen := seenLeader{version: row.Version, firstSeen: bootTime()}
 	if err := json.Unmarshal(row.Value, &seen.leaderRow); err != nil {
 		r.logger.Error("leader row cannot be read", zap.Error(err))
 		return
@@ -221,9 +223,9 @@
 	switch prefix {
 	case jobPrefix:
 		delete(r.jobs, id)
-		delete(r.began, id)
+		delete(r.started, id)
 	case instancePrefix:
-		delete(r.peers, id)
+		delete(r.instances, id)
 	case workerPrefix:
 		delete(r.workers, id)
 	}
@@ -232,7 +234,7 @@
 	}
 }
 
-func (r *replica) known(id string) *knownJob {
+func (r *replica) ensureJob(id string) *knownJob {
 	known := r.jobs[id]
 	if known == nil {
 		known = &knownJob{}
@@ -241,15 +243,15 @@
 	return known
 }
 
-// version returns the version of a row; zero if it is not known.
+// version returns the version of a row, or zero if it is not known.
 func (r *replica) version(key string) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.versions[key]
 }
 
-// reload brings the replica in line with a whole read, taken at a version:
-// rows that are missing there and not newer were removed.
+// reload applies a whole read at a version: known rows that are missing from it and not
+// newer were removed.
 func (r *replica) reload(rows []workload.Row, at int64) {
 	r.keepAll()
 	r.apply(rows)
@@ -270,11 +272,11 @@
 func (r *replica) keepAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.whole = true
+	r.allRows = true
 }
 
-// pin keeps all rows from being dropped until unpin. A leader that found some of them
-// missing would take jobs of an earlier epoch for new ones.
+// pin prevents all rows from being dropped until unpin. A leader with missing rows
+// would treat jobs of an earlier epoch as new.
 func (r *replica) pin() { r.setPinned(true) }
 
 func (r *replica) unpin() { r.setPinned(false) }
@@ -285,16 +287,16 @@
 	r.pinned = pinned
 }
 
-// keepInstances drops all rows but those of the instances, and takes no others, unless
-// the rows are pinned.
-func (r *replica) keepInstances() {
+// keepOnlyInstances drops all rows except those of the instances and ignores others
+// from then on, unless the rows are pinned.
+func (r *replica) keepOnlyInstances() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.pinned || !r.whole {
+	if r.pinned || !r.allRows {
 		return
 	}
-	r.whole, r.loaded = false, false
-	r.jobs, r.began, r.workers = make(map[string]*knownJob), make(map[string]bool), make(map[string]workload.Worker)
+	r.allRows, r.loaded = false, false
+	r.jobs, r.started, r.workers = make(map[string]*knownJob), make(map[string]bool), make(map[string]workload.Worker)
 	r.leader = seenLeader{}
 	versions := make(map[string]int64)
 	for key, version := range r.versions {
@@ -317,14 +319,14 @@
 	return r.leader
 }
 
-// zones lists the known instances but one by their availability zones, the larger
-// ones first.
-func (r *replica) zones(but string) map[string][]peerSize {
+// zones returns the known instances except one by availability zone, sorted by
+// compareSize.
+func (r *replica) zones(except string) map[string][]peerSize {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	zones := make(map[string][]peerSize)
-	for addr, peer := range r.peers {
-		if addr != but {
+	for addr, peer := range r.instances {
+		if addr != except {
 			zones[peer.Zone] = append(zones[peer.Zone], peerSize{addr, peer.Cores})
 		}
 	}
@@ -334,12 +336,12 @@
 	return zones
 }
 
-// sizes lists the known instances that match with their sizes.
+// sizes returns the matching known instances with their sizes.
 func (r *replica) sizes(match func(addr string) bool) []peerSize {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []peerSize
-	for addr, peer := range r.peers {
+	for addr, peer := range r.instances {
 		if match(addr) {
 			list = append(list, peerSize{addr, peer.Cores})
 		}
@@ -347,28 +349,29 @@
 	return list
 }
 
-// setBegan takes the leader's word on which jobs have begun.
-func (r *replica) setBegan(epoch int64, ids []string) {
+// setStarted records the jobs that the leader of an epoch reports as started. Reports
+// of earlier epochs are ignored.
+func (r *replica) setStarted(epoch int64, ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if epoch < r.beganEpoch {
+	if epoch < r.startedEpoch {
 		return
 	}
-	if epoch > r.beganEpoch {
-		r.beganEpoch = epoch
+	if epoch > r.startedEpoch {
+		r.startedEpoch = epoch
 	}
 	for _, id := range ids {
-		r.began[id] = true
+		r.started[id] = true
 	}
 }
 
-// snapshot returns all jobs, oldest first, for a new leader's core.
+// snapshot returns all readable jobs, oldest first, for a new leader's core.
 func (r *replica) snapshot() []knownJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := make([]knownJob, 0, len(r.jobs))
 	for _, known := range r.jobs {
-		if known.job != nil && !known.unread {
+		if known.job != nil && !known.unreadable {
 			list = append(list, *known)
 		}
 	}
@@ -381,7 +384,7 @@
 	return list
 }
 
-// get returns what is known of one job.
+// get returns the state of one job; false if the job is not known.
 func (r *replica) get(id string) (knownJob, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -392,8 +395,8 @@
 	return *known, true
 }
 
-// expired lists jobs that ended before a time, in milliseconds since 1970, also those of
-// which only the record is left.
+// expired returns jobs that ended before a time in milliseconds since 1970, including
+// those of which only the record is left.
 func (r *replica) expired(beforeMS int64, limit int) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -406,19 +409,19 @@
 	return ids
 }
 
-// storedWorkers lists the workers that are in the table.
+// storedWorkers returns the workers in the table.
 func (r *replica) storedWorkers() []workload.Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Values(r.workers))
 }
 
-// beganList lists the jobs that have begun and are not final.
-func (r *replica) beganList() []string {
+// startedJobs returns the jobs that have started and are neither final nor cancelled.
+func (r *replica) startedJobs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
-	for id := range r.began {
+	for id := range r.started {
 		if known := r.jobs[id]; known != nil && known.record.Final == "" && !known.cancelled {
 			ids = append(ids, id)
 		}
@@ -426,10 +429,11 @@
 	return ids
 }
 
-// otherZones lists the known instances of each zone but one, the larger ones first.
-func (r *replica) otherZones(own string) [][]string {
+// otherZones returns the known instances of each zone except one, the larger ones
+// first.
+func (r *replica) otherZones(ownZone string) [][]string {
 	members := r.zones("")
-	delete(members, own)
+	delete(members, ownZone)
 	var zones [][]string
 	for _, zone := range slices.Sorted(maps.Keys(members)) {
 		var addrs []string
@@ -441,9 +445,9 @@
 	return zones
 }
 
-// zoneOf is the zone of a known instance.
+// zoneOf returns the zone of a known instance.
 func (r *replica) zoneOf(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.peers[id].Zone
+	return r.instances[id].Zone
 }
--- a/internal/deployment/replica_test.go
+++ b/internal/deployment/replica_test.go
@@ -20,14 +20,14 @@
 	return workload.Row{Key: recordPrefix + id, Value: record.Encode(), Version: version}
 }
 
-func TestAJobsStateFollowsItsRowsInWhateverOrderTheyCome(t *testing.T) {
+func TestJobStateDoesNotDependOnRowOrder(t *testing.T) {
 	cancel := workload.Row{Key: cancelPrefix + "a", Value: []byte("1"), Version: 6}
 	for name, c := range map[string]struct {
 		rows []workload.Row
 		want JobState
 	}{
 		"accepted":                          {[]workload.Row{jobRow("a", 1)}, StateQueued},
-		"its record came first":             {[]workload.Row{recordRow("a", dispatch.FinalCompleted, 5), jobRow("a", 1)}, StateCompleted},
+		"its record arrived first":          {[]workload.Row{recordRow("a", dispatch.FinalCompleted, 5), jobRow("a", 1)}, StateCompleted},
 		"an older record changes nothing":   {[]workload.Row{jobRow("a", 1), recordRow("a", dispatch.FinalFailed, 5), recordRow("a", "", 4)}, StateFailed},
 		"cancelled, no record yet":          {[]workload.Row{jobRow("a", 1), cancel}, StateCancelled},
 		"completed before it was cancelled": {[]workload.Row{jobRow("a", 1), cancel, recordRow("a", dispatch.FinalCompleted, 7)}, StateCompleted},
@@ -42,14 +42,14 @@
 	}
 }
 
-func TestPendingCountsWhatHasNotBegun(t *testing.T) {
+func TestPendingCountsJobsThatHaveNotStarted(t *testing.T) {
 	r := newReplica(zap.NewNop())
 	r.apply([]workload.Row{jobRow("a", 1), jobRow("b", 2), jobRow("c", 3), recordRow("c", dispatch.FinalCompleted, 4)})
 	assert.Equal(t, r.pending()["q"], int64(2))
-	r.setBegan(3, []string{"a"})
+	r.setStarted(3, []string{"a"})
 	assert.Equal(t, r.pending()["q"], int64(1))
-	r.setBegan(2, []string{"b"})
-	assert.Equal(t, r.pending()["q"], int64(1), "the word of an earlier leader is too late")
+	r.setStarted(2, []string{"b"})
+	assert.Equal(t, r.pending()["q"], int64(1), "the report of an earlier leader is ignored")
 }
 
 func TestAWholeReadDropsWhatWasRemovedButNothingNewer(t *testing.T) {
@@ -67,9 +67,9 @@
 	job := workload.Row{Key: jobPrefix + "a", Value: encode(workload.Job{ID: "a", Steps: []workload.Step{{Count: 1}}}), Version: 3}
 	r.pin()
 	r.reload([]workload.Row{job}, 3)
-	r.keepInstances()
-	assert.Equal(t, len(r.snapshot()), 1, "a job of an earlier epoch would count as new")
+	r.keepOnlyInstances()
+	assert.Equal(t, len(r.snapshot()), 1, "without its row, a job of an earlier epoch would count as new")
 	r.unpin()
-	r.keepInstances()
+	r.keepOnlyInstances()
 	assert.Equal(t, len(r.snapshot()), 0)
 }
--- a/internal/deployment/rotation.go
+++ b/internal/deployment/rotation.go
@@ -5,60 +5,62 @@
 	"time"
 )
 
-// This file answers callers of an availability zone that is cut off. They are told to
-// come back, and who is told a second although the balancer leads the next try
-// elsewhere at once loses that second: an urgent job can wait for little more. Who is
-// told to come back at once while the balancer still leads here spends all tries in
-// one second. So an instance follows the checks that it answered, and knows when the
-// balancer takes it out.
+// This file chooses the Retry-After for callers of an availability zone that is cut
+// off. A caller that is asked to wait a second although the balancer already routes its
+// next attempt elsewhere loses that second, and an urgent job can wait for little more.
+// A caller that is asked to retry at once while the balancer still routes here uses up
+// all its attempts in one second. An instance therefore tracks the readiness checks
+// that it answered, and derives from them when the balancer removes it.
 
 const (
-	// checkEvery is how often a balancer checks whether an instance is ready, and
-	// missesOut how many checks in a row must fail until it leads nobody there.
-	checkEvery = 1 * time.Second
-	missesOut  = 2
-	// ownPauses is how long the tries of a caller last that is told to come back at once:
-	// it pauses by itself between them, about a tenth of a second more each time.
-	ownPauses = 500 * time.Millisecond
+	// balancerCheckInterval is how often a balancer checks whether an instance is
+	// ready, and failedChecksUntilRemoval how many consecutive checks must fail until
+	// it routes no callers there.
+	balancerCheckInterval    = 1 * time.Second
+	failedChecksUntilRemoval = 2
+	// callerRetrySpan is how long the attempts of a caller last that is asked to retry
+	// at once: it pauses between them on its own, about a tenth of a second longer each
+	// time.
+	callerRetrySpan = 500 * time.Millisecond
 )
 
-// rotation is what the balancer knows of this instance.
+// rotation tracks whether the balancer still routes callers to this instance.
 type rotation struct {
 	mu sync.Mutex
-	// misses are the last checks in a row that were answered with not ready, the
-	// newest at checkedAt.
-	misses    int
-	checkedAt time.Time
+	// failedChecks counts the most recent consecutive checks that were answered with
+	// not ready; checkedAt is the time of the latest check.
+	failedChecks int
+	checkedAt    time.Time
 }
 
-// checked notes the answer to a check.
-func (r *rotation) checked(ready bool, now time.Time) {
+// recordCheck records the answer to a check.
+func (r *rotation) recordCheck(ready bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.checkedAt = now
-	r.misses++
+	r.failedChecks++
 	if ready {
-		r.misses = 0
+		r.failedChecks = 0
 	}
 }
 
-// outIn is how long the balancer will go on leading callers here, if no check finds
-// the instance ready.
-func (r *rotation) outIn(now time.Time) time.Duration {
+// timeUntilRemoval returns how long the balancer will continue to route callers here if
+// no check finds the instance ready.
+func (r *rotation) timeUntilRemoval(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	left := time.Duration(missesOut-r.misses) * checkEvery
-	if r.checkedAt.IsZero() || left <= 0 {
-		return max(left, 0)
+	remaining := time.Duration(failedChecksUntilRemoval-r.failedChecks) * balancerCheckInterval
+	if r.checkedAt.IsZero() || remaining <= 0 {
+		return max(remaining, 0)
 	}
-	return max(left-now.Sub(r.checkedAt), 0)
+	return max(remaining-now.Sub(r.checkedAt), 0)
 }
 
-// comeBackElsewhere is when a caller should come back that the balancer will lead to
-// other instances after a while: at once if its tries last until then.
-func comeBackElsewhere(outIn time.Duration) time.Duration {
-	if outIn <= ownPauses {
+// retryAfterElsewhere returns the Retry-After for a caller that the balancer will route
+// to other instances after untilRemoval: zero if the caller's attempts last until then.
+func retryAfterElsewhere(untilRemoval time.Duration) time.Duration {
+	if untilRemoval <= callerRetrySpan {
 		return 0
 	}
-	return comeBackSoonest
+	return minRetryAfter
 }
--- a/internal/deployment/rotation_test.go
+++ b/internal/deployment/rotation_test.go
@@ -10,50 +10,50 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-func TestACallerIsToldToComeBackAtOnceOnlyOnceTheBalancerLeadsElsewhere(t *testing.T) {
+func TestRetryAfterIsZeroOnlyOnceTheBalancerRoutesElsewhere(t *testing.T) {
 	start := time.Unix(100, 0)
 	type check struct {
 		at    time.Duration
 		ready bool
 	}
-	for sentence, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		checks []check
 		at     time.Duration
 		want   time.Duration
 	}{
-		"no check was seen yet":                           {nil, 0, comeBackSoonest},
-		"the last check found it ready":                   {[]check{{0, true}}, 300 * time.Millisecond, comeBackSoonest},
-		"the first miss was just now":                     {[]check{{0, true}, {time.Second, false}}, time.Second, comeBackSoonest},
-		"the second miss comes before its tries are over": {[]check{{0, true}, {time.Second, false}}, 1600 * time.Millisecond, 0},
-		"two misses":  {[]check{{0, false}, {time.Second, false}}, 1100 * time.Millisecond, 0},
-		"many misses": {[]check{{0, false}, {time.Second, false}, {2 * time.Second, false}}, 2 * time.Second, 0},
-		"ready again after two misses, the balancer is back": {[]check{{0, false}, {time.Second, false}, {2 * time.Second, true}}, 2 * time.Second, comeBackSoonest},
+		"no check yet":                    {nil, 0, minRetryAfter},
+		"the last check found it ready":   {[]check{{0, true}}, 300 * time.Millisecond, minRetryAfter},
+		"the first check failed just now": {[]check{{0, true}, {time.Second, false}}, time.Second, minRetryAfter},
+		"the second failed check comes before the caller's attempts are over": {[]check{{0, true}, {time.Second, false}}, 1600 * time.Millisecond, 0},
+		"two failed checks":                   {[]check{{0, false}, {time.Second, false}}, 1100 * time.Millisecond, 0},
+		"many failed checks":                  {[]check{{0, false}, {time.Second, false}, {2 * time.Second, false}}, 2 * time.Second, 0},
+		"ready again after two failed checks": {[]check{{0, false}, {time.Second, false}, {2 * time.Second, true}}, 2 * time.Second, minRetryAfter},
 	} {
-		t.Run(sentence, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			var r rotation
 			for _, check := range c.checks {
-				r.checked(check.ready, start.Add(check.at))
+				r.recordCheck(check.ready, start.Add(check.at))
 			}
-			assert.Equal(t, comeBackElsewhere(r.outIn(start.Add(c.at))), c.want)
+			assert.Equal(t, retryAfterElsewhere(r.timeUntilRemoval(start.Add(c.at))), c.want)
 		})
 	}
 }
 
-func TestACallerOfACutOffZoneIsLedElsewhereAtOnceOnceTheBalancerKnows(t *testing.T) {
-	i, _ := cutOffInstance(t)
+func TestACutOffInstanceSendsRetryAfterZeroOnceTheBalancerRemovedIt(t *testing.T) {
+	i, _ := newCutOffInstance(t)
 	caller := Caller{Queue: &workload.Queue{Name: "q"}}
-	i.cut.notice(bootTime())
+	i.partition.markCutOff(bootTime())
 	retryAfter := func() (time.Duration, bool) {
 		return api.RetryAfterOf(i.Submit(t.Context(), caller, &workload.Job{ID: "job"}))
 	}
 
-	after, told := retryAfter()
-	assert.Assert(t, told)
-	assert.Equal(t, after, comeBackSoonest)
-	for range missesOut {
+	after, set := retryAfter()
+	assert.Assert(t, set)
+	assert.Equal(t, after, minRetryAfter)
+	for range failedChecksUntilRemoval {
 		assert.Assert(t, !i.CheckReady())
 	}
-	after, told = retryAfter()
-	assert.Assert(t, told, "at once is said, not left out")
+	after, set = retryAfter()
+	assert.Assert(t, set, "zero is sent explicitly")
 	assert.Equal(t, after, time.Duration(0))
 }
--- a/internal/deployment/rows.go
+++ b/internal/deployment/rows.go
@@ -8,13 +8,14 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file puts rows of the store into messages between instances. A configuration of
-// thousands of queues is hundreds of kilobytes; a hub with a small link that passes it on
-// to its leaves has no room left for its own feed. So large values of notes are compressed.
-// Calls to the store through a peer are not: what they carry is written as it is.
+// This file converts store rows for messages between instances. A configuration of
+// thousands of queues is hundreds of kilobytes; a hub with a slow link that sends it to
+// its leaves has no bandwidth left for its own feed. Large values in rows messages are
+// therefore compressed. Store calls through a peer are not, since their values are
+// written as they are.
 
-// compressFrom is the size in bytes from which a value is compressed.
-const compressFrom = 4 << 10
+// minCompressSize is the size in bytes from which a value is compressed.
+const minCompressSize = 4 << 10
 
 func packRows(rows []workload.Row) []*peerpb.StoreRow {
 	list := make([]*peerpb.StoreRow, len(rows))
@@ -32,10 +33,10 @@
 	return list
 }
 
-// compressRows compresses the large values of a note.
+// compressRows compresses large values in place.
 func compressRows(rows []*peerpb.StoreRow) {
 	for _, row := range rows {
-		if len(row.GetValue()) < compressFrom {
+		if len(row.GetValue()) < minCompressSize {
 			continue
 		}
 		if packed := config.Pack(row.GetValue()); len(packed) < len(row.GetValue()) {
@@ -44,7 +45,7 @@
 	}
 }
 
-// expandRows is the reverse.
+// expandRows reverses compressRows.
 func expandRows(rows []*peerpb.StoreRow) error {
 	for _, row := range rows {
 		if !row.GetPacked() {
--- a/internal/deployment/rows_test.go
+++ b/internal/deployment/rows_test.go
@@ -14,7 +14,7 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// largeConfiguration is a document of so many queues.
+// largeConfiguration returns a document with the given number of queues.
 func largeConfiguration(queues int) []byte {
 	var text strings.Builder
 	for n := range queues {
@@ -29,24 +29,24 @@
 		{Key: "small", Value: []byte("as it is"), Version: 8},
 		{Key: "empty", Version: 9, Deleted: true},
 	}
-	note := packRows(rows)
-	compressRows(note)
-	assert.Assert(t, proto.Size(&peerpb.RowsNote{Rows: note}) < len(rows[0].Value)/4)
-	assert.Assert(t, len(rows[0].Value) > 100_000, "the row itself stays as it is")
-	assert.NilError(t, expandRows(note))
-	assert.DeepEqual(t, unpackRows(note), rows)
+	packed := packRows(rows)
+	compressRows(packed)
+	assert.Assert(t, proto.Size(&peerpb.RowsNote{Rows: packed}) < len(rows[0].Value)/4)
+	assert.Assert(t, len(rows[0].Value) > 100_000, "the row itself is unchanged")
+	assert.NilError(t, expandRows(packed))
+	assert.DeepEqual(t, unpackRows(packed), rows)
 }
 
-func TestANoteThatCannotBeExpandedChangesNothing(t *testing.T) {
+func TestAMessageThatCannotBeExpandedChangesNothing(t *testing.T) {
 	settings := defaultSettings()
 	i := New(Options{Settings: &settings, Store: newMemoryStore(), Decoder: plainDecoder{}, Logger: zap.NewNop()})
-	i.takeRows(&peerpb.RowsNote{Source: string(workload.SourceConfiguration), Rows: []*peerpb.StoreRow{
+	i.receiveRows(&peerpb.RowsNote{Source: string(workload.SourceConfiguration), Rows: []*peerpb.StoreRow{
 		{Key: "config", Value: []byte("no gzip"), Packed: true, Version: 3},
 	}})
 	assert.Equal(t, i.configVersion(), int64(0))
 }
 
-func TestWhatIsWrittenThroughAPeerIsWrittenAsItIs(t *testing.T) {
+func TestValuesWrittenThroughAPeerAreNotCompressed(t *testing.T) {
 	value := largeConfiguration(100)
 	rows := unpackRows(packRows([]workload.Row{{Key: "j/1", Value: value}}))
 	assert.DeepEqual(t, rows[0].Value, value)
@@ -58,9 +58,9 @@
 	assert.Assert(t, p.mayPush("leaf", 7, now))
 	for range 5 {
 		now = now.Add(300 * time.Millisecond)
-		assert.Assert(t, !p.mayPush("leaf", 7, now), "the same one once more")
+		assert.Assert(t, !p.mayPush("leaf", 7, now), "the same version again")
 	}
 	assert.Assert(t, p.mayPush("another", 7, now))
-	assert.Assert(t, p.mayPush("leaf", 8, now), "a newer one")
-	assert.Assert(t, p.mayPush("leaf", 8, now.Add(pushAgain)), "it may have been lost")
+	assert.Assert(t, p.mayPush("leaf", 8, now), "a newer version")
+	assert.Assert(t, p.mayPush("leaf", 8, now.Add(pushRepeatInterval)), "it may have been lost")
 }
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -25,23 +25,24 @@
 	Advisor string `json:"advisor"`
 	// LogLevel is the lowest level that is logged: debug, info, warn or error.
 	LogLevel string `json:"log_level"`
-	// Processor is what the process may use of the processor. Larger instances
+	// Processor is the processor time that the process may use. Larger instances
 	// schedule first.
 	Processor Processor `json:"processor"`
-	// MemoryMB is what the process may use, in megabytes.
+	// MemoryMB is the memory that the process may use, in megabytes.
 	MemoryMB int64 `json:"memory_mb"`
-	// Descriptors is how many descriptors the process may have open; zero is no bound.
+	// Descriptors is how many file descriptors the process may have open; zero means no
+	// bound.
 	Descriptors int `json:"descriptors"`
 	// StopWithinMS is how long a planned stop may take, in milliseconds.
 	StopWithinMS int64 `json:"stop_within_ms"`
 	// Bounds are the deployment's fixed times and factors.
 	Bounds BoundSettings `json:"bounds"`
-	// Tuning switches mechanisms off for a measurement.
+	// Tuning disables mechanisms for measurements.
 	Tuning Tuning `json:"tuning"`
 }
 
-// Processor is a share of some cores. Zero where it is not known: then all
-// instances count as equal.
+// Processor is a share of a number of cores. Both are zero if unknown; then all
+// instances count as equally large.
 type Processor struct {
 	Share float64 `json:"share"`
 	Cores float64 `json:"cores"`
@@ -49,11 +50,12 @@
 
 func (p Processor) cores() float64 { return p.Share * p.Cores }
 
-// reservedDescriptors are kept for callers, peers, the store, files and the runtime.
+// reservedDescriptors is the number of descriptors reserved for callers, peers, the
+// store, files and the runtime.
 const reservedDescriptors = 900
 
-// WorkerConnections is how many connections to workers the process may have open; zero is
-// no bound.
+// WorkerConnections returns how many connections to workers the process may have open;
+// zero means no bound.
 func (s *Settings) WorkerConnections() int {
 	if s.Descriptors == 0 {
 		return 0
@@ -73,21 +75,21 @@
 	Metrics string `json:"metrics"`
 }
 
-// BoundSettings are the deployment's fixed times and factors, times in
-// milliseconds. A bound that is missing takes a cautious default.
+// BoundSettings are the deployment's fixed times and factors, times in milliseconds. A
+// missing bound takes a cautious default.
 type BoundSettings struct {
 	// LongestLeaseMS is the longest lease that a worker grants.
 	LongestLeaseMS int64 `json:"longest_lease_ms"`
-	// StopMS is how long a worker takes to stop a task at most.
+	// StopMS is the longest time that a worker takes to stop a task.
 	StopMS int64 `json:"stop_ms"`
-	// ReclaimMS is the bound within which guaranteed capacity is there.
+	// ReclaimMS is the time within which guaranteed capacity must be available.
 	ReclaimMS int64 `json:"reclaim_ms"`
 	// StatusKeptS is how long the state of an ended job is kept, in seconds.
 	StatusKeptS float64 `json:"status_kept_s"`
-	// RemoteFactor is how much longer tasks take away from their rack.
+	// RemoteFactor is the factor by which tasks take longer away from their rack.
 	RemoteFactor float64 `json:"remote_factor"`
-	// DrainZoneMS is the time from an operator's order to drain an availability zone
-	// within which work ceases to start there.
+	// DrainZoneMS is the time after an operator's order to drain an availability zone
+	// within which starts there must cease.
 	DrainZoneMS int64 `json:"drain_zone_ms"`
 }
 
@@ -96,8 +98,8 @@
 
 var compiledSettings = strictjson.MustCompile("deployment-settings.schema.json", settingsSchema)
 
-// defaultSettings are used for what a file does not say. The bounds err to the
-// side that keeps promises: long leases, quick reclaim.
+// defaultSettings returns the values for settings that a file omits. The default bounds
+// are on the side that keeps promises: long leases, quick reclaim.
 func defaultSettings() Settings {
 	return Settings{
 		LogLevel: "info", MemoryMB: 256, StopWithinMS: 4500,
@@ -107,8 +109,8 @@
 	}
 }
 
-// LoadSettings reads and checks a settings file. The error names every problem
-// with its line and path.
+// LoadSettings reads and checks a settings file. The error names every problem with its
+// line and path.
 func LoadSettings(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -126,8 +128,8 @@
 	return &s, s.Tuning.check()
 }
 
-// drainWithin is the time within which work ceases to start in a drained zone.
-func (s *Settings) drainWithin() time.Duration {
+// drainLimit returns the time within which starts in a drained zone must cease.
+func (s *Settings) drainLimit() time.Duration {
 	return time.Duration(s.Bounds.DrainZoneMS) * time.Millisecond
 }
 
--- a/internal/deployment/succession.go
+++ b/internal/deployment/succession.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// This file decides which instance schedules. It answers deployments whose instances
-// differ in size, and bursts that a small one cannot carry: it renews late, is replaced
-// by another small one, and so on. So the larger instances take the lease first, and a
-// small leader hands it on, once every worker has answered, to a larger one that is there.
+// This file decides which instance leads. Where instances differ in size, a small one
+// cannot carry bursts: it renews late, is replaced by another small one, and so on. The
+// larger instances therefore take the lease first, and a small leader hands it over to
+// a larger instance that is available, once every worker has answered.
 
 const (
-	// firstWait is how long an instance waits before it takes a lease that nobody
-	// ever had: two hellos to each peer, after which it knows the larger ones.
-	firstWait = 2 * helloEvery
-	// yieldFactor is by how much larger another instance must be for a handover,
-	// which costs a poll at every worker.
+	// initialLeaseWait is how long an instance waits before it takes a lease that was
+	// never held: two hellos to each peer, after which it knows the larger ones.
+	initialLeaseWait = 2 * helloInterval
+	// yieldFactor is how many times larger another instance must be for a handover,
+	// which costs a poll of every worker.
 	yieldFactor = 1.5
-	// yieldAfter is the least time between taking the lease and handing it on: some
-	// hellos, so that a peer that comes and goes does not take the lease with it.
+	// yieldAfter is the minimum time between taking the lease and handing it over:
+	// several hellos, so that the lease does not move to a peer that keeps appearing
+	// and disappearing.
 	yieldAfter = 3 * time.Second
 )
 
@@ -28,24 +29,24 @@
 	cores float64
 }
 
-// compareSize puts the instance first that should schedule: the larger one, then
-// the one whose address comes first, so that all instances agree.
+// compareSize orders instances by their preference for leading: the larger one first,
+// then the one with the smaller address, so that all instances agree.
 func compareSize(a, b peerSize) int {
 	return cmp.Or(cmp.Compare(b.cores, a.cores), cmp.Compare(a.addr, b.addr))
 }
 
-// placeAmong is how many of the others come before an instance.
-func placeAmong(self peerSize, others []peerSize) int {
-	place := 0
+// rankAmong returns how many of the others rank before an instance.
+func rankAmong(self peerSize, others []peerSize) int {
+	rank := 0
 	for _, other := range others {
 		if compareSize(other, self) < 0 {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
-// anyLarger reports whether one of the others is larger by a factor.
+// anyLarger reports whether one of the others is more than factor times as large.
 func anyLarger(self peerSize, others []peerSize, factor float64) bool {
 	for _, other := range others {
 		if other.cores > factor*self.cores {
--- a/internal/deployment/tuning.go
+++ b/internal/deployment/tuning.go
@@ -7,17 +7,17 @@
 	"github.com/corianderbank/corianderbank/internal/dispatch"
 )
 
-// Tuning switches mechanisms off, to measure what they are worth. Its zero value
-// changes nothing.
+// Tuning disables mechanisms to measure their value. The zero value changes nothing.
 type Tuning struct {
-	// Without lists mechanisms of this package or of dispatch.
+	// Without lists the disabled mechanisms, of this package or of dispatch.
 	Without []dispatch.Mechanism `json:"without"`
 	// Numbers and Choices are those of dispatch.
 	Numbers map[dispatch.Number]float64 `json:"numbers"`
 	Choices map[dispatch.Choice]string  `json:"choices"`
 }
 
-// The mechanisms of an instance that serve callers better and that no promise needs.
+// The mechanisms of an instance. They improve the service, and no guarantee depends on
+// them.
 const (
 	mechEarlyReplacement dispatch.Mechanism = "early_replacement"
 	mechOutages          dispatch.Mechanism = "outages"
@@ -33,7 +33,7 @@
 	mechWorkerRelays     dispatch.Mechanism = "worker_relays"
 )
 
-// Mechanisms lists those of an instance.
+// Mechanisms returns the mechanisms of an instance.
 func Mechanisms() []dispatch.Mechanism {
 	return []dispatch.Mechanism{
 		mechEarlyReplacement, mechOutages, mechPeerPaths, mechOvertaking, mechRetryAfter, mechRoundGap, mechCutWatch,
@@ -47,16 +47,16 @@
 			return fmt.Errorf("tuning.without: no mechanism %q", m)
 		}
 	}
-	if err := t.ofCore().Check(); err != nil {
+	if err := t.coreTuning().Check(); err != nil {
 		return fmt.Errorf("tuning: %w", err)
 	}
 	return nil
 }
 
-func (t Tuning) has(m dispatch.Mechanism) bool { return !slices.Contains(t.Without, m) }
+func (t Tuning) enabled(m dispatch.Mechanism) bool { return !slices.Contains(t.Without, m) }
 
-// ofCore is the part of a tuning that concerns the core.
-func (t Tuning) ofCore() dispatch.Tuning {
+// coreTuning returns the part of the tuning that concerns the core.
+func (t Tuning) coreTuning() dispatch.Tuning {
 	without := slices.DeleteFunc(slices.Clone(t.Without), func(m dispatch.Mechanism) bool {
 		return !slices.Contains(dispatch.Mechanisms(), m)
 	})
--- a/internal/deployment/tuning_test.go
+++ b/internal/deployment/tuning_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestATuningNamesMechanismsNumbersAndWaysThatThereAre(t *testing.T) {
+func TestTuningRejectsUnknownMechanismsNumbersAndChoices(t *testing.T) {
 	for tuning, problem := range map[string]string{
 		`{}`:                                   "",
 		`{"without":["headroom","cut_watch"]}`: "",
--- a/internal/deployment/unread.go
+++ b/internal/deployment/unread.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// unreadRows remembers of which rows a line said that they cannot be read, so that a
-// writer that repeats itself costs one line and not one for each repetition. It is
-// safe for concurrent use; its zero value is empty.
-type unreadRows struct {
+// unreadableRows records which rows were logged as undecodable, so that a writer that
+// repeats itself causes one log line and not one per repetition. It is safe for
+// concurrent use; its zero value is empty.
+type unreadableRows struct {
 	mu   sync.Mutex
 	rows map[string]int64
 }
 
-// first reports whether this version of a row is met for the first time.
-func (u *unreadRows) first(key string, version int64) bool {
+// firstSeen reports whether this version of a row is seen for the first time.
+func (u *unreadableRows) firstSeen(key string, version int64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if seen, known := u.rows[key]; known && seen >= version {
@@ -24,8 +24,8 @@
 	return true
 }
 
-// forget takes that a row can be read again.
-func (u *unreadRows) forget(key string) {
+// forget records that a row can be decoded again.
+func (u *unreadableRows) forget(key string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.rows, key)
--- a/internal/deployment/worker_reach.go
+++ b/internal/deployment/worker_reach.go
@@ -21,112 +21,117 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file answers deployments of more workers than one instance can speak to. Each
-// worker that runs something has a poll waiting at it, and starts and stops beside it:
-// with thousands of workers the leader alone runs out of descriptors and of processor
-// time. So it speaks to a share of them itself, by its own limits, and has the hubs of
-// their zones make the calls to the others, many in one message. A hub decides nothing
-// and keeps nothing: to the core it is a longer way to the worker, on which a call may be
-// lost, or be carried out late. Workers refuse it by its epoch like any other.
+// This file lets a deployment have more workers than one instance can connect to. Each
+// worker that runs something has a waiting poll, and starts and stops in addition: with
+// thousands of workers the leader alone runs out of descriptors and processor time. It
+// therefore calls a share of the workers itself, according to its own limits, and has
+// the hubs of their zones call the others, with many calls in one message. A hub
+// decides nothing and stores nothing: for the core it is a longer route to the worker,
+// on which a call may be lost or carried out late. Workers refuse an outdated epoch on
+// this route like on any other.
 
 const (
-	// callsLinger is how long calls wait for others to the same hub.
-	callsLinger = 10 * time.Millisecond
-	// callsAtOnceMost bounds the calls of one message.
-	callsAtOnceMost = 256
-	// relayTimeout bounds handing a message to a hub, and is what the way through it may
-	// add to a call.
+	// callBatchLinger is how long calls wait for others to the same hub.
+	callBatchLinger = 10 * time.Millisecond
+	// maxCallsPerMessage bounds the calls of one message.
+	maxCallsPerMessage = 256
+	// relayTimeout bounds sending a message to a hub, and is how much the route through
+	// a hub may add to a call.
 	relayTimeout = 400 * time.Millisecond
-	// relayedOrderTimeout bounds a start or a stop at the worker and on both ways.
+	// relayedOrderTimeout bounds a start or a stop at the worker including the route
+	// there and back.
 	relayedOrderTimeout = 500*time.Millisecond + relayTimeout
 	// relayedPollTimeout is added to the time that a poll may wait.
 	relayedPollTimeout = 600*time.Millisecond + relayTimeout
-	// hubAgainAfter is how long a hub that took no message is not asked.
-	hubAgainAfter = 1500 * time.Millisecond
-	// hubsFresh is for how long a list of a zone's hubs is used.
-	hubsFresh = 200 * time.Millisecond
+	// hubRetryAfter is how long no calls are sent to a hub after it did not accept a
+	// message.
+	hubRetryAfter = 1500 * time.Millisecond
+	// hubListTTL is how long the cached list of a zone's hubs is used.
+	hubListTTL = 200 * time.Millisecond
 )
 
-// workerReach is the way to the workers: direct, or through a hub of their zone. It
+// routedWorkers reaches the workers directly or through a hub of their zone. It
 // implements workload.Workers.
-type workerReach struct {
+type routedWorkers struct {
 	direct workload.Workers
 	caller peer.Caller
 	logger *zap.Logger
-	// hubs lists the hubs of a zone that answer, without this instance.
+	// hubs returns the responsive hubs of a zone, without this instance.
 	hubs func(zone string) []string
-	// most is how many workers this instance speaks to itself.
-	most int
-	// share of the workers that it speaks to, as the bits of a float.
-	share   atomic.Uint64
-	calls   *batcher[*peerpb.WorkerCall]
-	lastID  atomic.Uint64
-	mu      sync.Mutex
-	pending map[uint64]pendingCall
-	zones   map[string]zoneHubs
-	// failedAt is when a hub last took no message.
+	// maxDirect is how many workers this instance calls directly; zero means no bound.
+	maxDirect int
+	// directShare is the share of the workers that this instance calls directly, as the
+	// bits of a float64.
+	directShare atomic.Uint64
+	calls       *batcher[*peerpb.WorkerCall]
+	lastID      atomic.Uint64
+	mu          sync.Mutex
+	pending     map[uint64]pendingCall
+	hubsByZone  map[string]hubList
+	// failedAt is when a hub last did not accept a message.
 	failedAt map[string]time.Time
 }
 
-// pendingCall is a call that a hub makes.
+// pendingCall is a call made by a hub that has not been answered.
 type pendingCall struct {
 	hub    string
 	answer chan relayAnswer
 }
 
-// relayAnswer is an answer from a hub, or why there will be none.
+// relayAnswer is the answer from a hub, or the error that replaces it.
 type relayAnswer struct {
 	answer *peerpb.WorkerAnswer
 	err    error
 }
 
-// zoneHubs are the hubs of a zone as of a moment.
-type zoneHubs struct {
-	hubs []string
-	at   time.Time
+// hubList is the cached list of the hubs of a zone.
+type hubList struct {
+	hubs      []string
+	fetchedAt time.Time
 }
 
-// errNotRelayed says that no hub took the call: it was not carried out.
-var errNotRelayed = errors.New("no hub took the call")
+// errNotRelayed means that no hub accepted the call and that it was not carried out.
+var errNotRelayed = errors.New("no hub accepted the call")
 
-func newWorkerReach(direct workload.Workers, caller peer.Caller, hubs func(zone string) []string, most int, logger *zap.Logger) *workerReach {
-	r := &workerReach{
-		direct:   direct,
-		caller:   caller,
-		hubs:     hubs,
-		most:     most,
-		logger:   logger,
-		pending:  make(map[uint64]pendingCall),
-		zones:    make(map[string]zoneHubs),
-		failedAt: make(map[string]time.Time),
+func newRoutedWorkers(direct workload.Workers, caller peer.Caller, hubs func(zone string) []string, maxDirect int, logger *zap.Logger) *routedWorkers {
+	r := &routedWorkers{
+		direct:     direct,
+		caller:     caller,
+		hubs:       hubs,
+		maxDirect:  maxDirect,
+		logger:     logger,
+		pending:    make(map[uint64]pendingCall),
+		hubsByZone: make(map[string]hubList),
+		failedAt:   make(map[string]time.Time),
 	}
-	r.calls = newBatcher(callsLinger, callsAtOnceMost, r.deliver)
-	r.setWorkers(0)
+	r.calls = newBatcher(callBatchLinger, maxCallsPerMessage, r.sendCalls)
+	r.setWorkerCount(0)
 	return r
 }
 
-// setWorkers tells how many workers there are.
-func (r *workerReach) setWorkers(count int) {
+// setWorkerCount sets the number of workers, from which the direct share is derived.
+func (r *routedWorkers) setWorkerCount(count int) {
 	share := 1.0
-	if r.most > 0 && count > r.most {
-		share = float64(r.most) / float64(count)
+	if r.maxDirect > 0 && count > r.maxDirect {
+		share = float64(r.maxDirect) / float64(count)
 	}
-	r.share.Store(math.Float64bits(share))
+	r.directShare.Store(math.Float64bits(share))
 }
 
-// isOwn reports whether this instance speaks to a worker itself.
-func (r *workerReach) isOwn(worker string) bool {
-	share := math.Float64frombits(r.share.Load())
+// isDirect reports whether this instance calls a worker directly.
+func (r *routedWorkers) isDirect(worker string) bool {
+	share := math.Float64frombits(r.directShare.Load())
 	return share >= 1 || float64(xxhash.Sum64String(worker)) < share*math.MaxUint64
 }
 
-// hubFor is the hub that makes the calls to a worker; empty for none.
-func (r *workerReach) hubFor(worker, zone string) string {
-	if r.isOwn(worker) {
+// hubFor returns the hub that makes the calls to a worker, or "" if this instance makes
+// them.
+func (r *routedWorkers) hubFor(worker, zone string) string {
+	if r.isDirect(worker) {
 		return ""
 	}
 	best, bestScore := "", uint64(0)
-	for _, hub := range r.answeringHubs(zone) {
+	for _, hub := range r.availableHubs(zone) {
 		if score := xxhash.Sum64String(worker + hub); best == "" || score > bestScore {
 			best, bestScore = hub, score
 		}
@@ -134,41 +139,42 @@
 	return best
 }
 
-// answeringHubs lists the hubs of a zone that took the last message.
-func (r *workerReach) answeringHubs(zone string) []string {
+// availableHubs returns the hubs of a zone without those that recently did not accept a
+// message.
+func (r *routedWorkers) availableHubs(zone string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := bootTime()
-	known := r.zones[zone]
-	if now.Sub(known.at) > hubsFresh {
-		known = zoneHubs{hubs: r.hubs(zone), at: now}
+	known := r.hubsByZone[zone]
+	if now.Sub(known.fetchedAt) > hubListTTL {
+		known = hubList{hubs: r.hubs(zone), fetchedAt: now}
 		slices.Sort(known.hubs)
-		r.zones[zone] = known
+		r.hubsByZone[zone] = known
 	}
 	return slices.DeleteFunc(slices.Clone(known.hubs), func(hub string) bool {
 		failedAt, failed := r.failedAt[hub]
-		return failed && now.Sub(failedAt) < hubAgainAfter
+		return failed && now.Sub(failedAt) < hubRetryAfter
 	})
 }
 
 // Start implements workload.Workers.
-func (r *workerReach) Start(ctx context.Context, o workload.Order) workload.Receipt {
+func (r *routedWorkers) Start(ctx context.Context, o workload.Order) workload.Receipt {
 	return r.order(ctx, opStart, o, r.direct.Start)
 }
 
 // Stop implements workload.Workers.
-func (r *workerReach) Stop(ctx context.Context, o workload.Order) workload.Receipt {
+func (r *routedWorkers) Stop(ctx context.Context, o workload.Order) workload.Receipt {
 	return r.order(ctx, opStop, o, r.direct.Stop)
 }
 
-func (r *workerReach) order(
+func (r *routedWorkers) order(
 	ctx context.Context, op string, o workload.Order, direct func(context.Context, workload.Order) workload.Receipt,
 ) workload.Receipt {
 	hub := r.hubFor(o.Worker, o.Zone)
 	if hub == "" {
 		return direct(ctx, o)
 	}
-	answer, err := r.ask(ctx, hub, packOrder(op, o), relayedOrderTimeout)
+	answer, err := r.callHub(ctx, hub, packOrder(op, o), relayedOrderTimeout)
 	switch {
 	case errors.Is(err, errNotRelayed):
 		return direct(ctx, o)
@@ -179,12 +185,12 @@
 }
 
 // Poll implements workload.Workers.
-func (r *workerReach) Poll(ctx context.Context, p workload.Poll) workload.Report {
+func (r *routedWorkers) Poll(ctx context.Context, p workload.Poll) workload.Report {
 	hub := r.hubFor(p.Worker, p.Zone)
 	if hub == "" {
 		return r.direct.Poll(ctx, p)
 	}
-	answer, err := r.ask(ctx, hub, packPoll(p), p.Wait+relayedPollTimeout)
+	answer, err := r.callHub(ctx, hub, packPoll(p), p.Wait+relayedPollTimeout)
 	switch {
 	case errors.Is(err, errNotRelayed):
 		return r.direct.Poll(ctx, p)
@@ -195,11 +201,11 @@
 }
 
 // Forget implements workload.Workers.
-func (r *workerReach) Forget(worker string) { r.direct.Forget(worker) }
+func (r *routedWorkers) Forget(worker string) { r.direct.Forget(worker) }
 
-// ask has a hub make a call and waits for the answer.
-func (r *workerReach) ask(ctx context.Context, hub string, call *peerpb.WorkerCall, within time.Duration) (*peerpb.WorkerAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// callHub has a hub make a call and waits for the answer.
+func (r *routedWorkers) callHub(ctx context.Context, hub string, call *peerpb.WorkerCall, timeout time.Duration) (*peerpb.WorkerAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	call.Id = r.lastID.Add(1)
 	answer := make(chan relayAnswer, 1)
@@ -212,13 +218,13 @@
 	case got := <-answer:
 		return got.answer, got.err
 	case <-ctx.Done():
-		r.settle(call.Id)
+		r.removePending(call.Id)
 		return nil, fmt.Errorf("hub %s: %w", hub, context.Cause(ctx))
 	}
 }
 
-// settle takes a call out of those that are under way.
-func (r *workerReach) settle(id uint64) (pendingCall, bool) {
+// removePending removes and returns a pending call.
+func (r *routedWorkers) removePending(id uint64) (pendingCall, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	call, known := r.pending[id]
@@ -226,9 +232,9 @@
 	return call, known
 }
 
-// deliver hands calls to a hub. Calls that it surely did not take go another way at
-// once; of the others the answers, or their time-outs, decide.
-func (r *workerReach) deliver(hub string, batch []*peerpb.WorkerCall) {
+// sendCalls sends calls to a hub. Calls that the hub definitely did not accept fail at
+// once and take another route; the others are decided by their answers or timeouts.
+func (r *routedWorkers) sendCalls(hub string, batch []*peerpb.WorkerCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 	defer cancel()
 	_, err := r.caller.Call(ctx, hub, &peerpb.Request{Body: &peerpb.Request_WorkerCalls{WorkerCalls: &peerpb.WorkerCalls{Calls: batch}}})
@@ -243,14 +249,15 @@
 		return
 	}
 	for _, call := range batch {
-		if p, known := r.settle(call.GetId()); known {
+		if p, known := r.removePending(call.GetId()); known {
 			p.answer <- relayAnswer{err: fmt.Errorf("%w: %w", errNotRelayed, err)}
 		}
 	}
 }
 
-// takeAnswers takes what a hub says of calls that it made.
-func (r *workerReach) takeAnswers(from string, answers []*peerpb.WorkerAnswer) {
+// receiveAnswers delivers a hub's answers to the calls that wait for them. Answers from
+// an instance that was not asked are ignored.
+func (r *routedWorkers) receiveAnswers(from string, answers []*peerpb.WorkerAnswer) {
 	for _, answer := range answers {
 		r.mu.Lock()
 		p, known := r.pending[answer.GetId()]
@@ -266,27 +273,28 @@
 }
 
 const (
-	// workersPerCore is how many workers an instance speaks to itself for each core that
+	// workersPerCore is how many workers an instance calls directly for each core that
 	// it may use.
 	workersPerCore = 2000
-	// connectionsPerWorker are what a worker takes of an instance's connections: a poll
-	// that waits, orders beside it, and one that is being replaced.
+	// connectionsPerWorker is the number of connections that an instance needs for a
+	// worker: a waiting poll, concurrent orders, and one that is being replaced.
 	connectionsPerWorker = 3
 )
 
-// ownWorkers is how many workers an instance speaks to itself; zero is no bound.
-func ownWorkers(s *Settings) int {
-	most := math.MaxInt
+// maxDirectWorkers returns how many workers an instance calls directly; zero means no
+// bound.
+func maxDirectWorkers(s *Settings) int {
+	limit := math.MaxInt
 	if connections := s.WorkerConnections(); connections > 0 {
-		most = min(most, connections/connectionsPerWorker)
+		limit = min(limit, connections/connectionsPerWorker)
 	}
 	if cores := s.Processor.cores(); cores > 0 {
-		most = min(most, int(math.Ceil(cores*workersPerCore)))
+		limit = min(limit, int(math.Ceil(cores*workersPerCore)))
 	}
-	if most == math.MaxInt {
+	if limit == math.MaxInt {
 		return 0
 	}
-	return cmp.Or(most, 1)
+	return cmp.Or(limit, 1)
 }
 
 func metricRelayed(op string) *metrics.Counter {
--- a/internal/deployment/worker_reach_test.go
+++ b/internal/deployment/worker_reach_test.go
@@ -21,12 +21,12 @@
 	mu      sync.Mutex
 	calls   int
 	verdict workload.Verdict
-	// takes is how long an answer takes.
-	takes time.Duration
+	// latency is how long an answer takes.
+	latency time.Duration
 }
 
 func (w *countingWorkers) call() workload.Receipt {
-	time.Sleep(w.takes)
+	time.Sleep(w.latency)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls++
@@ -52,14 +52,16 @@
 // Forget implements workload.Workers.
 func (w *countingWorkers) Forget(string) {}
 
-// relayNet joins a leader to hubs. It can lose what hubs are told, or what they answer.
+// relayNet connects a leader to hubs. It can refuse messages to hubs and drop their
+// answers.
 type relayNet struct {
-	leader *workerReach
+	leader *routedWorkers
 	hubs   map[string]*Instance
-	// refuses, if set for a hub, is why it takes nothing; loses drops its answers.
-	refuses map[string]error
-	loses   map[string]bool
-	// messages counts what hubs were sent.
+	// refusals holds the error with which a hub refuses messages; dropsAnswers drops
+	// the answers of a hub.
+	refusals     map[string]error
+	dropsAnswers map[string]bool
+	// messages counts the messages sent to hubs.
 	messages int
 	mu       sync.Mutex
 }
@@ -68,7 +70,7 @@
 func (n *relayNet) Call(ctx context.Context, hub string, request *peerpb.Request) (*peerpb.Response, error) {
 	n.mu.Lock()
 	n.messages++
-	refusal := n.refuses[hub]
+	refusal := n.refusals[hub]
 	n.mu.Unlock()
 	if api.IsKind(refusal, api.KindResultUnknown) {
 		<-ctx.Done()
@@ -79,17 +81,17 @@
 	return &peerpb.Response{}, n.hubs[hub].relayCalls("leader", request.GetWorkerCalls().GetCalls())
 }
 
-// newRelayNet has a leader with a bound on the workers that it speaks to, and two hubs.
-func newRelayNet(own *countingWorkers, far *countingWorkers, most, workers int) *relayNet {
-	n := &relayNet{hubs: make(map[string]*Instance), refuses: make(map[string]error), loses: make(map[string]bool)}
-	n.leader = newWorkerReach(own, n, func(string) []string { return []string{"hub-1", "hub-2"} }, most, zap.NewNop())
-	n.leader.setWorkers(workers)
+// newRelayNet returns a leader with a bound on its direct workers, and two hubs.
+func newRelayNet(direct *countingWorkers, hubWorkers *countingWorkers, maxDirect, workers int) *relayNet {
+	n := &relayNet{hubs: make(map[string]*Instance), refusals: make(map[string]error), dropsAnswers: make(map[string]bool)}
+	n.leader = newRoutedWorkers(direct, n, func(string) []string { return []string{"hub-1", "hub-2"} }, maxDirect, zap.NewNop())
+	n.leader.setWorkerCount(workers)
 	for _, name := range []string{"hub-1", "hub-2"} {
 		settings := defaultSettings()
-		hub := New(Options{Settings: &settings, Store: newMemoryStore(), Workers: far, Decoder: plainDecoder{}, Logger: zap.NewNop()})
-		hub.answers = newBatcher(answersLinger, answersAtOnceMost, func(_ string, answers []*peerpb.WorkerAnswer) {
-			if !n.loses[name] {
-				n.leader.takeAnswers(name, answers)
+		hub := New(Options{Settings: &settings, Store: newMemoryStore(), Workers: hubWorkers, Decoder: plainDecoder{}, Logger: zap.NewNop()})
+		hub.workerAnswers = newBatcher(answerBatchLinger, maxAnswersPerMessage, func(_ string, answers []*peerpb.WorkerAnswer) {
+			if !n.dropsAnswers[name] {
+				n.leader.receiveAnswers(name, answers)
 			}
 		})
 		n.hubs[name] = hub
@@ -97,7 +99,7 @@
 	return n
 }
 
-// startAll orders a start at so many workers at once, and returns the verdicts.
+// startAll sends a start to each worker concurrently and counts the verdicts.
 func (n *relayNet) startAll(t *testing.T, workers int) map[workload.Verdict]int {
 	verdicts := make(chan workload.Verdict, workers)
 	for k := range workers {
@@ -112,32 +114,32 @@
 	return counts
 }
 
-func TestALeaderSpeaksToAsManyWorkersAsItCanAndHubsToTheOthers(t *testing.T) {
+func TestALeaderCallsItsShareOfWorkersAndHubsCallTheRest(t *testing.T) {
 	for name, c := range map[string]struct {
-		most, workers int
-		// own is the share of the workers that the leader calls itself.
-		own float64
+		maxDirect, workers int
+		// directShare is the share of the workers that the leader calls directly.
+		directShare float64
 	}{
-		"few workers":           {most: 400, workers: 300, own: 1},
-		"three times its bound": {most: 400, workers: 1200, own: 1. / 3},
-		"far too many":          {most: 40, workers: 4000, own: 0.01},
-		"no bound":              {most: 0, workers: 4000, own: 1},
+		"few workers":               {maxDirect: 400, workers: 300, directShare: 1},
+		"three times its bound":     {maxDirect: 400, workers: 1200, directShare: 1. / 3},
+		"a hundred times its bound": {maxDirect: 40, workers: 4000, directShare: 0.01},
+		"no bound":                  {maxDirect: 0, workers: 4000, directShare: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				own, far := &countingWorkers{}, &countingWorkers{}
-				n := newRelayNet(own, far, c.most, c.workers)
+				direct, hubWorkers := &countingWorkers{}, &countingWorkers{}
+				n := newRelayNet(direct, hubWorkers, c.maxDirect, c.workers)
 				assert.DeepEqual(t, n.startAll(t, c.workers), map[workload.Verdict]int{workload.VerdictDone: c.workers})
-				assert.Equal(t, own.calls+far.calls, c.workers, "each call is made once")
-				share := float64(own.calls) / float64(c.workers)
-				assert.Assert(t, share > c.own*0.8 && share < c.own*1.2+0.01, "%v of the calls are its own", share)
-				assert.Assert(t, n.messages <= c.workers/20+2, "%d messages for %d calls", n.messages, far.calls)
+				assert.Equal(t, direct.calls+hubWorkers.calls, c.workers, "each call is made once")
+				share := float64(direct.calls) / float64(c.workers)
+				assert.Assert(t, share > c.directShare*0.8 && share < c.directShare*1.2+0.01, "%v of the calls are direct", share)
+				assert.Assert(t, n.messages <= c.workers/20+2, "%d messages for %d calls", n.messages, hubWorkers.calls)
 			})
 		})
 	}
 }
 
-func TestAReportComesBackWholeThroughAHub(t *testing.T) {
+func TestAReportThroughAHubIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := &countingWorkers{}
 		n := newRelayNet(nil, workers, 1, 1_000_000)
@@ -147,40 +149,43 @@
 	})
 }
 
-// What a way through a hub may do to a call.
-func TestCallsThroughHubsThatFail(t *testing.T) {
-	gone := api.NewError(api.KindNotReady, "played")
+// The verdicts on calls through hubs that refuse, lose or delay messages.
+func TestCallsThroughFailingHubs(t *testing.T) {
+	unavailable := api.NewError(api.KindNotReady, "injected")
 	for name, c := range map[string]struct {
-		play func(n *relayNet, far *countingWorkers)
-		// first and second are the verdicts on a hundred starts, and on a hundred later ones.
+		inject func(n *relayNet, hubWorkers *countingWorkers)
+		// first and second are the verdicts on a hundred starts, and on a hundred later
+		// ones.
 		first, second map[workload.Verdict]int
 	}{
-		"a hub that is gone is passed over": {
-			func(n *relayNet, _ *countingWorkers) { n.refuses["hub-1"] = gone },
+		"an unavailable hub is skipped": {
+			func(n *relayNet, _ *countingWorkers) { n.refusals["hub-1"] = unavailable },
 			map[workload.Verdict]int{workload.VerdictDone: 100},
 			map[workload.Verdict]int{workload.VerdictDone: 100},
 		},
-		"all hubs gone": {
-			func(n *relayNet, _ *countingWorkers) { n.refuses["hub-1"], n.refuses["hub-2"] = gone, gone },
+		"all hubs unavailable": {
+			func(n *relayNet, _ *countingWorkers) {
+				n.refusals["hub-1"], n.refusals["hub-2"] = unavailable, unavailable
+			},
 			map[workload.Verdict]int{workload.VerdictDone: 100},
 			map[workload.Verdict]int{workload.VerdictDone: 100},
 		},
-		"answers that are lost leave it open": {
-			func(n *relayNet, _ *countingWorkers) { n.loses["hub-1"], n.loses["hub-2"] = true, true },
+		"lost answers leave the result unknown": {
+			func(n *relayNet, _ *countingWorkers) { n.dropsAnswers["hub-1"], n.dropsAnswers["hub-2"] = true, true },
 			map[workload.Verdict]int{workload.VerdictUnknown: 100},
 			map[workload.Verdict]int{workload.VerdictUnknown: 100},
 		},
-		"a slow way leaves it open, and the late answers say nothing": {
-			func(_ *relayNet, far *countingWorkers) { far.takes = 2 * time.Second },
+		"a slow route leaves the result unknown, and late answers are ignored": {
+			func(_ *relayNet, hubWorkers *countingWorkers) { hubWorkers.latency = 2 * time.Second },
 			map[workload.Verdict]int{workload.VerdictUnknown: 100},
 			map[workload.Verdict]int{workload.VerdictUnknown: 100},
 		},
-		"workers that refuse the epoch say so": {
-			func(_ *relayNet, far *countingWorkers) { far.verdict = workload.VerdictFenced },
+		"workers that refuse the epoch": {
+			func(_ *relayNet, hubWorkers *countingWorkers) { hubWorkers.verdict = workload.VerdictFenced },
 			map[workload.Verdict]int{workload.VerdictFenced: 100},
 			map[workload.Verdict]int{workload.VerdictFenced: 100},
 		},
-		"a hub that stops takes nothing": {
+		"a stopping hub accepts nothing": {
 			func(n *relayNet, _ *countingWorkers) { n.hubs["hub-2"].stopping.Store(true) },
 			map[workload.Verdict]int{workload.VerdictDone: 100},
 			map[workload.Verdict]int{workload.VerdictDone: 100},
@@ -188,22 +193,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				own, far := &countingWorkers{}, &countingWorkers{}
-				n := newRelayNet(own, far, 1, 1_000_000)
-				c.play(n, far)
+				direct, hubWorkers := &countingWorkers{}, &countingWorkers{}
+				n := newRelayNet(direct, hubWorkers, 1, 1_000_000)
+				c.inject(n, hubWorkers)
 				assert.DeepEqual(t, n.startAll(t, 100), c.first)
 				assert.DeepEqual(t, n.startAll(t, 100), c.second)
 				time.Sleep(5 * time.Second)
-				assert.Equal(t, len(n.leader.pending), 0, "nothing is kept of calls that are over")
+				assert.Equal(t, len(n.leader.pending), 0, "no state is kept of finished calls")
 			})
 		})
 	}
 }
 
-func TestAFrozenHubLeavesItOpenOnceWhetherCallsWereMade(t *testing.T) {
+func TestCallsToAFrozenHubAreUnknownOnlyOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newRelayNet(&countingWorkers{}, &countingWorkers{}, 1, 1_000_000)
-		n.refuses["hub-1"] = api.NewError(api.KindResultUnknown, "played")
+		n.refusals["hub-1"] = api.NewError(api.KindResultUnknown, "injected")
 		frozen := 0
 		for k := range 100 {
 			if n.leader.hubFor(fmt.Sprint("w", k), "zone") == "hub-1" {
@@ -217,47 +222,47 @@
 	})
 }
 
-func TestAnAnswerOfAnotherInstanceThanTheHubThatWasAskedIsNotTaken(t *testing.T) {
+func TestAnAnswerFromAnInstanceThatWasNotCalledIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newRelayNet(nil, &countingWorkers{}, 1, 1_000_000)
-		n.loses["hub-1"], n.loses["hub-2"] = true, true
+		n.dropsAnswers["hub-1"], n.dropsAnswers["hub-2"] = true, true
 		done := make(chan workload.Receipt, 1)
 		go func() { done <- n.leader.Start(t.Context(), workload.Order{Worker: "w1", Zone: "zone"}) }()
 		synctest.Wait()
-		n.leader.takeAnswers("elsewhere", []*peerpb.WorkerAnswer{{Id: 1, Verdict: workload.VerdictDone.String()}})
+		n.leader.receiveAnswers("elsewhere", []*peerpb.WorkerAnswer{{Id: 1, Verdict: workload.VerdictDone.String()}})
 		assert.Equal(t, (<-done).Verdict, workload.VerdictUnknown)
 	})
 }
 
-func TestAHubThatIsFullSaysThatItMadeNoCall(t *testing.T) {
+func TestAFullHubReportsCallsAsUnsent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		far := &countingWorkers{takes: 300 * time.Millisecond}
-		n := newRelayNet(&countingWorkers{}, far, 1, 1_000_000)
-		const calls = 5 * relayedAtOnce // two hubs, with as many in line as under way
+		hubWorkers := &countingWorkers{latency: 300 * time.Millisecond}
+		n := newRelayNet(&countingWorkers{}, hubWorkers, 1, 1_000_000)
+		const calls = 5 * maxRelayedCalls // two hubs, each with as many calls queued as in flight
 		verdicts := n.startAll(t, calls)
 		assert.Equal(t, verdicts[workload.VerdictDone]+verdicts[workload.VerdictUnsent], calls)
 		assert.Assert(t, verdicts[workload.VerdictUnsent] > 0)
-		assert.Equal(t, far.calls, verdicts[workload.VerdictDone], "a call that is said not to be made was not")
+		assert.Equal(t, hubWorkers.calls, verdicts[workload.VerdictDone], "a call that is reported as unsent was not made")
 	})
 }
 
-func TestAnInstanceSpeaksToAsManyWorkersAsItsLimitsAllow(t *testing.T) {
+func TestMaxDirectWorkersFollowsTheLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		descriptors int
 		processor   Processor
 		want        int
 	}{
-		"nothing known":              {0, Processor{}, 0},
+		"no limits known":            {0, Processor{}, 0},
 		"few descriptors":            {1500, Processor{Share: 1, Cores: 2}, 250},
 		"a small processor":          {8192, Processor{Share: 0.1, Cores: 1}, 200},
-		"hardly any descriptor":      {4, Processor{}, 1},
+		"hardly any descriptors":     {4, Processor{}, 1},
 		"hardly any processor":       {4100, Processor{Share: 0.0001, Cores: 1}, 1},
 		"many of both, for its size": {100_000, Processor{Share: 1, Cores: 4}, 8000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := defaultSettings()
 			settings.Descriptors, settings.Processor = c.descriptors, c.processor
-			assert.Equal(t, ownWorkers(&settings), c.want)
+			assert.Equal(t, maxDirectWorkers(&settings), c.want)
 		})
 	}
 }
--- a/internal/deployment/worker_relay.go
+++ b/internal/deployment/worker_relay.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	// relayedAtOnce bounds the calls that a hub has under way for others.
-	relayedAtOnce = 4096
-	// answersLinger is how long answers wait for others to the same leader.
-	answersLinger = 15 * time.Millisecond
-	// answersAtOnceMost bounds the answers of one message.
-	answersAtOnceMost = 256
+	// maxRelayedCalls bounds the calls that a hub has in flight for others.
+	maxRelayedCalls = 4096
+	// answerBatchLinger is how long answers wait for others to the same leader.
+	answerBatchLinger = 15 * time.Millisecond
+	// maxAnswersPerMessage bounds the answers of one message.
+	maxAnswersPerMessage = 256
 )
 
 var errRelayFull = errors.New("too many calls for others under way")
 
-// relayCalls makes calls to workers for the leader. It returns at once; what became of
-// them is told in messages of its own.
+// relayCalls makes calls to workers for the leader. It returns at once; the answers are
+// sent in separate messages.
 func (i *Instance) relayCalls(leader string, calls []*peerpb.WorkerCall) error {
 	if i.stopping.Load() {
 		return api.NewError(api.KindNotReady, "stopping")
 	}
 	for _, call := range calls {
-		if i.relayed.Go(func() { i.answers.add(leader, i.relayCall(call)) }) != nil {
-			i.answers.add(leader, packAnswer(call.GetId(), workload.VerdictUnsent, 0, errRelayFull))
+		if i.relayPool.Go(func() { i.workerAnswers.add(leader, i.relayCall(call)) }) != nil {
+			i.workerAnswers.add(leader, packAnswer(call.GetId(), workload.VerdictUnsent, 0, errRelayFull))
 		}
 	}
 	return nil
 }
 
 func (i *Instance) relayCall(call *peerpb.WorkerCall) *peerpb.WorkerAnswer {
-	ctx := context.Background() // each call to a worker has its own time-out
+	ctx := context.Background() // each call to a worker has its own timeout
 	direct := i.options.Workers
 	switch call.GetOp() {
 	case opStart:
@@ -58,13 +58,13 @@
 	return packAnswer(call.GetId(), workload.VerdictUnsent, 0, errors.New("no such call"))
 }
 
-// sendAnswers tells the leader what became of its calls. If it cannot be told, its own
-// time-outs decide.
+// sendAnswers sends the answers of workers to the leader. If that fails, the timeouts
+// of the leader decide.
 func (i *Instance) sendAnswers(leader string, answers []*peerpb.WorkerAnswer) {
 	ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 	defer cancel()
-	note := &peerpb.WorkerAnswers{Answers: answers}
-	if _, err := i.node.Call(ctx, leader, &peerpb.Request{Body: &peerpb.Request_WorkerAnswers{WorkerAnswers: note}}); err != nil {
+	message := &peerpb.WorkerAnswers{Answers: answers}
+	if _, err := i.node.Call(ctx, leader, &peerpb.Request{Body: &peerpb.Request_WorkerAnswers{WorkerAnswers: message}}); err != nil {
 		i.logger.Debug("answers of workers not passed on", zap.String("peer", leader), zap.Int("answers", len(answers)), zap.Error(err))
 	}
 }
--- a/internal/deployment/workers.go
+++ b/internal/deployment/workers.go
@@ -9,66 +9,66 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// roster is the platform's list of workers as this instance knows it. Workers that
-// the list lost and that may run on are in the product's own table.
+// roster is this instance's copy of the platform's list of workers. Workers that are no
+// longer listed but may still run tasks are in the product's own table.
 type roster struct {
-	decode  Decoder
-	logger  *zap.Logger
-	changed func()
-	// kept is how long a worker that is no longer listed is remembered, so that a row
-	// that comes late does not list it again.
-	kept time.Duration
+	decoder  Decoder
+	logger   *zap.Logger
+	onChange func()
+	// retention is how long a worker that is no longer listed is remembered, so that a
+	// late row does not list it again.
+	retention time.Duration
 
 	mu      sync.Mutex
 	entries map[string]*rosterEntry
-	// unread are the entries of which a line said that they cannot be read.
-	unread unreadRows
+	// unreadable holds the entries that were logged as undecodable.
+	unreadable unreadableRows
 }
 
 type rosterEntry struct {
-	worker  workload.Worker
-	version int64
-	goneAt  time.Time
+	worker     workload.Worker
+	version    int64
+	delistedAt time.Time
 }
 
-func newRoster(decode Decoder, kept time.Duration, logger *zap.Logger) *roster {
-	return &roster{decode: decode, kept: kept, logger: logger, entries: make(map[string]*rosterEntry), changed: func() {}}
+func newRoster(decoder Decoder, retention time.Duration, logger *zap.Logger) *roster {
+	return &roster{decoder: decoder, retention: retention, logger: logger, entries: make(map[string]*rosterEntry), onChange: func() {}}
 }
 
-// apply takes changes of the list.
+// apply applies changes of the list.
 func (r *roster) apply(rows []workload.Row) {
 	if len(rows) == 0 {
 		return
 	}
 	r.mu.Lock()
 	for _, row := range rows {
-		r.take(row)
+		r.applyRow(row)
 	}
-	changed := r.changed
+	onChange := r.onChange
 	r.mu.Unlock()
-	changed()
+	onChange()
 }
 
-func (r *roster) take(row workload.Row) {
+func (r *roster) applyRow(row workload.Row) {
 	known := r.entries[row.Key]
 	if known != nil && row.Version < known.version {
 		return
 	}
 	if row.Deleted {
-		if known != nil && known.goneAt.IsZero() {
-			known.goneAt, known.version = bootTime(), row.Version
+		if known != nil && known.delistedAt.IsZero() {
+			known.delistedAt, known.version = bootTime(), row.Version
 			r.logger.Info("worker no longer listed", zap.String("worker", row.Key), zap.Bool("leaving", known.worker.Leaving))
 		}
 		return
 	}
-	worker, err := r.decode.Worker(row.Key, row.Value)
+	worker, err := r.decoder.Worker(row.Key, row.Value)
 	if err != nil {
-		r.takeUnread(row, known, err)
+		r.delistUnreadable(row, known, err)
 		return
 	}
-	r.unread.forget(row.Key)
+	r.unreadable.forget(row.Key)
 	switch {
-	case known == nil || !known.goneAt.IsZero():
+	case known == nil || !known.delistedAt.IsZero():
 		r.logger.Info("worker listed", zap.String("worker", worker.ID), zap.String("rack", worker.Rack), zap.String("pool", worker.Pool))
 	case worker.Leaving && !known.worker.Leaving:
 		r.logger.Info("worker leaving", zap.String("worker", worker.ID), zap.Int64("leaves_in_ms", worker.LeavesInMS))
@@ -76,18 +76,19 @@
 	r.entries[row.Key] = &rosterEntry{worker: worker, version: row.Version}
 }
 
-// takeUnread takes an entry that names no worker that can be used: a worker that was
-// listed under it no longer is. One line says so, until the entry can be read again.
-func (r *roster) takeUnread(row workload.Row, known *rosterEntry, err error) {
-	if r.unread.first(row.Key, 0) {
+// delistUnreadable handles an entry that does not decode to a usable worker: a worker
+// that was listed under it no longer is. It is logged once until the entry can be
+// decoded again.
+func (r *roster) delistUnreadable(row workload.Row, known *rosterEntry, err error) {
+	if r.unreadable.firstSeen(row.Key, 0) {
 		r.logger.Error("worker's entry cannot be read", zap.String("worker", row.Key), zap.Error(err))
 	}
-	if known != nil && known.goneAt.IsZero() {
-		known.goneAt, known.version = bootTime(), row.Version
+	if known != nil && known.delistedAt.IsZero() {
+		known.delistedAt, known.version = bootTime(), row.Version
 	}
 }
 
-// reload brings the roster in line with a whole read of the list.
+// reload applies a whole read of the list.
 func (r *roster) reload(rows []workload.Row, _ int64) {
 	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
@@ -96,28 +97,28 @@
 	r.mu.Lock()
 	now := bootTime()
 	for _, row := range rows {
-		r.take(row)
+		r.applyRow(row)
 	}
 	for id, known := range r.entries {
-		if !present[id] && known.goneAt.IsZero() {
-			known.goneAt = now
+		if !present[id] && known.delistedAt.IsZero() {
+			known.delistedAt = now
 		}
-		if !known.goneAt.IsZero() && now.Sub(known.goneAt) > r.kept {
+		if !known.delistedAt.IsZero() && now.Sub(known.delistedAt) > r.retention {
 			delete(r.entries, id)
 		}
 	}
-	changed := r.changed
+	onChange := r.onChange
 	r.mu.Unlock()
-	changed()
+	onChange()
 }
 
-// list returns the workers that are listed.
+// list returns the listed workers.
 func (r *roster) list() []workload.Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := make([]workload.Worker, 0, len(r.entries))
 	for _, known := range r.entries {
-		if known.goneAt.IsZero() {
+		if known.delistedAt.IsZero() {
 			list = append(list, known.worker)
 		}
 	}
