--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -8,53 +8,54 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// advice is what the placement advisor said of one step. Which workers it allows
-// does not change; its tickets run out.
+// advice holds the placement advisor's answers for one step. The set of allowed workers does
+// not change; the tickets expire.
 type advice struct {
 	tickets map[string]ticket
-	// refused are workers that may not run the step.
-	refused map[string]bool
-	asking  bool
-	// again is when a question that failed may be asked again.
-	again time.Time
+	// refused holds the workers that may not run the step.
+	refused  map[string]bool
+	inFlight bool
+	// retryAt is the earliest time at which a failed question may be repeated.
+	retryAt time.Time
 }
 
 type ticket struct {
-	ticket string
-	until  time.Time
+	ticket     string
+	validUntil time.Time
 }
 
 const (
-	// askAtOnce bounds the questions under way: the advisor answers one at a time
-	// and turns away what waits behind 32.
-	askAtOnce = 4
-	// askSpare is how many times the workers that a step needs are asked about:
-	// some are refused, and some are full by the time of the answer.
-	askSpare = 3
-	// askMost bounds the workers of one question.
-	askMost = 100
-	// askFewest is asked about at least.
-	askFewest = 12
-	// ticketReserve is left of a ticket when a start is sent with it.
-	ticketReserve = 400 * time.Millisecond
-	// askWithin is added to what the advisor says that it takes, for questions
-	// that wait their turn.
-	askWithin = 2 * time.Second
-	// askAgain is the pause after a question without an answer.
-	askAgain = 500 * time.Millisecond
+	// maxConcurrentQuestions bounds the questions in flight: the advisor answers one at a time
+	// and rejects requests beyond a queue of 32.
+	maxConcurrentQuestions = 4
+	// candidateFactor is the number of workers asked about per worker that a step needs: some
+	// are refused, and some are full by the time the answer arrives.
+	candidateFactor = 3
+	// maxQuestionWorkers is the maximum number of workers in one question.
+	maxQuestionWorkers = 100
+	// minQuestionWorkers is the minimum number of workers in one question.
+	minQuestionWorkers = 12
+	// minTicketValidity is the remaining validity that a ticket needs for a start to be sent
+	// with it.
+	minTicketValidity = 400 * time.Millisecond
+	// questionTimeout is added to the advisor's declared decision time, for questions that wait
+	// in its queue.
+	questionTimeout = 2 * time.Second
+	// questionRetryPause is the pause after an unanswered question.
+	questionRetryPause = 500 * time.Millisecond
 )
 
-// allowed filters the workers that the step holds a ticket for, and asks for
-// more tickets if those are too few. Queues without an advisor allow all.
-func (c *Core) allowed(u *pendingStep, rooms []*room) []*room {
+// workersWithTicket returns the workers that the step holds a valid ticket for, and requests
+// more tickets if they are too few. Queues without an advisor allow every worker.
+func (c *Core) workersWithTicket(u *pendingStep, workers []*workerCapacity) []*workerCapacity {
 	if u.queue.Advice == nil {
-		return rooms
+		return workers
 	}
 	a := &u.step.advice
-	var held, unknown []*room
+	var held, unknown []*workerCapacity
 	slots := int64(0)
-	for _, r := range rooms {
-		if t, ok := a.tickets[r.ID]; ok && t.until.After(c.now.Add(ticketReserve)) {
+	for _, r := range workers {
+		if t, ok := a.tickets[r.ID]; ok && t.validUntil.After(c.now.Add(minTicketValidity)) {
 			held = append(held, r)
 			slots += c.slots(u, r, r.free)
 		} else if !a.refused[r.ID] {
@@ -62,44 +63,44 @@
 		}
 	}
 	if slots < int64(len(u.tasks)) {
-		c.ask(u, unknown)
+		c.askAdvisor(u, unknown)
 	}
 	return held
 }
 
-// ask asks about the workers with the most free room.
-func (c *Core) ask(u *pendingStep, rooms []*room) {
+// askAdvisor requests tickets for the workers with the most free capacity.
+func (c *Core) askAdvisor(u *pendingStep, workers []*workerCapacity) {
 	a := &u.step.advice
-	if a.asking || c.asking >= askAtOnce || len(rooms) == 0 || c.now.Before(a.again) {
+	if a.inFlight || c.advisorCalls >= maxConcurrentQuestions || len(workers) == 0 || c.now.Before(a.retryAt) {
 		return
 	}
-	slices.SortStableFunc(rooms, func(x, y *room) int {
+	slices.SortStableFunc(workers, func(x, y *workerCapacity) int {
 		return cmp.Compare(c.slots(u, y, y.free), c.slots(u, x, x.free))
 	})
-	n := min(max(askSpare*len(u.tasks), askFewest), askMost, len(rooms))
+	n := min(max(candidateFactor*len(u.tasks), minQuestionWorkers), maxQuestionWorkers, len(workers))
 	question := workload.Question{Step: u.tasks[0].id()}
-	for _, r := range rooms[:n] {
+	for _, r := range workers[:n] {
 		question.Workers = append(question.Workers, r.ID)
 	}
-	took := u.queue.Advice.DecisionMS + u.queue.Advice.PerItemMS*int64(n)
-	question.Within = askWithin + time.Duration(took)*time.Millisecond
-	a.asking = true
-	c.asking++
+	decisionTime := u.queue.Advice.DecisionMS + u.queue.Advice.PerItemMS*int64(n)
+	question.Within = questionTimeout + time.Duration(decisionTime)*time.Millisecond
+	a.inFlight = true
+	c.advisorCalls++
 	c.actions = append(c.actions, Action{Kind: ActAsk, Ask: question})
 }
 
-// Advised takes the advisor's answer.
-func (c *Core) Advised(question workload.Question, counsel workload.Counsel, now time.Time, wallMS int64) {
+// Advised processes the advisor's answer.
+func (c *Core) Advised(question workload.Question, answer workload.Counsel, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
-	c.asking--
+	c.advisorCalls--
 	t := c.task(question.Step)
 	if t == nil {
 		return
 	}
 	a := &t.step.advice
-	a.asking = false
-	if counsel.Err != nil {
-		a.again = now.Add(askAgain)
+	a.inFlight = false
+	if answer.Err != nil {
+		a.retryAt = now.Add(questionRetryPause)
 		return
 	}
 	if a.tickets == nil {
@@ -108,8 +109,8 @@
 	for _, w := range question.Workers {
 		a.refused[w] = true
 	}
-	for _, allowed := range counsel.Allowed {
+	for _, allowed := range answer.Allowed {
 		delete(a.refused, allowed.Worker)
-		a.tickets[allowed.Worker] = ticket{allowed.Ticket, now.Add(counsel.ValidFor)}
+		a.tickets[allowed.Worker] = ticket{allowed.Ticket, now.Add(answer.ValidFor)}
 	}
 }
--- a/internal/dispatch/advice_test.go
+++ b/internal/dispatch/advice_test.go
@@ -9,16 +9,16 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// advisedBench is a bench whose batch queue has an advisor that allows some
-// workers.
-func advisedBench(t *testing.T, allowed ...string) (*bench, *int) {
+// newAdvisedBench returns a bench whose batch queue has an advisor that allows the given
+// workers, and the number of questions it was asked.
+func newAdvisedBench(t *testing.T, allowed ...string) (*bench, *int) {
 	b := newBench(t, 4, false)
 	config := testConfig()
 	config.Queues[1].Advice = &workload.Advice{DecisionMS: 10, PerItemMS: 1, ValidityMS: 1000}
 	b.core.Configure(config)
-	asked := 0
-	b.answer = func(q workload.Question) workload.Counsel {
-		asked++
+	questions := 0
+	b.advise = func(q workload.Question) workload.Counsel {
+		questions++
 		counsel := workload.Counsel{ValidFor: time.Second}
 		for _, named := range q.Workers {
 			for _, w := range allowed {
@@ -29,61 +29,61 @@
 		}
 		return counsel
 	}
-	return b, &asked
+	return b, &questions
 }
 
-func TestAnAdvisedStepRunsOnlyWhereTheAdvisorAllowsIt(t *testing.T) {
-	b, _ := advisedBench(t, "w01", "w03")
+func TestAdvisedStepRunsOnlyOnAllowedWorkers(t *testing.T) {
+	b, _ := newAdvisedBench(t, "w01", "w03")
 	b.add(singleJob("job", "batch", "other", 3, 8))
-	b.pass(time.Second)
+	b.advance(time.Second)
 	assert.Equal(t, b.runningOf("job"), 2)
 	assert.Equal(t, len(b.workers["w00"].running)+len(b.workers["w02"].running), 0)
 	assert.DeepEqual(t, b.tickets, map[string]bool{"t-w01": true, "t-w03": true})
 }
 
-func TestATicketThatRanOutIsAskedForAgainAndARefusalIsRemembered(t *testing.T) {
-	b, asked := advisedBench(t, "w01")
+func TestExpiredTicketIsRequestedAgainAndRefusalIsRemembered(t *testing.T) {
+	b, questions := newAdvisedBench(t, "w01")
 	b.add(singleJob("job", "batch", "other", 2, 8))
-	b.pass(300 * time.Millisecond)
-	first := *asked
-	b.pass(1500 * time.Millisecond) // the second task waits, and the ticket runs out
+	b.advance(300 * time.Millisecond)
+	first := *questions
+	b.advance(1500 * time.Millisecond) // the second task waits, and the ticket expires
 	b.endAll(workload.EndDone)
-	b.pass(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	assert.Equal(t, b.runningOf("job"), 1, "the second task runs on the one allowed worker")
-	assert.Assert(t, *asked > first, "the ticket had run out")
-	assert.Assert(t, *asked <= first+4, "asked %d times", *asked)
+	assert.Assert(t, *questions > first, "the ticket had run out")
+	assert.Assert(t, *questions <= first+4, "asked %d times", *questions)
 }
 
-func TestAnAdvisorWithoutAnAnswerIsAskedAgainLater(t *testing.T) {
-	b, asked := advisedBench(t)
-	b.answer = func(workload.Question) workload.Counsel {
-		*asked++
+func TestUnansweredAdvisorIsAskedAgainAfterAPause(t *testing.T) {
+	b, questions := newAdvisedBench(t)
+	b.advise = func(workload.Question) workload.Counsel {
+		*questions++
 		return workload.Counsel{Err: workload.ErrNotDone}
 	}
 	b.add(singleJob("job", "batch", "other", 1, 1))
-	b.pass(2 * time.Second)
-	assert.Assert(t, *asked >= 3 && *asked <= 5, "asked %d times in two seconds", *asked)
+	b.advance(2 * time.Second)
+	assert.Assert(t, *questions >= 3 && *questions <= 5, "asked %d times in two seconds", *questions)
 }
 
 func TestALeavingWorkerIsEmptiedBeforeItGoes(t *testing.T) {
 	for name, c := range map[string]struct {
-		saves   bool
-		left    time.Duration
-		stopped bool
+		checkpoints bool
+		timeLeft    time.Duration
+		stopped     bool
 	}{
-		"saved work that will not end here is stopped":       {true, 1500 * time.Millisecond, true},
-		"work that ends in time stays":                       {true, 10 * time.Second, false},
-		"unsaved work that may end in time stays":            {false, 2500 * time.Millisecond, false},
-		"unsaved work that surely will not starts elsewhere": {false, 600 * time.Millisecond, true},
+		"checkpointable work that will not finish here is stopped":         {true, 1500 * time.Millisecond, true},
+		"work that finishes in time continues":                             {true, 10 * time.Second, false},
+		"work without checkpoints that may finish in time continues":       {false, 2500 * time.Millisecond, false},
+		"work without checkpoints that clearly will not finish is stopped": {false, 600 * time.Millisecond, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 2, false)
 			job := singleJob("job", "batch", "other", 1, 1)
-			job.Steps[0].Checkpoints = c.saves
+			job.Steps[0].Checkpoints = c.checkpoints
 			b.add(job)
-			b.pass(500 * time.Millisecond)
-			b.leave(b.hostOf("job"), c.left)
-			b.pass(300 * time.Millisecond)
+			b.advance(500 * time.Millisecond)
+			b.announceLeaving(b.hostOf("job"), c.timeLeft)
+			b.advance(300 * time.Millisecond)
 			assert.Equal(t, b.stops > 0, c.stopped)
 		})
 	}
--- a/internal/dispatch/begins.go
+++ b/internal/dispatch/begins.go
@@ -4,90 +4,93 @@
 	"time"
 )
 
-// This file answers takeovers while a worker is out of reach, which on thousands of
-// workers is nearly every takeover. What an earlier leader started may run there, so its
-// jobs wait for that worker, or for the longest lease. Without more knowledge that holds
-// for each job that was accepted before, also for those that nobody has ever started:
-// what was handed in while there was no leader waits on. So a leader stores that a job
-// begins before the first start of its tasks, and the next one waits only for the runs of
-// jobs that have begun. While the store is slow that write would hold back every start;
-// the leader may then do without it, after it has stored that it does.
+// Start intents limit how long work waits after a takeover while a worker is unreachable, which
+// with thousands of workers is nearly every takeover. Runs that an earlier leader started may
+// still be on that worker, so the jobs concerned wait for the worker or for the longest lease.
+// Without further information this applies to every job accepted before the takeover, including
+// jobs that were submitted while there was no leader and never started. A leader therefore
+// stores a start intent for a job before the first start of its tasks, and the next leader
+// waits only for jobs that have one. While the store is slow that write would delay every
+// start; the leader may then start jobs without it, after storing that it does so.
 
-// TrustBegins says that the leaders before stored each job's begin before its first start:
-// a job whose record does not say so was never started. Call it before the first AddJob.
-func (c *Core) TrustBegins() { c.trustBegins = c.has(MechStoredBegins) }
+// TrustBegins records that earlier leaders stored a start intent for each job before its first
+// start, so that a job without one was never started. Call it before the first AddJob.
+func (c *Core) TrustBegins() { c.trustStartIntents = c.enabled(MechStoredBegins) }
 
-// StoreBegins sets whether a job's begin is stored before its first start.
-func (c *Core) StoreBegins(on bool) { c.storeBegins = on && c.has(MechStoredBegins) }
+// StoreBegins sets whether a job's start intent is stored before its first start.
+func (c *Core) StoreBegins(on bool) { c.storeStartIntents = on && c.enabled(MechStoredBegins) }
 
-// awaitsBegin reports whether a job may not start yet because its begin is not stored, and
-// has it stored.
-func (c *Core) awaitsBegin(j *job) bool {
-	if !c.storeBegins || j.beginStored {
+// awaitsStartIntent reports whether a job may not start yet because its start intent is not
+// stored, and schedules the write if needed.
+func (c *Core) awaitsStartIntent(j *job) bool {
+	if !c.storeStartIntents || j.startIntentStored {
 		return false
 	}
-	c.recordBegin(j)
+	c.recordStartIntent(j)
 	return true
 }
 
-func (c *Core) recordBegin(j *job) {
+func (c *Core) recordStartIntent(j *job) {
 	if !j.record.Began {
 		j.record.Began = true
-		j.beginAsked = c.now
-		c.change(j)
+		j.startIntentRequestedAt = c.now
+		c.markChanged(j)
 	}
 }
 
-// BeginsLate reports whether the store has owed the record of a begin for longer than d.
+// BeginsLate reports whether a start intent has been waiting for the store for longer than d.
 func (c *Core) BeginsLate(d time.Duration) bool {
 	for _, j := range c.dirty {
-		if j.owesBegin() && c.now.Sub(j.beginAsked) > d {
+		if j.owesStartIntent() && c.now.Sub(j.startIntentRequestedAt) > d {
 			return true
 		}
 	}
 	return false
 }
 
-// StoreAllBegins has the begin of every job stored that may have been started without.
+// StoreAllBegins schedules the start intents of all jobs that may have been started without
+// one.
 func (c *Core) StoreAllBegins() {
 	for _, j := range c.queue {
-		if j.mayHaveBegun() && j.record.Final == "" {
-			c.recordBegin(j)
+		if j.mayHaveStarted() && j.record.Final == "" {
+			c.recordStartIntent(j)
 		}
 	}
 }
 
-// BeginsStored reports whether the store knows of every begin, or of the job's end.
+// BeginsStored reports whether the store has the start intent or the final state of every job
+// that may have been started.
 func (c *Core) BeginsStored() bool {
 	for _, j := range c.dirty {
-		if j.mayHaveBegun() && !j.beginStored {
+		if j.mayHaveStarted() && !j.startIntentStored {
 			return false
 		}
 	}
 	for _, j := range c.queue {
-		if j.mayHaveBegun() && !j.beginStored && j.record.Final == "" {
+		if j.mayHaveStarted() && !j.startIntentStored && j.record.Final == "" {
 			return false
 		}
 	}
 	return true
 }
 
-// owesBegin reports whether the store has yet to learn that the job begins.
-func (j *job) owesBegin() bool { return j.record.Began && !j.beginStored }
+// owesStartIntent reports whether the job's start intent is recorded but not yet stored.
+func (j *job) owesStartIntent() bool { return j.record.Began && !j.startIntentStored }
 
-func (j *job) mayHaveBegun() bool { return j.old || j.began }
+func (j *job) mayHaveStarted() bool { return j.fromEarlierEpoch || j.started }
 
-// startOrStore starts the first tasks of a step in the rooms. Where the job's begin has
-// to be stored first it keeps them for this round: the store answers within one or two.
-func (c *Core) startOrStore(u *pendingStep, places []*room) {
-	if c.awaitsBegin(u.step.job) {
-		takeRoom(u, places)
+// startOrStore starts the first tasks of a step on the given workers. If the job's start intent
+// has to be stored first, it holds the capacity for this round: the store usually answers
+// within one or two rounds.
+func (c *Core) startOrStore(u *pendingStep, places []*workerCapacity) {
+	if c.awaitsStartIntent(u.step.job) {
+		takeCapacity(u, places)
 		c.recordReason(u, "its begin is being stored")
 		return
 	}
-	if c.awaitsAttempt(u, len(places)) {
-		c.holdWhileRecording(u, places)
-		c.recordReason(u, "workers went down under it, and its next attempt is being stored")
+	if c.awaitsAttemptRecord(u, len(places)) {
+		c.holdCapacityWhileRecording(u, places)
+		c.recordReason(u, "its workers crashed, and its next attempt is being stored")
 		return
 	}
 	c.startAt(u, places)
--- a/internal/dispatch/begins_test.go
+++ b/internal/dispatch/begins_test.go
@@ -10,14 +10,14 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// startsOf lets the core decide and counts the starts of a job; everything is carried out.
+// startsOf runs one round, executes its actions and counts the starts of a job.
 func (b *bench) startsOf(job string) int {
 	count := 0
 	for _, a := range b.core.Decide(b.now, b.wallMS) {
 		if a.Kind == ActStart && a.Order.Task.Job == job {
 			count++
 		}
-		b.carryOut(a)
+		b.execute(a)
 	}
 	return count
 }
@@ -25,7 +25,7 @@
 func TestNothingOfAJobStartsBeforeItsBeginIsStored(t *testing.T) {
 	b := newBench(t, 2, false)
 	b.core.StoreBegins(true)
-	b.round() // the workers are known
+	b.round() // sync the workers
 	b.add(gangJob("job", "batch", "other", 2, 8))
 	assert.Equal(t, b.startsOf("job"), 0)
 	list := b.core.Unpersisted(10)
@@ -34,7 +34,7 @@
 	record, err := DecodeRecord(list[0].Record)
 	assert.NilError(t, err)
 	assert.Assert(t, record.Began)
-	b.now = b.now.Add(2 * reasonAfter)
+	b.now = b.now.Add(2 * reasonDelay)
 	assert.Equal(t, b.startsOf("job"), 0, "the store has not answered")
 	assert.Equal(t, len(b.reasons), 1)
 	assert.Assert(t, strings.HasPrefix(b.reasons[0], "its begin is being stored; "), b.reasons[0])
@@ -44,7 +44,7 @@
 	assert.Equal(t, b.startsOf("job"), 2)
 }
 
-func TestRoomIsKeptForAJobWhoseBeginIsBeingStored(t *testing.T) {
+func TestCapacityIsHeldWhileAStartIntentIsBeingStored(t *testing.T) {
 	b := newBench(t, 1, false)
 	b.core.StoreBegins(true)
 	b.round()
@@ -52,11 +52,11 @@
 	b.add(gangJob("second", "batch", "other", 1, 8))
 	assert.Equal(t, b.startsOf("first")+b.startsOf("second"), 0)
 	list := b.core.Unpersisted(10)
-	assert.Equal(t, len(list), 1, "the second job has no room: it does not begin")
+	assert.Equal(t, len(list), 1, "the second job has no capacity and gets no start intent")
 	assert.Equal(t, list[0].Job, "first")
 }
 
-func TestWhatAStartWaitsForIsStoredFirst(t *testing.T) {
+func TestPendingStartIntentsAreStoredFirst(t *testing.T) {
 	b := newBench(t, 1, false)
 	b.core.StoreBegins(true)
 	b.round()
@@ -65,20 +65,20 @@
 	}
 	b.core.MarkDirty("a")
 	b.core.MarkDirty("b")
-	b.core.recordBegin(b.core.jobs["z"])
+	b.core.recordStartIntent(b.core.jobs["z"])
 	assert.Equal(t, b.core.Unpersisted(1)[0].Job, "z")
 }
 
-// A job that no leader ever started runs nowhere, whatever worker is out of reach.
+// A job that no leader ever started runs nowhere, whichever worker is unreachable.
 func TestAfterATakeoverOnlyJobsThatBeganWaitForASilentWorker(t *testing.T) {
 	for name, c := range map[string]struct {
-		trust, began bool
-		starts       int
+		trust, started bool
+		starts         int
 	}{
-		"never begun, and the leader before stored begins": {true, false, 1},
-		"begun":                                  {true, true, 0},
-		"the leader before did not store begins": {false, false, 0},
-		"nor that of a job whose record has one": {false, true, 0},
+		"no start intent, and the previous leader stored them": {true, false, 1},
+		"start intent stored":                                            {true, true, 0},
+		"the previous leader stored no start intents":                    {false, false, 0},
+		"start intent stored, but the previous leader did not store all": {false, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 2, true)
@@ -87,21 +87,22 @@
 			if c.trust {
 				b.core.TrustBegins()
 			}
-			b.silent["w01"] = true
-			b.list()
+			b.unresponsive["w01"] = true
+			b.listWorkers()
 			job := gangJob("job", "batch", "other", 1, 8)
 			job.AcceptedMS = b.wallMS
-			b.core.AddJob(job, Record{Began: c.began}, false, b.now, b.wallMS)
-			b.pass(500 * time.Millisecond)
+			b.core.AddJob(job, Record{Began: c.started}, false, b.now, b.wallMS)
+			b.advance(500 * time.Millisecond)
 			assert.Equal(t, b.starts, c.starts)
-			b.pass(testBounds.LongestLease + 2*time.Second)
+			b.advance(testBounds.LongestLease + 2*time.Second)
 			assert.Equal(t, b.starts, 1)
 		})
 	}
 }
 
-// Before the next leader may trust, the store has to know of every job that may have been
-// started: also of one that has ended since, as long as its end is not stored.
+// Before the next leader may trust start intents, the store needs one for every job that may
+// have been started, including a job that has ended since, as long as its final state is not
+// stored.
 func TestBeginsAreStoredOnceTheStoreKnowsOfEachOrOfItsEnd(t *testing.T) {
 	b := newBench(t, 1, false)
 	b.round()
@@ -126,7 +127,7 @@
 	assert.Assert(t, b.core.BeginsStored())
 }
 
-func TestWithoutStoredBeginsJobsStartAtOnce(t *testing.T) {
+func TestWithoutStoredStartIntentsJobsStartAtOnce(t *testing.T) {
 	b := newBench(t, 1, false)
 	b.core.Tune(Tuning{Without: []Mechanism{MechStoredBegins}})
 	b.core.StoreBegins(true)
@@ -136,7 +137,7 @@
 	assert.Equal(t, len(b.core.Unpersisted(10)), 0)
 }
 
-func TestARecordKeepsTheBeginOverALeader(t *testing.T) {
+func TestRecordKeepsTheStartIntentAcrossLeaders(t *testing.T) {
 	b := newBench(t, 1, false)
 	b.core.AddJob(&workload.Job{ID: "job", Queue: "batch", Account: "other", Steps: gangJob("x", "batch", "other", 1, 8).Steps},
 		Record{Began: true}, false, b.now, b.wallMS)
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkRound is one round of decisions on a full deployment: about three
-// tasks run on each worker, and half as many jobs as there are workers wait.
-// One event comes before each round, as it does under load.
+// BenchmarkRound measures one round of decisions on a full deployment: about three tasks run on
+// each worker, and half as many jobs as there are workers wait. One event precedes each round,
+// as under load.
 func BenchmarkRound(b *testing.B) {
 	for _, workers := range []int{48, 350, 1100, 3000, 6400} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -16,13 +16,13 @@
 			for n := range workers {
 				d.addWorker(fmt.Sprintf("w%04d", n))
 			}
-			d.list()
+			d.listWorkers()
 			d.round()
 			for n := range workers / 2 {
 				d.add(singleJob(fmt.Sprintf("small-%d", n), "batch", "other", 5, 2))
 				d.add(gangJob(fmt.Sprintf("gang-%d", n), "batch", "other", 2+n%6, 4))
 			}
-			d.pass(200 * time.Millisecond)
+			d.advance(200 * time.Millisecond)
 			b.ReportMetric(float64(d.running()), "tasks")
 			b.ReportMetric(float64(len(d.core.queue)), "jobs")
 			b.ReportAllocs()
@@ -30,34 +30,34 @@
 				d.now = d.now.Add(time.Millisecond)
 				d.wallMS++
 				for _, a := range d.core.Decide(d.now, d.wallMS) {
-					d.carryOut(a)
+					d.execute(a)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkRoundAfterTakeover is one round of a leader that has just taken over:
-// each worker but the last has answered, and jobs of the leader before wait for it.
+// BenchmarkRoundAfterTakeover measures one round of a leader that has just taken over: every
+// worker except the last has answered, and jobs of the previous leader wait for that one.
 func BenchmarkRoundAfterTakeover(b *testing.B) {
 	for _, workers := range []int{350, 3000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			d := newBench(b, workers, false)
 			d.core = New(testBounds, 3, d.now, d.now.Add(time.Hour))
 			d.core.Configure(testConfig())
-			d.silent[fmt.Sprintf("w%02d", workers-1)] = true
-			d.list()
+			d.unresponsive[fmt.Sprintf("w%02d", workers-1)] = true
+			d.listWorkers()
 			for n := range workers / 3 {
 				d.add(gangJob(fmt.Sprintf("old-%d", n), "batch", "other", 2+n%6, 4))
 			}
-			d.pass(300 * time.Millisecond)
+			d.advance(300 * time.Millisecond)
 			b.ReportMetric(float64(len(d.core.Unsynced())), "unsynced")
 			b.ReportAllocs()
 			for b.Loop() {
 				d.now = d.now.Add(time.Millisecond)
 				d.wallMS++
 				for _, a := range d.core.Decide(d.now, d.wallMS) {
-					d.carryOut(a)
+					d.execute(a)
 				}
 			}
 		})
--- a/internal/dispatch/choices.go
+++ b/internal/dispatch/choices.go
@@ -10,129 +10,129 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// Choice names a decision that can be taken in several ways. Each way is a small function;
-// a measurement names the one to play, and defaultWays has those in force otherwise.
+// Choice names a decision that has several policies. A measurement selects the policy to use;
+// otherwise defaultPolicies applies.
 type Choice string
 
-// The choices, and their ways.
+// The choices.
 const (
-	// ChoicePlace orders the workers that can take a task.
+	// ChoicePlace orders the workers that can run a task.
 	ChoicePlace Choice = "place"
-	// ChoiceSpread says over which workers a gang may lie that belongs on no rack.
+	// ChoiceSpread selects the workers of a gang that is not bound to one rack.
 	ChoiceSpread Choice = "spread"
-	// ChoiceOrder orders pending steps of one rank.
+	// ChoiceOrder orders pending steps of the same rank.
 	ChoiceOrder Choice = "order"
-	// ChoiceVictims orders the runs that may be stopped on a worker.
+	// ChoiceVictims orders the runs that may be preempted on a worker.
 	ChoiceVictims Choice = "victims"
-	// ChoiceCrashSuspects orders the workers that can take a task under which others went down.
+	// ChoiceCrashSuspects orders the workers for a task whose earlier workers crashed.
 	ChoiceCrashSuspects Choice = "crash_suspects"
 )
 
-// A placeWay orders two workers for a task of a step: the better one first.
-type placeWay func(c *Core, u *pendingStep, a, b *room) int
+// placePolicy compares two workers for a task of a step; the better one sorts first.
+type placePolicy func(c *Core, u *pendingStep, a, b *workerCapacity) int
 
-var placeWays = map[string]placeWay{
-	"fullest":   func(_ *Core, u *pendingStep, a, b *room) int { return compareFullness(u, a, b) },
+var placePolicies = map[string]placePolicy{
+	"fullest":   func(_ *Core, u *pendingStep, a, b *workerCapacity) int { return compareFullness(u, a, b) },
 	"scarcest":  compareScarcest,
 	"alignment": compareAlignment,
 }
 
-// A spreadWay finds rooms for all tasks of a gang, one entry a task; nil if its workers
-// lie in no such way, and the gang goes wherever it fits.
-type spreadWay func(c *Core, u *pendingStep, rooms []*room, counts []int64) []*room
+// spreadPolicy selects workers for all tasks of a gang, one entry per task. It returns nil if
+// no selection satisfies the policy; the gang is then placed wherever it fits.
+type spreadPolicy func(c *Core, u *pendingStep, workers []*workerCapacity, counts []int64) []*workerCapacity
 
-var spreadWays = map[string]spreadWay{
-	"anywhere":       func(*Core, *pendingStep, []*room, []int64) []*room { return nil },
+var spreadPolicies = map[string]spreadPolicy{
+	"anywhere":       func(*Core, *pendingStep, []*workerCapacity, []int64) []*workerCapacity { return nil },
 	"one_zone":       (*Core).inOneZone,
 	"fewest_workers": (*Core).onFewestWorkers,
 	"fewest_racks":   (*Core).onFewestRacks,
 }
 
-// An orderWay orders two pending steps of one rank: the one to place first first.
-type orderWay func(c *Core, a, b *pendingStep) int
+// orderPolicy compares two pending steps of the same rank; the one to place first sorts first.
+type orderPolicy func(c *Core, a, b *pendingStep) int
 
-var orderWays = map[string]orderWay{
+var orderPolicies = map[string]orderPolicy{
 	"due":   func(_ *Core, a, b *pendingStep) int { return a.dueBy.Compare(b.dueBy) },
 	"slack": func(_ *Core, a, b *pendingStep) int { return a.latestStart().Compare(b.latestStart()) },
-	"worth": compareWorth,
+	"worth": compareValue,
 }
 
-// A victimWay orders two runs that may be stopped: the one to stop first first.
-type victimWay func(c *Core, a, b *run) int
+// victimPolicy compares two preemptible runs; the one to stop first sorts first.
+type victimPolicy func(c *Core, a, b *run) int
 
-var victimWays = map[string]victimWay{
+var victimPolicies = map[string]victimPolicy{
 	"least_work":  compareWorkLost,
 	"most_room":   func(_ *Core, a, b *run) int { return cmp.Compare(b.need.Accelerators, a.need.Accelerators) },
-	"not_twice":   compareBroken,
+	"not_twice":   compareInterruptions,
 	"oldest_last": func(_ *Core, a, b *run) int { return b.since.Compare(a.since) },
 }
 
-// A crashSuspectWay orders two workers for a step with tasks under which workers went down,
-// before anything else does.
-type crashSuspectWay func(c *Core, u *pendingStep, a, b *room) int
+// crashSuspectPolicy compares two workers for a step with tasks whose earlier workers crashed.
+// It takes precedence over the other comparisons.
+type crashSuspectPolicy func(c *Core, u *pendingStep, a, b *workerCapacity) int
 
-var crashSuspectWays = map[string]crashSuspectWay{
-	"anywhere": func(*Core, *pendingStep, *room, *room) int { return 0 },
+var crashSuspectPolicies = map[string]crashSuspectPolicy{
+	"anywhere": func(*Core, *pendingStep, *workerCapacity, *workerCapacity) int { return 0 },
 	"apart":    compareApart,
 	"alone":    compareAlone,
 }
 
-// defaultWays are the ways in force where a tuning names none.
-var defaultWays = map[Choice]string{
+// defaultPolicies are the policies used where a tuning selects none.
+var defaultPolicies = map[Choice]string{
 	ChoicePlace: "fullest", ChoiceSpread: "anywhere", ChoiceOrder: "due", ChoiceVictims: "least_work",
 	ChoiceCrashSuspects: "alone",
 }
 
-// waysOf lists the ways of a choice, in order.
-func waysOf(choice Choice) []string {
+// policiesOf returns the sorted policy names of a choice.
+func policiesOf(choice Choice) []string {
 	switch choice {
 	case ChoicePlace:
-		return slices.Sorted(maps.Keys(placeWays))
+		return slices.Sorted(maps.Keys(placePolicies))
 	case ChoiceSpread:
-		return slices.Sorted(maps.Keys(spreadWays))
+		return slices.Sorted(maps.Keys(spreadPolicies))
 	case ChoiceOrder:
-		return slices.Sorted(maps.Keys(orderWays))
+		return slices.Sorted(maps.Keys(orderPolicies))
 	case ChoiceVictims:
-		return slices.Sorted(maps.Keys(victimWays))
+		return slices.Sorted(maps.Keys(victimPolicies))
 	case ChoiceCrashSuspects:
-		return slices.Sorted(maps.Keys(crashSuspectWays))
+		return slices.Sorted(maps.Keys(crashSuspectPolicies))
 	}
 	return nil
 }
 
-// ways are the ways in force.
-type ways struct {
-	place         placeWay
-	spread        spreadWay
-	order         orderWay
-	victims       victimWay
-	crashSuspects crashSuspectWay
+// policies holds the policies in use.
+type policies struct {
+	place         placePolicy
+	spread        spreadPolicy
+	order         orderPolicy
+	victims       victimPolicy
+	crashSuspects crashSuspectPolicy
 }
 
-func newWays(chosen map[Choice]string) ways {
-	way := func(choice Choice) string { return cmp.Or(chosen[choice], defaultWays[choice]) }
-	return ways{
-		place:         placeWays[way(ChoicePlace)],
-		spread:        spreadWays[way(ChoiceSpread)],
-		order:         orderWays[way(ChoiceOrder)],
-		victims:       victimWays[way(ChoiceVictims)],
-		crashSuspects: crashSuspectWays[way(ChoiceCrashSuspects)],
+func newPolicies(chosen map[Choice]string) policies {
+	policy := func(choice Choice) string { return cmp.Or(chosen[choice], defaultPolicies[choice]) }
+	return policies{
+		place:         placePolicies[policy(ChoicePlace)],
+		spread:        spreadPolicies[policy(ChoiceSpread)],
+		order:         orderPolicies[policy(ChoiceOrder)],
+		victims:       victimPolicies[policy(ChoiceVictims)],
+		crashSuspects: crashSuspectPolicies[policy(ChoiceCrashSuspects)],
 	}
 }
 
-// checkChoices says which choice or way of a tuning there is not.
+// checkChoices returns an error if a tuning names an unknown choice or policy.
 func checkChoices(chosen map[Choice]string) error {
-	for choice, way := range chosen {
-		if !slices.Contains(waysOf(choice), way) {
-			return fmt.Errorf("no way %q of %q: %v", way, choice, waysOf(choice))
+	for choice, policy := range chosen {
+		if !slices.Contains(policiesOf(choice), policy) {
+			return fmt.Errorf("unknown policy %q of choice %q, want one of %v", policy, choice, policiesOf(choice))
 		}
 	}
 	return nil
 }
 
-// compareScarcest puts the worker first that is left with the least of the resource that
-// is scarcest in the pool, as a share of what there is.
-func compareScarcest(c *Core, u *pendingStep, a, b *room) int {
+// compareScarcest sorts the worker first that has the least left of the pool's scarcest
+// resource, measured as the free share of the total.
+func compareScarcest(c *Core, u *pendingStep, a, b *workerCapacity) int {
 	if cpuFirst := c.scarcestIsCPU(u.queue.Pool); cpuFirst {
 		return cmp.Or(cmp.Compare(a.free.MilliCPU, b.free.MilliCPU), cmp.Compare(a.free.Accelerators, b.free.Accelerators))
 	}
@@ -150,38 +150,38 @@
 		float64(free.MilliCPU)/float64(all.MilliCPU) < float64(free.Accelerators)/float64(all.Accelerators)
 }
 
-// compareAlignment puts the worker first whose free room has the proportions of what a
-// task needs, so that neither resource is left without the other.
-func compareAlignment(_ *Core, u *pendingStep, a, b *room) int {
-	return cmp.Or(cmp.Compare(leftover(u, a), leftover(u, b)), compareFullness(u, a, b))
+// compareAlignment sorts the worker first whose free capacity best matches the proportions of a
+// task's needs, so that neither resource is stranded.
+func compareAlignment(_ *Core, u *pendingStep, a, b *workerCapacity) int {
+	return cmp.Or(cmp.Compare(imbalance(u, a), imbalance(u, b)), compareFullness(u, a, b))
 }
 
-// leftover is how far the shares of processors and of accelerators differ that a worker
-// has left after a task.
-func leftover(u *pendingStep, r *room) int64 {
+// imbalance returns the difference, in thousandths, between the shares of processors and of
+// accelerators that a worker has left after a task.
+func imbalance(u *pendingStep, r *workerCapacity) int64 {
 	left := r.free.Sub(u.step.spec.Counted())
 	cpu := 1000 * left.MilliCPU / max(r.Room.MilliCPU, 1)
 	accelerators := 1000 * left.Accelerators / max(r.Room.Accelerators, 1)
 	return max(cpu-accelerators, accelerators-cpu)
 }
 
-// inOneZone keeps a gang in the availability zone that can take it and is left with the
-// least room.
-func (c *Core) inOneZone(u *pendingStep, rooms []*room, counts []int64) []*room {
-	return c.inOneGroup(u, rooms, counts, func(r *room) string { return r.Zone })
+// inOneZone places a gang in the availability zone that can hold it and has the least capacity
+// left.
+func (c *Core) inOneZone(u *pendingStep, workers []*workerCapacity, counts []int64) []*workerCapacity {
+	return c.inOneGroup(u, workers, counts, func(r *workerCapacity) string { return r.Zone })
 }
 
-// onFewestRacks keeps a gang in one rack if one can take it, else in one zone.
-func (c *Core) onFewestRacks(u *pendingStep, rooms []*room, counts []int64) []*room {
-	if places := c.inOneGroup(u, rooms, counts, func(r *room) string { return r.Rack }); places != nil {
+// onFewestRacks places a gang in one rack if one can hold it, otherwise in one zone.
+func (c *Core) onFewestRacks(u *pendingStep, workers []*workerCapacity, counts []int64) []*workerCapacity {
+	if places := c.inOneGroup(u, workers, counts, func(r *workerCapacity) string { return r.Rack }); places != nil {
 		return places
 	}
-	return c.inOneZone(u, rooms, counts)
+	return c.inOneZone(u, workers, counts)
 }
 
-func (c *Core) inOneGroup(u *pendingStep, rooms []*room, counts []int64, group func(*room) string) []*room {
+func (c *Core) inOneGroup(u *pendingStep, workers []*workerCapacity, counts []int64, group func(*workerCapacity) string) []*workerCapacity {
 	sums := make(map[string]int64)
-	for i, r := range rooms {
+	for i, r := range workers {
 		sums[group(r)] += counts[i]
 	}
 	best := ""
@@ -193,15 +193,15 @@
 	if best == "" {
 		return nil
 	}
-	return c.pick(u, rooms, counts, len(u.tasks), func(r *room) bool { return group(r) == best })
+	return c.pick(u, workers, counts, len(u.tasks), func(r *workerCapacity) bool { return group(r) == best })
 }
 
-// onFewestWorkers puts a gang on the workers that take most of it: fewer workers whose
-// loss breaks it.
-func (c *Core) onFewestWorkers(u *pendingStep, rooms []*room, counts []int64) []*room {
-	order := make([]int, 0, len(rooms))
+// onFewestWorkers places a gang on the workers that hold most of it, so that fewer worker
+// failures interrupt it.
+func (c *Core) onFewestWorkers(u *pendingStep, workers []*workerCapacity, counts []int64) []*workerCapacity {
+	order := make([]int, 0, len(workers))
 	total := int64(0)
-	for i := range rooms {
+	for i := range workers {
 		if counts[i] > 0 {
 			order = append(order, i)
 			total += counts[i]
@@ -211,33 +211,32 @@
 		return nil
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(counts[b], counts[a]), compareFullness(u, rooms[a], rooms[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(counts[b], counts[a]), compareFullness(u, workers[a], workers[b]), cmp.Compare(a, b))
 	})
-	return takeSlots(rooms, counts, order, len(u.tasks))
+	return takeSlots(workers, counts, order, len(u.tasks))
 }
 
-// latestStart is when a step has to start to be on time.
-func (u *pendingStep) latestStart() time.Time { return u.dueBy.Add(-u.length) }
+// latestStart returns the latest time at which the step can start and still be on time.
+func (u *pendingStep) latestStart() time.Time { return u.dueBy.Add(-u.duration) }
 
-// compareWorth puts the step first that needs the least of the deployment.
-func compareWorth(_ *Core, a, b *pendingStep) int {
-	return cmp.Or(cmp.Compare(a.occupies(), b.occupies()), a.dueBy.Compare(b.dueBy))
+// compareValue sorts the step first that needs the least of the deployment.
+func compareValue(_ *Core, a, b *pendingStep) int {
+	return cmp.Or(cmp.Compare(a.coreSeconds(), b.coreSeconds()), a.dueBy.Compare(b.dueBy))
 }
 
-// occupies is what a step takes of a deployment, in core-seconds.
-func (u *pendingStep) occupies() float64 {
+// coreSeconds returns the resources that a step uses over its run time, in core-seconds.
+func (u *pendingStep) coreSeconds() float64 {
 	need := u.step.spec.Need
 	cores := float64(need.MilliCPU)/1000 + acceleratorCores*float64(need.Accelerators)
-	return cores * float64(len(u.tasks)) * u.length.Seconds()
+	return cores * float64(len(u.tasks)) * u.duration.Seconds()
 }
 
-// compareWorkLost puts the run first that loses the least work for the accelerators it
-// gives back.
+// compareWorkLost sorts the run first that loses the least work per accelerator it frees.
 func compareWorkLost(c *Core, a, b *run) int {
 	return cmp.Compare(c.workLost(a)/float64(max(a.need.Accelerators, 1)), c.workLost(b)/float64(max(b.need.Accelerators, 1)))
 }
 
-// compareBroken leaves runs of jobs that were stopped or broken before for last.
-func compareBroken(c *Core, a, b *run) int {
-	return cmp.Or(cmp.Compare(min(a.task.step.job.broken, 1), min(b.task.step.job.broken, 1)), compareWorkLost(c, a, b))
+// compareInterruptions sorts runs of jobs that were preempted or interrupted before last.
+func compareInterruptions(c *Core, a, b *run) int {
+	return cmp.Or(cmp.Compare(min(a.task.step.job.interruptions, 1), min(b.task.step.job.interruptions, 1)), compareWorkLost(c, a, b))
 }
--- a/internal/dispatch/choices_test.go
+++ b/internal/dispatch/choices_test.go
@@ -10,12 +10,12 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// choose plays a way of a choice.
-func (b *bench) choose(choice Choice, way string) {
-	b.core.Tune(Tuning{Choices: map[Choice]string{choice: way}})
+// setPolicy selects the policy of a choice.
+func (b *bench) setPolicy(choice Choice, policy string) {
+	b.core.Tune(Tuning{Choices: map[Choice]string{choice: policy}})
 }
 
-// zonesUsed counts the zones, and workersUsed the workers, that a job runs on.
+// zonesUsed counts the zones and the workers that a job runs on.
 func (b *bench) zonesUsed(job string) (zones, workers int) {
 	seen := make(map[string]bool)
 	for id, w := range b.workers {
@@ -31,71 +31,71 @@
 	return len(seen), workers
 }
 
-func TestEachWayOfEachChoiceServesAFullDeployment(t *testing.T) {
+func TestEveryPolicyOfEveryChoiceServesAFullDeployment(t *testing.T) {
 	for _, choice := range []Choice{ChoicePlace, ChoiceSpread, ChoiceOrder, ChoiceVictims} {
-		for _, way := range waysOf(choice) {
-			t.Run(fmt.Sprint(choice, " ", way), func(t *testing.T) {
+		for _, policy := range policiesOf(choice) {
+			t.Run(fmt.Sprint(choice, " ", policy), func(t *testing.T) {
 				b := newZonedBench(t)
-				assert.NilError(t, checkChoices(map[Choice]string{choice: way}))
-				b.choose(choice, way)
+				assert.NilError(t, checkChoices(map[Choice]string{choice: policy}))
+				b.setPolicy(choice, policy)
 				b.add(singleJob("filler", "batch", "other", 240, 1))
-				b.pass(time.Second)
+				b.advance(time.Second)
 				for n := range 4 {
 					b.add(gangJob(fmt.Sprint("urgent-", n), "urgent", "acme", 3, 4))
 					b.add(gangJob(fmt.Sprint("batch-", n), "batch", "other", 7, 8))
 				}
-				b.pass(time.Second)
+				b.advance(time.Second)
 				for n := range 4 {
 					assert.Equal(t, b.runningOf(fmt.Sprint("urgent-", n)), 3)
 				}
 				for range 12 {
 					b.endAll(workload.EndDone)
-					b.pass(time.Second)
+					b.advance(time.Second)
 				}
 				for n := range 4 {
-					assert.Equal(t, b.state(fmt.Sprint("batch-", n)), FinalCompleted)
+					assert.Equal(t, b.finalState(fmt.Sprint("batch-", n)), FinalCompleted)
 				}
-				assert.Equal(t, b.state("filler"), FinalCompleted)
+				assert.Equal(t, b.finalState("filler"), FinalCompleted)
 			})
 		}
 	}
 }
 
-func TestAWayThatThereIsNotIsRefused(t *testing.T) {
+func TestUnknownPolicyIsRejected(t *testing.T) {
 	assert.ErrorContains(t, checkChoices(map[Choice]string{ChoicePlace: "emptiest"}), "emptiest")
 	assert.ErrorContains(t, checkChoices(map[Choice]string{"colour": "red"}), "colour")
 }
 
-// fillUnevenly leaves two accelerators on each worker of two zones, and all of zone-2.
+// fillUnevenly leaves two accelerators free on each worker of two zones, and zone-2 empty.
 func (b *bench) fillUnevenly() {
 	for n, rack := range []string{"r0", "r1"} {
 		filler := singleJob(fmt.Sprint("filler-", n), "batch", "other", 10, 6)
 		filler.Steps[0].DataRack = rack
 		b.add(filler)
 	}
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 }
 
-func TestWhereAGangLies(t *testing.T) {
+func TestSpreadPoliciesPlaceGangs(t *testing.T) {
 	for name, c := range map[string]struct {
-		way            string
+		policy         string
 		tasks          int
 		zones, workers int
 	}{
-		"anywhere: the fullest workers first, over two zones": {"anywhere", 16, 2, 16},
-		"in one zone, though it leaves gaps elsewhere":        {"one_zone", 16, 1, 4},
-		"in the zone that is left with the least room":        {"one_zone", 8, 1, 8},
-		"over zones where none can take it":                   {"one_zone", 45, 2, 0},
-		"on as few workers as possible":                       {"fewest_workers", 8, 1, 2},
-		"in one rack":                                         {"fewest_racks", 8, 1, 8},
-		"over racks where none can take it":                   {"fewest_racks", 45, 2, 0},
+		"anywhere: the fullest workers first, across two zones": {"anywhere", 16, 2, 16},
+		"in one zone, even if this leaves gaps elsewhere":       {"one_zone", 16, 1, 4},
+		"in the zone with the least capacity left":              {"one_zone", 8, 1, 8},
+		"across zones if none can hold it":                      {"one_zone", 45, 2, 0},
+		"on as few workers as possible":                         {"fewest_workers", 8, 1, 2},
+		"in one rack":                                           {"fewest_racks", 8, 1, 8},
+		"across racks if none can hold it":                      {"fewest_racks", 45, 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newZonedBench(t)
-			b.choose(ChoiceSpread, c.way)
+			b.setPolicy(ChoiceSpread, c.policy)
 			b.fillUnevenly()
 			b.add(gangJob("gang", "urgent", "other", c.tasks, 2))
-			b.pass(200 * time.Millisecond)
+			b.advance(200 * time.Millisecond)
 			assert.Equal(t, b.runningOf("gang"), c.tasks)
 			zones, workers := b.zonesUsed("gang")
 			if c.workers == 0 {
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -7,35 +7,35 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file answers urgent gangs that come in quick succession. One that has others
-// stopped starts when these have ended, rounds later. Without a claim each round
-// chose anew: the next urgent gang took the room as it became free, the first had
-// others stopped elsewhere, was late by then, and was given up: dozens of tasks
-// were stopped for a gang that started nowhere.
+// Claims protect urgent gangs that arrive in quick succession. A gang that preempts others
+// starts once those have ended, several rounds later. Without a claim each round decided anew:
+// the next urgent gang took the capacity as it became free, the first preempted runs elsewhere,
+// became late and was given up, so that dozens of tasks were stopped for a gang that never
+// started.
 
-// claim is the room that a gang had freed, or found being freed, and starts in.
+// claim is the capacity that is being freed for a gang and in which it will start.
 type claim struct {
 	places []claimedPlace
 }
 
-// claimedPlace is a number of tasks on one worker.
+// claimedPlace is a number of task slots on one worker.
 type claimedPlace struct {
 	worker *worker
 	slots  int64
 }
 
-// claimRooms notes where an urgent gang will start.
-func (c *Core) claimRooms(u *pendingStep, places []claimedPlace) {
-	if u.step.spec.Gang && c.has(MechClaims) {
+// claimCapacity records where an urgent gang will start.
+func (c *Core) claimCapacity(u *pendingStep, places []claimedPlace) {
+	if u.step.spec.Gang && c.enabled(MechClaims) {
 		u.step.claim = &claim{places: places}
 	}
 }
 
-// placesOf counts the tasks that a list of rooms has on each.
-func placesOf(rooms []*room) []claimedPlace {
+// claimedPlaces counts the slots per worker in a list that has one entry per slot.
+func claimedPlaces(workers []*workerCapacity) []claimedPlace {
 	var places []claimedPlace
-	for i, r := range rooms {
-		if i > 0 && rooms[i-1] == r {
+	for i, r := range workers {
+		if i > 0 && workers[i-1] == r {
 			places[len(places)-1].slots++
 			continue
 		}
@@ -44,17 +44,17 @@
 	return places
 }
 
-// claimForRestart lets an urgent gang that failed by its own fault start again where it
-// was. Without it the room of each member went to others as its end was heard, some
-// milliseconds before the last one's, and the gang had others stopped a second time.
-// A worker on which other jobs failed as well is not claimed.
+// claimForRestart lets an urgent gang that failed by itself restart on the same workers.
+// Without it the capacity of each member went to other work when its completion arrived, some
+// milliseconds before that of the last member, and the gang preempted others a second time. A
+// gang with a worker on which other jobs failed as well claims nothing.
 func (c *Core) claimForRestart(r *run) {
 	s, g := r.task.step, r.gang
-	if g == nil || g.broken || !c.isUrgent(s) || !c.has(MechRestartClaims) {
+	if g == nil || g.interrupted || !c.isInUrgentQueue(s) || !c.enabled(MechRestartClaims) {
 		return
 	}
-	var rooms []*room
-	byWorker := make(map[*worker]*room)
+	var workers []*workerCapacity
+	byWorker := make(map[*worker]*workerCapacity)
 	for i := range s.tasks {
 		for _, member := range s.tasks[i].runs {
 			if member.gang != g {
@@ -65,17 +65,17 @@
 				return
 			}
 			if byWorker[w] == nil {
-				byWorker[w] = &room{worker: w}
+				byWorker[w] = &workerCapacity{worker: w}
 			}
-			rooms = append(rooms, byWorker[w])
+			workers = append(workers, byWorker[w])
 		}
 	}
-	slices.SortStableFunc(rooms, func(a, b *room) int { return cmp.Compare(a.ID, b.ID) })
-	s.claim = &claim{places: placesOf(rooms)}
+	slices.SortStableFunc(workers, func(a, b *workerCapacity) int { return cmp.Compare(a.ID, b.ID) })
+	s.claim = &claim{places: claimedPlaces(workers)}
 }
 
-// isUrgent reports whether a step's queue is of the first priority.
-func (c *Core) isUrgent(s *step) bool {
+// isInUrgentQueue reports whether a step's queue has the highest priority.
+func (c *Core) isInUrgentQueue(s *step) bool {
 	if c.config == nil {
 		return false
 	}
@@ -83,9 +83,9 @@
 	return q != nil && q.Priority == 0
 }
 
-// applyRestartClaims takes the room that gangs will start again in, while their members are
-// still ending, out of the rooms.
-func (c *Core) applyRestartClaims(pools map[string][]*room) {
+// applyRestartClaims subtracts the capacity in which gangs will restart while their members are
+// still ending.
+func (c *Core) applyRestartClaims(pools map[string][]*workerCapacity) {
 	for _, s := range c.restarting {
 		need := s.spec.Counted()
 		for _, r := range pools[c.config.Queue(s.job.Queue).Pool] {
@@ -94,41 +94,41 @@
 					continue
 				}
 				ending := int64(c.runsOf(s, r.worker))
-				r.soon = r.soon.Sub(need.Times(place.slots))
+				r.freeSoon = r.freeSoon.Sub(need.Times(place.slots))
 				r.free = r.free.Sub(need.Times(max(place.slots-ending, 0)))
 			}
 		}
 	}
 }
 
-// applyClaims takes what is claimed out of the rooms before any step looks at them.
-// A claim that will not come true any more is dropped: a worker of it is gone or
-// was taken for work that was met there.
-func (c *Core) applyClaims(pendingSteps []*pendingStep, pools map[string][]*room) {
-	for _, u := range pendingSteps {
+// applyClaims subtracts claimed capacity before any step is placed. A claim that can no longer
+// be satisfied is dropped: one of its workers is gone, or its capacity is used by an adopted
+// run.
+func (c *Core) applyClaims(pending []*pendingStep, pools map[string][]*workerCapacity) {
+	for _, u := range pending {
 		if u.step.claim == nil {
 			continue
 		}
-		u.claimed = c.roomsOf(u, pools[u.queue.Pool])
-		if u.claimed == nil {
+		u.claimedCapacity = c.capacityOfClaim(u, pools[u.queue.Pool])
+		if u.claimedCapacity == nil {
 			u.step.claim = nil
 			continue
 		}
-		takeRoom(u, u.claimed)
+		takeCapacity(u, u.claimedCapacity)
 	}
 }
 
-// roomsOf is the claimed room for each task of a step, or nil where the claim does
-// not hold any more.
-func (c *Core) roomsOf(u *pendingStep, rooms []*room) []*room {
-	byWorker := make(map[*worker]*room, len(rooms))
-	for _, r := range rooms {
+// capacityOfClaim returns the claimed worker for each task of a step, or nil if the claim no
+// longer holds.
+func (c *Core) capacityOfClaim(u *pendingStep, workers []*workerCapacity) []*workerCapacity {
+	byWorker := make(map[*worker]*workerCapacity, len(workers))
+	for _, r := range workers {
 		byWorker[r.worker] = r
 	}
-	var list []*room
+	var list []*workerCapacity
 	for _, place := range u.step.claim.places {
 		r := byWorker[place.worker]
-		if r == nil || !r.soon.Holds(u.step.spec.Counted().Times(place.slots)) || len(c.eligible(u, []*room{r})) == 0 {
+		if r == nil || !r.freeSoon.Holds(u.step.spec.Counted().Times(place.slots)) || len(c.eligible(u, []*workerCapacity{r})) == 0 {
 			return nil
 		}
 		for range place.slots {
@@ -141,17 +141,17 @@
 	return list
 }
 
-// release gives a step's claimed room back for its own turn.
-func (u *pendingStep) release() {
+// releaseClaim returns a step's claimed capacity so that the step itself can be placed.
+func (u *pendingStep) releaseClaim() {
 	need := u.step.spec.Counted()
-	for _, r := range u.claimed {
-		r.soon, r.free = r.soon.Add(need), r.free.Add(need)
+	for _, r := range u.claimedCapacity {
+		r.freeSoon, r.free = r.freeSoon.Add(need), r.free.Add(need)
 	}
 }
 
-// areFree reports whether each task has its room now.
-func areFree(places []*room, need workload.Resources) bool {
-	taken := make(map[*room]workload.Resources, len(places))
+// allFree reports whether every task's place is free now.
+func allFree(places []*workerCapacity, need workload.Resources) bool {
+	taken := make(map[*workerCapacity]workload.Resources, len(places))
 	for _, r := range places {
 		taken[r] = taken[r].Add(need)
 	}
--- a/internal/dispatch/completions.go
+++ b/internal/dispatch/completions.go
@@ -6,107 +6,107 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// takeCompletions takes in the ends that a worker lists, in their order.
-func (c *Core) takeCompletions(w *worker, list []workload.Ended) {
+// receiveCompletions processes the completions that a worker lists, in their order.
+func (c *Core) receiveCompletions(w *worker, list []workload.Ended) {
 	for _, e := range list {
-		if e.Number <= w.heard {
+		if e.Number <= w.lastCompletion {
 			continue
 		}
-		w.heard = e.Number
+		w.lastCompletion = e.Number
 		j := c.jobs[e.Task.Job]
-		before := uint64(0)
+		previous := uint64(0)
 		if j != nil {
-			before = j.changed
+			previous = j.revision
 		}
-		c.takeEnd(w, e)
-		if j != nil && j.changed > j.stored && (j.changed > before || c.dirty[j.ID] != nil) {
-			w.unpersisted = append(w.unpersisted, unpersistedEnd{e.Number, j, j.changed})
+		c.applyCompletion(w, e)
+		if j != nil && j.revision > j.storedRevision && (j.revision > previous || c.dirty[j.ID] != nil) {
+			w.unpersisted = append(w.unpersisted, unpersistedCompletion{e.Number, j, j.revision})
 		}
 	}
 	c.advanceAcknowledgeable(w)
 }
 
-// advanceAcknowledgeable moves on what may be acknowledged: all ends before the first whose
-// record is not in the store.
+// advanceAcknowledgeable updates the last completion that may be acknowledged: the one before
+// the first whose job record is not stored yet.
 func (c *Core) advanceAcknowledgeable(w *worker) {
-	for len(w.unpersisted) > 0 && w.unpersisted[0].job.stored >= w.unpersisted[0].change {
+	for len(w.unpersisted) > 0 && w.unpersisted[0].job.storedRevision >= w.unpersisted[0].revision {
 		w.unpersisted = w.unpersisted[1:]
 	}
-	persisted := w.heard
+	acknowledgeable := w.lastCompletion
 	if len(w.unpersisted) > 0 {
-		persisted = w.unpersisted[0].number - 1
+		acknowledgeable = w.unpersisted[0].number - 1
 	} else {
 		w.unpersisted = nil
 	}
-	if persisted > w.persisted {
-		w.persisted = persisted
-		w.nextPoll = time.Time{}
+	if acknowledgeable > w.acknowledgeable {
+		w.acknowledgeable = acknowledgeable
+		w.nextPollAt = time.Time{}
 	}
 }
 
-// takeEnd takes in one end.
-func (c *Core) takeEnd(w *worker, e workload.Ended) {
+// applyCompletion applies one completion to its run, task and job.
+func (c *Core) applyCompletion(w *worker, e workload.Ended) {
 	t := c.task(e.Task)
 	if t == nil {
 		return
 	}
 	r := w.runs[runKey{e.Task, e.Attempt}]
 	if e.Checkpoint != "" {
-		c.save(t, e.Checkpoint)
+		c.saveCheckpoint(t, e.Checkpoint)
 	}
 	switch e.Kind {
 	case workload.EndDone:
-		c.done(t, r)
+		c.taskCompleted(t, r)
 	case workload.EndFailed:
-		c.failed(t, e.Attempt)
+		c.recordFailure(t, e.Attempt)
 	}
 	switch {
 	case r != nil:
-		w.health.ended(e, c.now)
-		c.ended(r, e.Kind)
-	case t.takeEarlier(e.Attempt):
+		w.health.recordCompletion(e, c.now)
+		c.runEnded(r, e.Kind)
+	case t.takeEarlierAttempt(e.Attempt):
 		c.endAttempt(t, e.Attempt)
 	}
 }
 
-// save notes a checkpoint, if it is of use.
-func (c *Core) save(t *task, checkpoint string) {
+// saveCheckpoint records a checkpoint unless the task no longer needs it.
+func (c *Core) saveCheckpoint(t *task, checkpoint string) {
 	j := t.step.job
-	if !t.step.spec.Checkpoints || j.record.Final != "" || t.done || j.record.Saved[t.name()] == checkpoint {
+	if !t.step.spec.Checkpoints || j.record.Final != "" || t.done || j.record.Checkpoints[t.recordKey()] == checkpoint {
 		return
 	}
-	j.record.setSaved(t.name(), checkpoint)
-	c.change(j)
+	j.record.setCheckpoint(t.recordKey(), checkpoint)
+	c.markChanged(j)
 }
 
-// ended forgets a run that has ended.
-func (c *Core) ended(r *run, kind workload.EndKind) {
+// runEnded removes a run that has ended.
+func (c *Core) runEnded(r *run, kind workload.EndKind) {
 	if r.checkpoint != "" && kind != workload.EndDone {
-		c.save(r.task, r.checkpoint)
+		c.saveCheckpoint(r.task, r.checkpoint)
 	}
 	if kind != workload.EndDone {
 		if kind == workload.EndFailed {
 			c.claimForRestart(r)
 		}
-		c.breakGang(r, "a member ended "+string(kind))
+		c.interruptGang(r, "a member ended "+string(kind))
 	}
 	c.detach(r)
 }
 
-// done notes that a task is done; one member of a gang stands for all.
-func (c *Core) done(t *task, r *run) {
+// taskCompleted marks a task as done; one completed member completes the whole gang.
+func (c *Core) taskCompleted(t *task, r *run) {
 	s := t.step
 	if s.spec.Lasting || s.job.record.Final != "" {
 		return
 	}
 	if r != nil && !t.done {
-		c.estimates.learn(s, c.now.Sub(r.since), r.percentAtStart)
+		c.estimates.learn(s, c.now.Sub(r.since), r.initialPercent)
 	}
 	if !s.spec.Gang {
-		c.taskDone(t, r)
+		c.markTaskDone(t, r)
 	} else {
 		for i := range s.tasks {
-			c.taskDone(&s.tasks[i], r)
+			c.markTaskDone(&s.tasks[i], r)
 		}
 		if r != nil {
 			r.gang.done = true
@@ -115,21 +115,21 @@
 	c.finishIfDone(s.job)
 }
 
-// taskDone notes that a task is done by a run, and stops what else runs of it:
-// copies, and runs that were started after the worker was taken for lost. The
-// members of the gang that is done end by themselves.
-func (c *Core) taskDone(t *task, by *run) {
+// markTaskDone marks a task as done and stops its other runs: speculative copies, and runs that
+// were started after the worker was considered lost. The members of the completed gang end by
+// themselves.
+func (c *Core) markTaskDone(t *task, completedBy *run) {
 	if t.done {
 		return
 	}
 	t.done = true
 	s := t.step
-	s.open--
-	s.job.record.setDone(stepName(s.occurrence, s.number), t.index, len(s.tasks))
-	c.change(s.job)
+	s.openTasks--
+	s.job.record.setDone(stepKey(s.occurrence, s.number), t.index, len(s.tasks))
+	c.markChanged(s.job)
 	for _, other := range t.runs {
-		sameGang := by != nil && by.gang != nil && other.gang == by.gang
-		if other != by && !sameGang {
+		sameGang := completedBy != nil && completedBy.gang != nil && other.gang == completedBy.gang
+		if other != completedBy && !sameGang {
 			c.stop(other, "done elsewhere")
 		}
 	}
@@ -137,33 +137,33 @@
 
 func (c *Core) finishIfDone(j *job) {
 	for _, s := range j.steps {
-		if s.open > 0 {
+		if s.openTasks > 0 {
 			return
 		}
 	}
 	if j.record.Final == "" {
-		c.final(j, FinalCompleted)
+		c.finish(j, FinalCompleted)
 	}
 }
 
-// failed counts a failed attempt of a task, or of a gang once for all members.
-func (c *Core) failed(t *task, attempt int64) {
+// recordFailure counts a failed attempt of a task, once per gang attempt.
+func (c *Core) recordFailure(t *task, attempt int64) {
 	s := t.step
 	j := s.job
 	if s.spec.Lasting || t.done || j.record.Final != "" {
 		return
 	}
-	if !j.record.addFailed(t.name(), attempt) {
+	if !j.record.addFailed(t.recordKey(), attempt) {
 		return
 	}
-	c.change(j)
-	if len(j.record.Failed[t.name()]) >= c.attemptsOf(j) {
-		c.final(j, FinalFailed)
+	c.markChanged(j)
+	if len(j.record.Failed[t.recordKey()]) >= c.maxAttempts(j) {
+		c.finish(j, FinalFailed)
 	}
 }
 
-// attemptsOf is how often a task of the job may fail.
-func (c *Core) attemptsOf(j *job) int {
+// maxAttempts returns the number of failed attempts after which a task fails its job.
+func (c *Core) maxAttempts(j *job) int {
 	if c.config != nil {
 		if q := c.config.Queue(j.Queue); q != nil {
 			return max(q.Attempts, 1)
@@ -172,37 +172,37 @@
 	return 1
 }
 
-// breakGang stops the rest of a gang after one member did not start, ended
-// without being done, or may not run.
-func (c *Core) breakGang(r *run, reason string) {
-	if g := r.gang; g != nil && !g.broken && !g.done {
+// interruptGang stops the remaining members of a gang after one member did not start, ended
+// without completing, or may not run.
+func (c *Core) interruptGang(r *run, reason string) {
+	if g := r.gang; g != nil && !g.interrupted && !g.done {
 		c.stopGang(r.task.step, g, r, reason)
 	}
 }
 
-// stopGang stops all members of a gang but one, which may be nil.
-func (c *Core) stopGang(s *step, g *gang, but *run, reason string) {
-	g.broken = true
-	s.job.broken++
+// stopGang stops all members of a gang except one, which may be nil.
+func (c *Core) stopGang(s *step, g *gang, except *run, reason string) {
+	g.interrupted = true
+	s.job.interruptions++
 	for i := range s.tasks {
 		for _, r := range s.tasks[i].runs {
-			if r.gang == g && r != but {
+			if r.gang == g && r != except {
 				c.stop(r, "gang broken: "+reason)
 			}
 		}
 	}
 }
 
-// breakPartial stops gangs of which an earlier epoch started only some members:
-// its leader was replaced between two orders. Once no other member can run
-// unseen, the ones that wait would only wait for ever.
-func (c *Core) breakPartial() {
+// interruptPartialGangs stops gangs of which an earlier epoch started only some members because
+// its leader was replaced between two orders. Once no other member can be running unseen, the
+// started ones would wait forever.
+func (c *Core) interruptPartialGangs() {
 	for _, j := range c.queue {
-		if !j.old || j.runs == 0 || c.mayRunUnsynced(j) {
+		if !j.fromEarlierEpoch || j.runs == 0 || c.mayRunUnsynced(j) {
 			continue
 		}
 		for _, s := range j.steps {
-			if g := s.gang; g != nil && g.runs < s.open && !g.broken && !g.done {
+			if g := s.gang; g != nil && g.runs < s.openTasks && !g.interrupted && !g.done {
 				c.stopGang(s, g, nil, "members are missing")
 			}
 		}
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -10,57 +10,57 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// bench drives a core against workers that do as they are told.
+// bench drives a core against fake workers that follow their orders.
 type bench struct {
 	t       testing.TB
 	core    *Core
 	now     time.Time
 	wallMS  int64
 	workers map[string]*fakeWorker
-	// silent workers answer nothing; what is sent to them is not carried out.
-	silent map[string]bool
-	// refusing workers refuse connections: what is sent to them is not carried out, and
-	// what runs there may run on behind a cut.
+	// unresponsive workers answer nothing and carry nothing out.
+	unresponsive map[string]bool
+	// refusing workers refuse connections and carry nothing out; their runs may continue behind
+	// a network partition.
 	refusing map[string]bool
-	// replaced workers are over: another life answers at their address.
+	// replaced workers are over: another incarnation answers at their address.
 	replaced map[string]bool
-	// unlisted workers are missing in the platform's list.
+	// unlisted workers are missing from the platform's list.
 	unlisted      map[string]bool
 	starts, stops int
-	// startedAt are the workers of all starts, answered or not, in their order.
-	startedAt []string
-	// zones names the zones of racks that have one.
+	// startHosts holds the workers of all starts in order, answered or not.
+	startHosts []string
+	// zones maps racks to their zones; racks without an entry have none.
 	zones map[string]string
-	// leaving holds how long workers have left that leave.
-	leaving map[string]time.Duration
-	// ignoreStops, if it says so, leaves stops unanswered and undone.
-	ignoreStops func() bool
-	// stopTakes is how long a run goes on after its stop was answered.
+	// leavesIn holds the remaining time of leaving workers.
+	leavesIn map[string]time.Duration
+	// dropStops, if set, reports whether to leave stops unanswered and undone.
+	dropStops func() bool
+	// stopTakes is how long a run continues after its stop was answered.
 	stopTakes time.Duration
-	// answer is the placement advisor.
-	answer  func(workload.Question) workload.Counsel
+	// advise is the placement advisor.
+	advise  func(workload.Question) workload.Counsel
 	tickets map[string]bool
-	// told is what the core said of waiting steps.
+	// reasons are the logged reasons of waiting steps.
 	reasons []string
-	// lost are the runs that it took for lost.
-	lost []Action
+	// lostRuns are the actions for lost runs.
+	lostRuns []Action
 }
 
 type fakeWorker struct {
-	room    workload.Resources
-	running map[runKey]*fakeRun
-	ended   []workload.Ended
-	number  int64
-	closed  map[workload.TaskID]int64
-	// leaseMS is until when what runs there may, on the worker's clock.
-	leaseMS int64
+	capacity workload.Resources
+	running  map[runKey]*fakeRun
+	ended    []workload.Ended
+	number   int64
+	closed   map[workload.TaskID]int64
+	// leaseUntilMS is the time, on the worker's clock, until which its runs may continue.
+	leaseUntilMS int64
 }
 
 type fakeRun struct {
 	need       workload.Resources
-	began      time.Time
+	startedAt  time.Time
 	checkpoint string
-	// stopAt is when a stop takes effect; zero while none is under way.
+	// stopAt is the time at which a stop takes effect; zero if none is in progress.
 	stopAt time.Time
 }
 
@@ -69,22 +69,22 @@
 	StatusKept: 2 * time.Minute, RemoteFactor: 3,
 }
 
-var epochStart = time.Unix(1_000_000, 0)
+var testStart = time.Unix(1_000_000, 0)
 
 func newBench(t testing.TB, workers int, earlier bool) *bench {
-	b := &bench{t: t, now: epochStart, wallMS: 1_700_000_000_000, workers: make(map[string]*fakeWorker), silent: make(map[string]bool)}
-	b.leaving, b.tickets = make(map[string]time.Duration), make(map[string]bool)
+	b := &bench{t: t, now: testStart, wallMS: 1_700_000_000_000, workers: make(map[string]*fakeWorker), unresponsive: make(map[string]bool)}
+	b.leavesIn, b.tickets = make(map[string]time.Duration), make(map[string]bool)
 	b.refusing, b.unlisted, b.replaced = make(map[string]bool), make(map[string]bool), make(map[string]bool)
-	var before time.Time
+	var earlierOrdersUntil time.Time
 	if earlier {
-		before = b.now
+		earlierOrdersUntil = b.now
 	}
-	b.core = New(testBounds, 2, b.now, before)
+	b.core = New(testBounds, 2, b.now, earlierOrdersUntil)
 	b.core.Configure(testConfig())
 	for n := range workers {
 		b.addWorker(fmt.Sprintf("w%02d", n))
 	}
-	b.list()
+	b.listWorkers()
 	return b
 }
 
@@ -103,29 +103,29 @@
 
 func (b *bench) addWorker(id string) {
 	b.workers[id] = &fakeWorker{
-		room: workload.Resources{MilliCPU: 32000, MemoryMB: 64000, Accelerators: 8}, running: make(map[runKey]*fakeRun),
+		capacity: workload.Resources{MilliCPU: 32000, MemoryMB: 64000, Accelerators: 8}, running: make(map[runKey]*fakeRun),
 		closed: make(map[workload.TaskID]int64),
 	}
 }
 
-func (b *bench) list() {
+func (b *bench) listWorkers() {
 	var list []workload.Worker
 	for id, w := range b.workers {
 		if b.unlisted[id] {
 			continue
 		}
-		left, leaving := b.leaving[id]
+		timeLeft, leaving := b.leavesIn[id]
 		rack := "r" + id[1:len(id)-1]
 		list = append(list, workload.Worker{
-			ID: id, Addr: id[1:], Pool: "pool", Zone: b.zones[rack], Rack: rack, Room: w.room, Leaving: leaving, LeavesInMS: left.Milliseconds(),
+			ID: id, Addr: id[1:], Pool: "pool", Zone: b.zones[rack], Rack: rack, Room: w.capacity, Leaving: leaving, LeavesInMS: timeLeft.Milliseconds(),
 		})
 	}
 	b.core.Listed(list, b.now, b.wallMS)
 }
 
-func (b *bench) clock() int64 { return b.now.UnixMilli() }
+func (b *bench) workerClock() int64 { return b.now.UnixMilli() }
 
-// round lets the core decide and carries out everything at once.
+// round runs decisions and executes all actions immediately.
 func (b *bench) round() {
 	for range 6 {
 		b.core.Stored(b.core.Unstored(len(b.workers)))
@@ -134,7 +134,7 @@
 			return
 		}
 		for _, a := range actions {
-			b.carryOut(a)
+			b.execute(a)
 		}
 		if list := b.core.Unpersisted(50); len(list) > 0 {
 			b.core.Recorded(list, b.now, b.wallMS)
@@ -142,9 +142,9 @@
 	}
 }
 
-func (b *bench) carryOut(a Action) {
+func (b *bench) execute(a Action) {
 	if a.Kind == ActLost {
-		b.lost = append(b.lost, a)
+		b.lostRuns = append(b.lostRuns, a)
 		return
 	}
 	if a.Kind == ActReason {
@@ -152,24 +152,24 @@
 		return
 	}
 	if a.Kind == ActAsk {
-		b.core.Advised(a.Ask, b.answer(a.Ask), b.now, b.wallMS)
+		b.core.Advised(a.Ask, b.advise(a.Ask), b.now, b.wallMS)
 		return
 	}
 	id := a.Order.Worker + a.Poll.Worker
 	if a.Kind == ActStart {
-		b.startedAt = append(b.startedAt, id)
+		b.startHosts = append(b.startHosts, id)
 	}
 	w := b.workers[id]
 	if b.replaced[id] {
-		b.withoutAnswer(a, workload.VerdictGone)
+		b.answerWith(a, workload.VerdictGone)
 		return
 	}
 	if b.refusing[id] {
-		b.withoutAnswer(a, workload.VerdictClosed)
+		b.answerWith(a, workload.VerdictClosed)
 		return
 	}
-	if w == nil || b.silent[id] || a.Kind == ActStop && b.ignoreStops != nil && b.ignoreStops() {
-		b.withoutAnswer(a, workload.VerdictUnknown)
+	if w == nil || b.unresponsive[id] || a.Kind == ActStop && b.dropStops != nil && b.dropStops() {
+		b.answerWith(a, workload.VerdictUnknown)
 		return
 	}
 	switch a.Kind {
@@ -178,22 +178,22 @@
 		if a.Order.Ticket != "" {
 			b.tickets[a.Order.Ticket] = true
 		}
-		b.core.StartAnswered(a.Order, b.begin(w, a.Order), b.now, b.wallMS)
+		b.core.StartAnswered(a.Order, b.startRun(w, a.Order), b.now, b.wallMS)
 	case ActStop:
 		b.stops++
 		if r := w.running[runKey{a.Order.Task, a.Order.Attempt}]; r != nil && b.stopTakes > 0 {
 			r.stopAt = b.now.Add(b.stopTakes)
 		} else {
-			b.end(w, a.Order.Task, a.Order.Attempt, workload.EndStopped)
+			b.endRun(w, a.Order.Task, a.Order.Attempt, workload.EndStopped)
 		}
 		w.closed[a.Order.Task] = max(w.closed[a.Order.Task], a.Order.Attempt)
-		b.core.StopAnswered(a.Order, workload.Receipt{ClockMS: b.clock()}, b.now, b.wallMS)
+		b.core.StopAnswered(a.Order, workload.Receipt{ClockMS: b.workerClock()}, b.now, b.wallMS)
 	case ActPoll:
 		b.core.PollAnswered(a, b.report(w, a.Poll), b.now, b.wallMS)
 	}
 }
 
-func (b *bench) withoutAnswer(a Action, verdict workload.Verdict) {
+func (b *bench) answerWith(a Action, verdict workload.Verdict) {
 	switch a.Kind {
 	case ActStart:
 		b.core.StartAnswered(a.Order, workload.Receipt{Verdict: verdict}, b.now, b.wallMS)
@@ -204,23 +204,23 @@
 	}
 }
 
-// begin starts a run; it fails the test if the room is not there.
-func (b *bench) begin(w *fakeWorker, o workload.Order) workload.Receipt {
+// startRun starts a run; it fails the test if the worker lacks the capacity.
+func (b *bench) startRun(w *fakeWorker, o workload.Order) workload.Receipt {
 	if o.Attempt <= w.closed[o.Task] {
-		return workload.Receipt{Verdict: workload.VerdictOld, ClockMS: b.clock()}
+		return workload.Receipt{Verdict: workload.VerdictOld, ClockMS: b.workerClock()}
 	}
-	w.leaseMS = max(w.leaseMS, o.UntilMS)
+	w.leaseUntilMS = max(w.leaseUntilMS, o.UntilMS)
 	need := b.core.task(o.Task).step.spec.Counted()
-	w.running[runKey{o.Task, o.Attempt}] = &fakeRun{need: need, began: b.now, checkpoint: o.Checkpoint}
+	w.running[runKey{o.Task, o.Attempt}] = &fakeRun{need: need, startedAt: b.now, checkpoint: o.Checkpoint}
 	var used workload.Resources
 	for _, r := range w.running {
 		used = used.Add(r.need)
 	}
-	assert.Assert(b.t, w.room.Holds(used), "%s is over its room: %+v", o.Worker, used)
-	return workload.Receipt{ClockMS: b.clock()}
+	assert.Assert(b.t, w.capacity.Holds(used), "%s exceeds its capacity: %+v", o.Worker, used)
+	return workload.Receipt{ClockMS: b.workerClock()}
 }
 
-func (b *bench) end(w *fakeWorker, task workload.TaskID, attempt int64, kind workload.EndKind) {
+func (b *bench) endRun(w *fakeWorker, task workload.TaskID, attempt int64, kind workload.EndKind) {
 	key := runKey{task, attempt}
 	if w.running[key] == nil {
 		return
@@ -231,8 +231,8 @@
 }
 
 func (b *bench) report(w *fakeWorker, poll workload.Poll) workload.Report {
-	w.leaseMS = max(w.leaseMS, poll.UntilMS)
-	report := workload.Report{ClockMS: b.clock()}
+	w.leaseUntilMS = max(w.leaseUntilMS, poll.UntilMS)
+	report := workload.Report{ClockMS: b.workerClock()}
 	for key := range w.running {
 		report.Running = append(report.Running, workload.Running{Task: key.task, Attempt: key.attempt})
 	}
@@ -247,16 +247,16 @@
 	return report
 }
 
-// endAll ends everything that runs on every worker.
+// endAll ends all runs on all workers.
 func (b *bench) endAll(kind workload.EndKind) {
 	for _, w := range b.workers {
 		for key := range w.running {
-			b.end(w, key.task, key.attempt, kind)
+			b.endRun(w, key.task, key.attempt, kind)
 		}
 	}
 }
 
-func (b *bench) pass(d time.Duration) {
+func (b *bench) advance(d time.Duration) {
 	for until := b.now.Add(d); b.now.Before(until); {
 		b.now = b.now.Add(50 * time.Millisecond)
 		b.wallMS += 50
@@ -270,7 +270,7 @@
 	for _, w := range b.workers {
 		for key, r := range w.running {
 			if !r.stopAt.IsZero() && !b.now.Before(r.stopAt) {
-				b.end(w, key.task, key.attempt, workload.EndStopped)
+				b.endRun(w, key.task, key.attempt, workload.EndStopped)
 			}
 		}
 	}
@@ -289,10 +289,10 @@
 	return count
 }
 
-// leave makes a worker say that it leaves.
-func (b *bench) leave(id string, left time.Duration) {
-	b.leaving[id] = left
-	b.list()
+// announceLeaving lists a worker as leaving.
+func (b *bench) announceLeaving(id string, timeLeft time.Duration) {
+	b.leavesIn[id] = timeLeft
+	b.listWorkers()
 }
 
 // hostOf returns a worker that a job runs on.
@@ -313,37 +313,37 @@
 	}}}
 }
 
-func (b *bench) state(id string) Final { return b.core.jobs[id].record.Final }
+func (b *bench) finalState(id string) Final { return b.core.jobs[id].record.Final }
 
 func TestAGangRunsWholeAndEndsTogether(t *testing.T) {
 	b := newBench(t, 3, false)
 	b.add(gangJob("a", "batch", "other", 3, 8))
 	b.add(gangJob("b", "batch", "other", 2, 8))
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	assert.Equal(t, b.running(), 3, "the second gang must wait whole")
 	b.endAll(workload.EndDone)
-	b.pass(2 * time.Second)
-	assert.Equal(t, b.state("a"), FinalCompleted)
+	b.advance(2 * time.Second)
+	assert.Equal(t, b.finalState("a"), FinalCompleted)
 	assert.Equal(t, b.running(), 2)
 }
 
 func TestWhatRunsOfAJobThatIsOverTakesRoomUntilItIsGone(t *testing.T) {
 	b := newBench(t, 1, true)
 	w := b.workers["w00"]
-	over := gangJob("over", "batch", "other", 1, 8)
-	overdueUse := runKey{workload.TaskID{Job: "over"}, 1_000_001}
-	w.running[overdueUse] = &fakeRun{need: workload.Resources{Accelerators: 8}}
-	b.core.AddJob(over, Record{}, true, b.now, b.wallMS)
-	b.core.dropFinished() // the job is over and has no run that this epoch knows of
+	cancelled := gangJob("over", "batch", "other", 1, 8)
+	key := runKey{workload.TaskID{Job: "over"}, 1_000_001}
+	w.running[key] = &fakeRun{need: workload.Resources{Accelerators: 8}}
+	b.core.AddJob(cancelled, Record{}, true, b.now, b.wallMS)
+	b.core.dropFinished() // the job is cancelled and has no run known to this epoch
 	actions := b.core.Decide(b.now, b.wallMS)
 	assert.Equal(t, len(actions), 1)
-	b.carryOut(actions[0])
+	b.execute(actions[0])
 	b.add(gangJob("next", "batch", "other", 1, 8))
 	for _, a := range b.core.Decide(b.now, b.wallMS) {
-		assert.Assert(t, a.Kind != ActStart, "started beside a run that is still being stopped")
-		b.carryOut(a)
+		assert.Assert(t, a.Kind != ActStart, "started while an old run was still being stopped")
+		b.execute(a)
 	}
-	b.pass(time.Second)
-	assert.Assert(t, w.running[overdueUse] == nil)
+	b.advance(time.Second)
+	assert.Assert(t, w.running[key] == nil)
 	assert.Equal(t, b.running(), 1)
 }
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -9,41 +9,43 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file counts the workers that went down under each task, and gives a job up of
-// which a task takes its workers down. When that is, and why, quarantine/crashes.go says;
-// recorded.go has later leaders know of the count.
+// Crash accounting counts the workers that crashed while they ran each task, and permanently
+// fails a job with a task that crashes its workers. The limits and their reasons are in
+// quarantine/crashes.go; recorded.go carries the count over to later leaders.
 
-// crashHistory is what is known of the workers that went down under a task.
+// crashHistory holds the worker crashes counted against a task.
 type crashHistory struct {
 	quarantine.Crashes
-	// earlier are the recorded attempts of earlier leaders of which nothing was seen yet.
-	earlier []int64
-	// next is the attempt reserved for the next start, zero if none is. The job's record
-	// has it with nextChange, which was made at nextAsked.
-	next       int64
-	nextChange uint64
-	nextAsked  time.Time
+	// earlierAttempts are recorded attempts of earlier leaders that this leader has not seen
+	// yet.
+	earlierAttempts []int64
+	// reservedAttempt is the attempt reserved for the next start, or zero. The job's record
+	// contains it as of reservedRevision, created at reservedAt.
+	reservedAttempt  int64
+	reservedRevision uint64
+	reservedAt       time.Time
 }
 
-// lapsedRun is a run whose worker fell silent: the worker may have crashed, or be cut off.
-type lapsedRun struct {
-	task     *task
-	attempt  int64
-	recorded bool
-	// copies is how often its start was sent.
-	copies int
-	// confirmed runs were there: the worker had said so. shared ones were lost as many
-	// workers went down.
+// lostAttempt is a run whose worker stopped responding or was replaced: the worker may have
+// crashed or be partitioned.
+type lostAttempt struct {
+	task            *task
+	attempt         int64
+	attemptRecorded bool
+	// startsSent is the number of times its start was sent.
+	startsSent int
+	// confirmed is set if the worker had reported the run, shared if many workers crashed at
+	// the same time.
 	confirmed, shared bool
 	ran               time.Duration
 	since             time.Time
 }
 
-// ownName is the task's name in the record of crashes. Members of a gang do not share it:
-// one may take its worker down and the others not.
-func (t *task) ownName() string { return taskName(t.step.occurrence, t.step.number, t.index) }
+// crashKey is the task's key in the crash records. Gang members have separate keys: one may
+// crash its worker while the others do not.
+func (t *task) crashKey() string { return taskKey(t.step.occurrence, t.step.number, t.index) }
 
-// ensureCrashes returns the crash history of a task, to add to it.
+// ensureCrashes returns the crash history of a task, creating it if needed.
 func (t *task) ensureCrashes() *crashHistory {
 	if t.crashes == nil {
 		t.crashes = &crashHistory{}
@@ -58,168 +60,170 @@
 	return t.crashes.Decide()
 }
 
-// over reports whether it no longer matters what a task does.
-func (t *task) over() bool { return t.done || t.step.job.record.Final != "" }
+// isFinished reports whether the task is done or its job final, so that its crashes no longer
+// matter.
+func (t *task) isFinished() bool { return t.done || t.step.job.record.Final != "" }
 
-// loadCrashes takes what the record holds against a task.
+// loadCrashes loads the crash history of a task from its job's record.
 func (t *task) loadCrashes() {
 	j := t.step.job
-	record, name := &j.record, t.ownName()
-	if len(record.Crashed[name])+len(record.Shared[name])+len(record.Unanswered[name])+len(record.Attempts[name]) == 0 {
+	record, key := &j.record, t.crashKey()
+	if len(record.Crashed[key])+len(record.Shared[key])+len(record.Unanswered[key])+len(record.Attempts[key]) == 0 {
 		return
 	}
-	t.countRecorded()
-	t.crashes.earlier = slices.Clone(record.Attempts[name])
-	j.hasEarlier = j.hasEarlier || len(t.crashes.earlier) > 0
+	t.refreshCounts()
+	t.crashes.earlierAttempts = slices.Clone(record.Attempts[key])
+	j.hasEarlierAttempts = j.hasEarlierAttempts || len(t.crashes.earlierAttempts) > 0
 }
 
-// countRecorded brings a task's counts in line with the record.
-func (t *task) countRecorded() {
-	record, name := &t.step.job.record, t.ownName()
+// refreshCounts updates a task's crash counts from the record.
+func (t *task) refreshCounts() {
+	record, key := &t.step.job.record, t.crashKey()
 	h := t.ensureCrashes()
-	h.Seen, h.Shared, h.Unsure = len(record.Crashed[name]), len(record.Shared[name]), len(record.Unanswered[name])
+	h.Seen, h.Shared, h.Unsure = len(record.Crashed[key]), len(record.Shared[key]), len(record.Unanswered[key])
 }
 
-// noteLost takes that a run was lost with its worker. Where the worker never said that it
-// was there, the answer to its start may still tell.
-func (c *Core) noteLost(r *run, cause LossCause) {
+// recordLostAttempt records that a run was lost with its worker. If the worker never confirmed
+// the run, the pending answer to its start may still settle it.
+func (c *Core) recordLostAttempt(r *run, cause LossCause) {
 	if r.worker.Leaving {
-		return // it went as it had said
+		return // the worker left as announced
 	}
-	lost := lapsedRun{task: r.task, attempt: r.attempt, recorded: r.recorded, copies: r.copies, confirmed: r.confirmed, ran: c.now.Sub(r.since), since: c.now}
-	r.recorded = false
-	if !lost.recorded && !r.task.over() {
-		lost.recorded = true
+	lost := lostAttempt{task: r.task, attempt: r.attempt, attemptRecorded: r.attemptRecorded, startsSent: r.startsSent, confirmed: r.confirmed, ran: c.now.Sub(r.since), since: c.now}
+	r.attemptRecorded = false
+	if !lost.attemptRecorded && !r.task.isFinished() {
+		lost.attemptRecorded = true
 		c.beginAttempt(r.task, r.attempt)
 	}
 	h := r.task.ensureCrashes()
 	switch {
 	case cause == LossReplaced && r.confirmed:
 		h.Recent++
-		c.crashed = append(c.crashed, lost)
+		c.unsettledCrashes = append(c.unsettledCrashes, lost)
 	case cause == LossReplaced && r.unanswered:
 		c.countCrash(lost)
 	default:
 		h.Possible++
-		r.worker.lapsed = append(r.worker.lapsed, lost)
+		r.worker.lostAttempts = append(r.worker.lostAttempts, lost)
 	}
 }
 
-// countCrash counts a crash against a task, and gives its job up at the limit.
-func (c *Core) countCrash(lost lapsedRun) {
+// countCrash counts a crash against a task, and fails its job permanently at the limit.
+func (c *Core) countCrash(lost lostAttempt) {
 	t := lost.task
-	if t.over() {
+	if t.isFinished() {
 		return
 	}
-	record, name := &t.step.job.record, t.ownName()
-	record.endAttempt(name, lost.attempt)
+	record, key := &t.step.job.record, t.crashKey()
+	record.endAttempt(key, lost.attempt)
 	switch {
 	case quarantine.Proven(lost.ran):
-		record.forgetCrashes(name)
+		record.forgetCrashes(key)
 	case lost.shared:
-		record.addShared(name, lost.attempt)
+		record.addShared(key, lost.attempt)
 	case lost.confirmed:
-		record.addCrash(name, lost.attempt)
+		record.addCrash(key, lost.attempt)
 	default:
-		record.addUnanswered(name, lost.attempt)
+		record.addUnanswered(key, lost.attempt)
 	}
-	t.countRecorded()
-	c.change(t.step.job)
+	t.refreshCounts()
+	c.markChanged(t.step.job)
 	if t.crashDecision() == quarantine.GiveUp {
-		c.giveUp(t)
+		c.failPermanently(t)
 	}
 }
 
-// giveUp ends the job of a task that takes its workers down.
-func (c *Core) giveUp(t *task) {
+// failPermanently ends the job of a task that crashes its workers.
+func (c *Core) failPermanently(t *task) {
 	j := t.step.job
-	attempts := slices.Concat(j.record.Crashed[t.ownName()], j.record.Shared[t.ownName()])
+	attempts := slices.Concat(j.record.Crashed[t.crashKey()], j.record.Shared[t.crashKey()])
 	c.actions = append(c.actions, Action{
 		Kind:  ActGaveUp,
 		Order: workload.Order{Task: t.id(), Epoch: c.epoch},
-		Reason: fmt.Sprintf("%d workers went down under it, in attempts %v; unanswered starts lost: %d",
+		Reason: fmt.Sprintf("%d workers crashed while running it, in attempts %v; unanswered starts lost: %d",
 			len(attempts), attempts, t.crashes.Unsure),
 	})
 	c.forgetMachineCrashes(attempts)
-	c.final(j, FinalFailed)
+	c.finish(j, FinalFailed)
 }
 
-// settle takes what has become of the worker of a run that lapsed.
-func (c *Core) settle(lost lapsedRun, crashed bool) {
+// settleLostAttempt applies the outcome of a lost attempt: whether its worker crashed or not.
+func (c *Core) settleLostAttempt(lost lostAttempt, crashed bool) {
 	lost.task.crashes.Possible--
 	switch {
 	case crashed && lost.confirmed:
 		lost.task.crashes.Recent++
 		lost.since = c.now
-		c.crashed = append(c.crashed, lost)
+		c.unsettledCrashes = append(c.unsettledCrashes, lost)
 	case crashed:
 		c.countCrash(lost)
-	case lost.recorded:
+	case lost.attemptRecorded:
 		c.endAttempt(lost.task, lost.attempt)
 	}
 }
 
-// settleCrashed settles crashes once it is known how many workers went down with theirs.
-func (c *Core) settleCrashed() {
-	for len(c.crashed) > 0 && c.now.Sub(c.crashed[0].since) > outageWithin {
-		lost := c.crashed[0]
-		c.crashed = c.crashed[1:]
+// settleCrashes counts crashes once the number of workers that crashed at the same time is
+// known.
+func (c *Core) settleCrashes() {
+	for len(c.unsettledCrashes) > 0 && c.now.Sub(c.unsettledCrashes[0].since) > outageWindow {
+		lost := c.unsettledCrashes[0]
+		c.unsettledCrashes = c.unsettledCrashes[1:]
 		lost.shared = c.inOutage(lost.task.step.job, lost.since)
 		lost.task.crashes.Recent--
 		c.countCrash(lost)
 	}
 }
 
-// settleLapsed does so for all runs that lapsed on a worker.
-func (c *Core) settleLapsed(w *worker, crashed bool) {
-	list := w.lapsed
-	w.lapsed = nil
+// settleLostAttempts settles all lost attempts of a worker.
+func (c *Core) settleLostAttempts(w *worker, crashed bool) {
+	list := w.lostAttempts
+	w.lostAttempts = nil
 	for _, lost := range list {
-		c.settle(lost, crashed)
+		c.settleLostAttempt(lost, crashed)
 	}
 }
 
-// answeredWithin is by when a start is answered or its call has timed out.
-const answeredWithin = time.Second
+// startAnswerTimeout is the time within which a start is answered or its call has timed out.
+const startAnswerTimeout = time.Second
 
-// settleReplaced takes that another life of a worker has answered. What its own answer
-// will settle waits for that.
+// settleReplaced settles the lost attempts of a worker that another incarnation has replaced.
+// Attempts that the answer to their own start will settle wait for that answer.
 func (c *Core) settleReplaced(w *worker) {
-	list := w.lapsed
-	w.lapsed = nil
+	list := w.lostAttempts
+	w.lostAttempts = nil
 	for _, lost := range list {
-		if !lost.confirmed && c.now.Sub(lost.since) < answeredWithin {
-			w.lapsed = append(w.lapsed, lost)
+		if !lost.confirmed && c.now.Sub(lost.since) < startAnswerTimeout {
+			w.lostAttempts = append(w.lostAttempts, lost)
 			continue
 		}
-		c.settle(lost, true)
+		c.settleLostAttempt(lost, true)
 	}
 }
 
-// settleUnheard takes workers for crashed that have been silent for so long that nothing
-// will be learned of them in time.
-func (c *Core) settleUnheard(w *worker) {
-	if len(w.lapsed) > 0 && c.now.Sub(w.lapsed[0].since) > slowest(c.bounds.LongestLease) {
-		c.settleLapsed(w, true)
+// settleUnresponsive counts workers as crashed that have been unresponsive for so long that
+// nothing more will be learned about them in time.
+func (c *Core) settleUnresponsive(w *worker) {
+	if len(w.lostAttempts) > 0 && c.now.Sub(w.lostAttempts[0].since) > maxElapsed(c.bounds.LongestLease) {
+		c.settleLostAttempts(w, true)
 	}
 }
 
-// startSettled takes the answer to a start whose run was lost meanwhile.
-func (c *Core) startSettled(w *worker, key runKey, verdict workload.Verdict) {
-	for i, lost := range w.lapsed {
+// settleLostStart processes the answer to a start whose run was lost in the meantime.
+func (c *Core) settleLostStart(w *worker, key runKey, verdict workload.Verdict) {
+	for i, lost := range w.lostAttempts {
 		if lost.task.id() != key.task || lost.attempt != key.attempt {
 			continue
 		}
 		lost.confirmed = verdict == workload.VerdictDone
-		carriedOut := lost.confirmed || verdict == workload.VerdictUnknown || lost.copies > 1
-		w.lapsed = append(w.lapsed[:i], w.lapsed[i+1:]...)
+		carriedOut := lost.confirmed || verdict == workload.VerdictUnknown || lost.startsSent > 1
+		w.lostAttempts = append(w.lostAttempts[:i], w.lostAttempts[i+1:]...)
 		switch {
 		case !carriedOut:
-			c.settle(lost, false)
-		case w.over:
-			c.settle(lost, true)
+			c.settleLostAttempt(lost, false)
+		case w.replaced:
+			c.settleLostAttempt(lost, true)
 		default:
-			w.lapsed = append(w.lapsed, lost)
+			w.lostAttempts = append(w.lostAttempts, lost)
 		}
 		return
 	}
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -10,44 +10,44 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// crashes is a bench with tasks that take down the worker that starts them. Another life
-// of the worker answers at its address after a while. All other runs end done.
-type crashes struct {
+// crashBench is a bench with tasks that crash the worker that starts them. After a while
+// another incarnation of the worker answers at its address. All other runs complete.
+type crashBench struct {
 	*bench
-	// crashing tasks take their worker down.
-	crashing func(task workload.TaskID) bool
-	// down are the workers that have crashed, by when their next life begins; it never
-	// does if downFor is zero.
-	down    map[string]time.Time
-	downFor time.Duration
-	// startsOf counts the starts of each task, crashesOf those that took a worker down.
+	// crashes reports whether a task crashes its worker.
+	crashes func(task workload.TaskID) bool
+	// restartAt maps crashed workers to the start of their next incarnation; there is none if
+	// downtime is zero.
+	restartAt map[string]time.Time
+	downtime  time.Duration
+	// startsOf counts the starts of each task, crashesOf those that crashed a worker.
 	startsOf, crashesOf map[workload.TaskID]int
-	// runTime is how long a task takes that harms nobody.
+	// runTime is the run time of tasks that crash nothing.
 	runTime time.Duration
-	// jobs and table are what the store has; storeAway says that it takes nothing.
-	jobs      []*workload.Job
+	// accepted and table are the contents of the store; storeDown makes it reject writes.
+	accepted  []*workload.Job
 	table     map[string]Record
-	storeAway bool
-	// loseAnswer says which starts are carried out and not answered.
-	loseAnswer func(o workload.Order) bool
+	storeDown bool
+	// dropAnswer reports whether a start is carried out but not answered.
+	dropAnswer func(o workload.Order) bool
 }
 
 // crashAfter is how long a crashing task runs.
 const crashAfter = 10 * time.Millisecond
 
-func nobody(workload.TaskID) bool { return false }
+func noTask(workload.TaskID) bool { return false }
 
-// taskOf is crashing for one task of a job.
-func taskOf(job string, index int) func(workload.TaskID) bool {
+// taskIs returns a crash function that matches one task of a job.
+func taskIs(job string, index int) func(workload.TaskID) bool {
 	return func(task workload.TaskID) bool { return task.Job == job && task.Index == index }
 }
 
-func newCrashes(t *testing.T, workers int, crashing func(task workload.TaskID) bool) *crashes {
-	c := &crashes{
+func newCrashBench(t *testing.T, workers int, crashes func(task workload.TaskID) bool) *crashBench {
+	c := &crashBench{
 		bench:     newBench(t, workers, false),
-		crashing:  crashing,
-		down:      make(map[string]time.Time),
-		downFor:   3 * time.Second,
+		crashes:   crashes,
+		restartAt: make(map[string]time.Time),
+		downtime:  3 * time.Second,
 		startsOf:  make(map[workload.TaskID]int),
 		crashesOf: make(map[workload.TaskID]int),
 		runTime:   2 * time.Second,
@@ -57,36 +57,36 @@
 	return c
 }
 
-func (c *crashes) add(job *workload.Job) {
-	c.jobs = append(c.jobs, job)
+func (c *crashBench) add(job *workload.Job) {
+	c.accepted = append(c.accepted, job)
 	c.bench.add(job)
 }
 
-func (c *crashes) pass(d time.Duration) {
+func (c *crashBench) advance(d time.Duration) {
 	for until := c.now.Add(d); c.now.Before(until); {
 		c.now, c.wallMS = c.now.Add(crashAfter), c.wallMS+crashAfter.Milliseconds()
-		c.revive()
+		c.restartWorkers()
 		c.endStops()
-		c.work()
+		c.runTasks()
 		c.core.Stored(c.core.Unstored(len(c.workers)))
 		for _, a := range c.core.Decide(c.now, c.wallMS) {
 			if a.Kind == ActStart {
 				c.startsOf[a.Order.Task]++
 			}
-			if a.Kind == ActStart && c.loseAnswer != nil && c.loseAnswer(a.Order) {
-				c.begin(c.workers[a.Order.Worker], a.Order)
+			if a.Kind == ActStart && c.dropAnswer != nil && c.dropAnswer(a.Order) {
+				c.startRun(c.workers[a.Order.Worker], a.Order)
 				c.core.StartAnswered(a.Order, workload.Receipt{Verdict: workload.VerdictUnknown}, c.now, c.wallMS)
 				continue
 			}
-			c.carryOut(a)
+			c.execute(a)
 		}
-		if !c.storeAway {
-			c.store()
+		if !c.storeDown {
+			c.persist()
 		}
 	}
 }
 
-func (c *crashes) store() {
+func (c *crashBench) persist() {
 	list := c.core.Unpersisted(50)
 	for _, u := range list {
 		record, err := DecodeRecord(u.Record)
@@ -96,35 +96,36 @@
 	c.core.Recorded(list, c.now, c.wallMS)
 }
 
-// takeover has the next leader begin with what the store has.
-func (c *crashes) takeover() {
+// takeover starts the next leader from the contents of the store.
+func (c *crashBench) takeover() {
 	c.core = New(testBounds, c.core.epoch+1, c.now, c.now)
 	c.core.Configure(testConfig())
 	c.core.TrustBegins()
 	c.core.StoreBegins(true)
-	c.list()
-	for _, job := range c.jobs {
+	c.listWorkers()
+	for _, job := range c.accepted {
 		c.core.AddJob(job, c.table[job.ID], false, c.now, c.wallMS)
 	}
 }
 
-// work ends what is due, and takes workers down that run a crashing task.
-func (c *crashes) work() {
+// runTasks completes the runs that are due, and crashes workers that run a crashing task.
+func (c *crashBench) runTasks() {
 	for id, w := range c.workers {
 		for key, r := range w.running {
 			switch {
-			case c.crashing(key.task) && c.now.Sub(r.began) >= crashAfter:
+			case c.crashes(key.task) && c.now.Sub(r.startedAt) >= crashAfter:
 				c.crashesOf[key.task]++
 				c.crash(id)
-			case c.now.Sub(r.began) >= c.runTime && c.whole(key):
-				c.end(w, key.task, key.attempt, workload.EndDone)
+			case c.now.Sub(r.startedAt) >= c.runTime && c.gangIsComplete(key):
+				c.endRun(w, key.task, key.attempt, workload.EndDone)
 			}
 		}
 	}
 }
 
-// whole reports whether all members of a run's gang are there; any other run is whole.
-func (c *crashes) whole(key runKey) bool {
+// gangIsComplete reports whether all members of a run's gang are running; it is true for runs
+// without a gang.
+func (c *crashBench) gangIsComplete(key runKey) bool {
 	step := &c.core.jobs[key.task.Job].Steps[key.task.Step]
 	if !step.Gang {
 		return true
@@ -140,208 +141,208 @@
 	return members == step.Count
 }
 
-// crash ends a life of a worker.
-func (c *crashes) crash(id string) {
+// crash ends an incarnation of a worker.
+func (c *crashBench) crash(id string) {
 	w := c.workers[id]
 	w.running, w.ended = make(map[runKey]*fakeRun), nil
 	c.refusing[id] = true
-	if c.downFor > 0 {
-		c.down[id] = c.now.Add(c.downFor)
+	if c.downtime > 0 {
+		c.restartAt[id] = c.now.Add(c.downtime)
 	}
 }
 
-// revive lets the next life begin of workers that were down for long enough.
-func (c *crashes) revive() {
-	for id, until := range c.down {
+// restartWorkers starts the next incarnation of workers whose downtime is over.
+func (c *crashBench) restartWorkers() {
+	for id, until := range c.restartAt {
 		if c.now.Before(until) {
 			continue
 		}
-		delete(c.down, id)
+		delete(c.restartAt, id)
 		delete(c.refusing, id)
 		c.replaced[id], c.unlisted[id] = true, true
 		next := string(id[0]+1) + id[1:]
 		c.addWorker(next)
-		c.list()
+		c.listWorkers()
 	}
 }
 
 func TestATaskThatTakesDownItsWorkersIsNotStartedWithoutEnd(t *testing.T) {
-	c := newCrashes(t, 12, taskOf("crashing", 0))
-	c.add(looseJob("crashing", 3))
-	c.pass(40 * time.Second)
+	c := newCrashBench(t, 12, taskIs("crashing", 0))
+	c.add(independentJob("crashing", 3))
+	c.advance(40 * time.Second)
 	task := workload.TaskID{Job: "crashing"}
 	assert.Assert(t, c.crashesOf[task] <= 3, "%d workers were taken down", c.crashesOf[task])
 	assert.Equal(t, c.startsOf[task], c.crashesOf[task])
-	assert.Equal(t, c.state("crashing"), FinalFailed)
+	assert.Equal(t, c.finalState("crashing"), FinalFailed)
 }
 
-// platformLimit is how often a task may start that takes each worker down: three workers,
-// and two starts more.
-const platformLimit = 5
+// maxStartsPerTask is the number of starts allowed to a task that crashes each worker: three
+// crashed workers plus two further starts.
+const maxStartsPerTask = 5
 
 func TestACrashIsNotForgottenWithTheLeader(t *testing.T) {
 	task := workload.TaskID{Job: "crashing"}
-	each := func(d time.Duration) func(c *crashes) bool {
-		return func(c *crashes) bool { return c.now.Sub(epochStart)%d == 0 }
+	each := func(d time.Duration) func(c *crashBench) bool {
+		return func(c *crashBench) bool { return c.now.Sub(testStart)%d == 0 }
 	}
 	for name, test := range map[string]struct {
-		takeover func(c *crashes) bool
-		downFor  time.Duration
+		takeover func(c *crashBench) bool
+		downtime time.Duration
 	}{
-		"replaced as a recorded attempt begins": {func(c *crashes) bool { return c.startsOf[task] > 1 && c.core.jobs["crashing"].runs > 0 }, 3 * time.Second},
-		"replaced before it hears of a crash": {
-			func(c *crashes) bool { return c.crashesOf[task] > 1 && len(c.down) > 0 && each(time.Second)(c) }, 3 * time.Second,
+		"replaced when a recorded attempt starts": {func(c *crashBench) bool { return c.startsOf[task] > 1 && c.core.jobs["crashing"].runs > 0 }, 3 * time.Second},
+		"replaced before it detects a crash": {
+			func(c *crashBench) bool { return c.crashesOf[task] > 1 && len(c.restartAt) > 0 && each(time.Second)(c) }, 3 * time.Second,
 		},
-		"replaced each second":            {each(time.Second), 3 * time.Second},
-		"replaced each third of a second": {each(330 * time.Millisecond), 3 * time.Second},
-		"the workers never come back":     {each(9 * time.Second), 0},
+		"replaced every second":    {each(time.Second), 3 * time.Second},
+		"replaced every 330 ms":    {each(330 * time.Millisecond), 3 * time.Second},
+		"the workers never return": {each(9 * time.Second), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrashes(t, 12, taskOf("crashing", 0))
-			c.downFor = test.downFor
-			c.add(looseJob("crashing", 3))
+			c := newCrashBench(t, 12, taskIs("crashing", 0))
+			c.downtime = test.downtime
+			c.add(independentJob("crashing", 3))
 			for range 6000 {
-				c.pass(crashAfter)
+				c.advance(crashAfter)
 				if test.takeover(c) {
 					c.takeover()
 				}
 			}
-			c.pass(time.Minute)
-			assert.Equal(t, c.state("crashing"), FinalFailed)
-			assert.Assert(t, c.startsOf[task] <= platformLimit, "%d starts", c.startsOf[task])
+			c.advance(time.Minute)
+			assert.Equal(t, c.finalState("crashing"), FinalFailed)
+			assert.Assert(t, c.startsOf[task] <= maxStartsPerTask, "%d starts", c.startsOf[task])
 		})
 	}
 }
 
-func TestASuspectTaskStartsOnceTheStoreKnowsOfIt(t *testing.T) {
-	c := newCrashes(t, 12, taskOf("crashing", 0))
-	c.add(looseJob("crashing", 1))
-	c.pass(time.Second)
-	c.storeAway = true
+func TestSuspectTaskStartsOnceItsAttemptIsStored(t *testing.T) {
+	c := newCrashBench(t, 12, taskIs("crashing", 0))
+	c.add(independentJob("crashing", 1))
+	c.advance(time.Second)
+	c.storeDown = true
 	c.core.StoreBegins(false)
-	c.pass(20 * time.Second)
+	c.advance(20 * time.Second)
 	assert.Equal(t, c.startsOf[workload.TaskID{Job: "crashing"}], 1)
-	c.add(looseJob("other", 90))
-	c.pass(10 * time.Second)
-	assert.Equal(t, c.state("other"), FinalCompleted, "the room is not held for it meanwhile")
-	c.storeAway = false
-	c.pass(20 * time.Second)
-	assert.Equal(t, c.state("crashing"), FinalFailed)
+	c.add(independentJob("other", 90))
+	c.advance(10 * time.Second)
+	assert.Equal(t, c.finalState("other"), FinalCompleted, "no capacity is held for the suspect task meanwhile")
+	c.storeDown = false
+	c.advance(20 * time.Second)
+	assert.Equal(t, c.finalState("crashing"), FinalFailed)
 	assert.Equal(t, c.startsOf[workload.TaskID{Job: "crashing"}], 3)
 }
 
-func TestWorkersThatAreNeverHeardOfAgainCountAsCrashed(t *testing.T) {
-	c := newCrashes(t, 12, taskOf("crashing", 0))
-	c.downFor = 0
-	c.add(looseJob("crashing", 1))
-	c.pass(2 * time.Minute)
-	assert.Equal(t, c.state("crashing"), FinalFailed)
-	assert.Assert(t, c.startsOf[workload.TaskID{Job: "crashing"}] <= platformLimit)
+func TestWorkersThatNeverRespondAgainCountAsCrashed(t *testing.T) {
+	c := newCrashBench(t, 12, taskIs("crashing", 0))
+	c.downtime = 0
+	c.add(independentJob("crashing", 1))
+	c.advance(2 * time.Minute)
+	assert.Equal(t, c.finalState("crashing"), FinalFailed)
+	assert.Assert(t, c.startsOf[workload.TaskID{Job: "crashing"}] <= maxStartsPerTask)
 }
 
 func TestWhatIsNoCrashIsNotCounted(t *testing.T) {
-	for name, lose := range map[string]func(c *crashes){
-		"its worker was cut off for longer than its lease": func(c *crashes) {
-			c.silent["w00"] = true
-			c.pass(7500 * time.Millisecond)
-			c.silent["w00"] = false
+	for name, lose := range map[string]func(c *crashBench){
+		"its worker was cut off for longer than its lease": func(c *crashBench) {
+			c.unresponsive["w00"] = true
+			c.advance(7500 * time.Millisecond)
+			c.unresponsive["w00"] = false
 		},
-		"its worker had said that it would leave": func(c *crashes) {
-			c.leave("w00", 5*time.Second)
-			c.pass(500 * time.Millisecond)
+		"its worker had announced that it leaves": func(c *crashBench) {
+			c.announceLeaving("w00", 5*time.Second)
+			c.advance(500 * time.Millisecond)
 			c.crash("w00")
 		},
-		"it ran for long before": func(c *crashes) {
-			c.pass(61 * time.Second)
+		"it ran for a long time before": func(c *crashBench) {
+			c.advance(61 * time.Second)
 			c.crash("w00")
 		},
-		"it was stopped": func(c *crashes) {
+		"it was stopped": func(c *crashBench) {
 			c.core.Cancel("job", c.now, c.wallMS)
-			c.pass(500 * time.Millisecond)
+			c.advance(500 * time.Millisecond)
 			c.crash("w00")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrashes(t, 1, nobody)
+			c := newCrashBench(t, 1, noTask)
 			c.runTime = time.Hour
-			c.add(looseJob("job", 2))
-			c.pass(time.Second)
+			c.add(independentJob("job", 2))
+			c.advance(time.Second)
 			lose(c)
-			c.pass(10 * time.Second)
+			c.advance(10 * time.Second)
 			assert.Equal(t, len(c.core.jobs["job"].record.Crashed), 0)
 		})
 	}
 }
 
-func TestAStartThatTheNextLifeRefusesIsNoCrash(t *testing.T) {
-	c := newCrashes(t, 1, nobody)
-	c.pass(100 * time.Millisecond)
-	c.replaced["w00"] = true // nothing ran there, so nobody noticed
-	c.add(looseJob("job", 8))
-	c.pass(10 * time.Second)
+func TestStartRefusedByTheNextIncarnationIsNoCrash(t *testing.T) {
+	c := newCrashBench(t, 1, noTask)
+	c.advance(100 * time.Millisecond)
+	c.replaced["w00"] = true // nothing ran on it, so the replacement went unnoticed
+	c.add(independentJob("job", 8))
+	c.advance(10 * time.Second)
 	assert.Equal(t, c.startsOf[workload.TaskID{Job: "job"}], 1)
 	assert.Equal(t, len(c.core.jobs["job"].record.Crashed), 0)
 }
 
-func TestAGangOfWhichAMemberTakesItsWorkersDownIsGivenUp(t *testing.T) {
+func TestGangWithAMemberThatCrashesWorkersFailsPermanently(t *testing.T) {
 	for name, crashing := range map[string]func(workload.TaskID) bool{
-		"one member":   taskOf("gang", 2),
+		"one member":   taskIs("gang", 2),
 		"every member": func(task workload.TaskID) bool { return task.Job == "gang" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrashes(t, 24, crashing)
+			c := newCrashBench(t, 24, crashing)
 			c.add(gangJob("gang", "urgent", "acme", 4, 4))
-			c.pass(30 * time.Second)
-			assert.Equal(t, c.state("gang"), FinalFailed)
+			c.advance(30 * time.Second)
+			assert.Equal(t, c.finalState("gang"), FinalFailed)
 			for task, starts := range c.startsOf {
-				assert.Assert(t, starts <= platformLimit, "%v: %d starts", task, starts)
+				assert.Assert(t, starts <= maxStartsPerTask, "%v: %d starts", task, starts)
 			}
 			assert.Equal(t, c.running(), 0)
 		})
 	}
 }
 
-func TestWhatHangsOnATaskThatTakesItsWorkersDownDoesNotStart(t *testing.T) {
-	c := newCrashes(t, 12, taskOf("chain", 0))
-	job := looseJob("chain", 3)
+func TestStepsAfterATaskThatCrashesWorkersDoNotStart(t *testing.T) {
+	c := newCrashBench(t, 12, taskIs("chain", 0))
+	job := independentJob("chain", 3)
 	job.Steps = append(job.Steps, job.Steps[0])
 	job.Steps[1].After = []int{0}
 	c.add(job)
-	c.pass(30 * time.Second)
-	assert.Equal(t, c.state("chain"), FinalFailed)
+	c.advance(30 * time.Second)
+	assert.Equal(t, c.finalState("chain"), FinalFailed)
 	assert.Equal(t, c.startsOf[workload.TaskID{Job: "chain", Step: 1}], 0)
 }
 
-func TestATaskThatTwoWorkersWentDownUnderStillRuns(t *testing.T) {
-	c := newCrashes(t, 3, nobody)
-	c.add(looseJob("unlucky", 1))
+func TestTaskThatLostTwoWorkersStillRuns(t *testing.T) {
+	c := newCrashBench(t, 3, noTask)
+	c.add(independentJob("unlucky", 1))
 	for range 2 {
-		c.pass(500 * time.Millisecond)
+		c.advance(500 * time.Millisecond)
 		c.crash(c.hostOf("unlucky"))
-		c.pass(4 * time.Second)
+		c.advance(4 * time.Second)
 	}
-	c.pass(10 * time.Second)
-	assert.Equal(t, c.state("unlucky"), FinalCompleted)
+	c.advance(10 * time.Second)
+	assert.Equal(t, c.finalState("unlucky"), FinalCompleted)
 }
 
-func TestALostRunIsSaidWithItsCause(t *testing.T) {
+func TestLostRunIsReportedWithItsCause(t *testing.T) {
 	for name, c := range map[string]struct {
-		lose  func(b *crashes)
+		lose  func(b *crashBench)
 		cause LossCause
 		ran   time.Duration
 	}{
-		"another life answers":         {func(b *crashes) { b.crash("w00") }, LossReplaced, 3 * time.Second},
-		"silent longer than its lease": {func(b *crashes) { b.silent["w00"] = true }, LossSilent, testBounds.LongestLease},
+		"another incarnation answers":            {func(b *crashBench) { b.crash("w00") }, LossReplaced, 3 * time.Second},
+		"unresponsive for longer than its lease": {func(b *crashBench) { b.unresponsive["w00"] = true }, LossUnresponsive, testBounds.LongestLease},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newCrashes(t, 1, nobody)
+			b := newCrashBench(t, 1, noTask)
 			b.runTime = time.Minute
-			b.add(looseJob("job", 2))
-			b.pass(time.Second)
+			b.add(independentJob("job", 2))
+			b.advance(time.Second)
 			c.lose(b)
-			b.pass(10 * time.Second)
-			assert.Equal(t, len(b.lost), 2)
-			for _, a := range b.lost {
+			b.advance(10 * time.Second)
+			assert.Equal(t, len(b.lostRuns), 2)
+			for _, a := range b.lostRuns {
 				assert.Equal(t, a.Order.Worker, "w00")
 				assert.Equal(t, a.Lost.Cause, c.cause)
 				assert.Equal(t, a.Lost.Beside, 1)
@@ -351,40 +352,44 @@
 	}
 }
 
-func TestARecordedAttemptOfWhichTheNextLeaderSeesMoreIsNoCrash(t *testing.T) {
-	for name, meanwhile := range map[string]func(c *crashes, key runKey, host *fakeWorker){
-		"it runs":           func(*crashes, runKey, *fakeWorker) {},
-		"it ended":          func(c *crashes, key runKey, host *fakeWorker) { c.end(host, key.task, key.attempt, workload.EndDone) },
-		"its lease ran out": func(c *crashes, key runKey, host *fakeWorker) { c.end(host, key.task, key.attempt, workload.EndLapsed) },
+func TestRecordedAttemptSeenByTheNextLeaderIsNoCrash(t *testing.T) {
+	for name, meanwhile := range map[string]func(c *crashBench, key runKey, host *fakeWorker){
+		"it runs": func(*crashBench, runKey, *fakeWorker) {},
+		"it ended": func(c *crashBench, key runKey, host *fakeWorker) {
+			c.endRun(host, key.task, key.attempt, workload.EndDone)
+		},
+		"its lease expired": func(c *crashBench, key runKey, host *fakeWorker) {
+			c.endRun(host, key.task, key.attempt, workload.EndLapsed)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrashes(t, 3, nobody)
+			c := newCrashBench(t, 3, noTask)
 			c.runTime = 10 * time.Second
-			c.add(looseJob("unlucky", 1))
-			c.pass(500 * time.Millisecond)
+			c.add(independentJob("unlucky", 1))
+			c.advance(500 * time.Millisecond)
 			c.crash(c.hostOf("unlucky"))
-			c.pass(5 * time.Second)
+			c.advance(5 * time.Second)
 			assert.Equal(t, len(c.table["unlucky"].Attempts["0.0.0"]), 1)
 			host := c.workers[c.hostOf("unlucky")]
 			for key := range host.running {
 				meanwhile(c, key, host)
 			}
 			c.takeover()
-			c.pass(time.Second)
+			c.advance(time.Second)
 			assert.Equal(t, len(c.core.jobs["unlucky"].record.Crashed["0.0.0"]), 1)
-			c.pass(15 * time.Second)
-			assert.Equal(t, c.state("unlucky"), FinalCompleted)
+			c.advance(15 * time.Second)
+			assert.Equal(t, c.finalState("unlucky"), FinalCompleted)
 			assert.Equal(t, len(c.core.jobs["unlucky"].record.Crashed["0.0.0"]), 1)
 		})
 	}
 }
 
-// Several starts reach the next life of a worker at once, and their answers come back
-// among those of polls.
-func TestStartsThatTheNextLifeRefusesOneAfterTheOtherAreNoCrashes(t *testing.T) {
+// Several starts reach the next incarnation of a worker at once, and their answers arrive
+// between those of polls.
+func TestConsecutiveStartsRefusedByTheNextIncarnationAreNoCrashes(t *testing.T) {
 	b := newBench(t, 1, false)
-	b.pass(100 * time.Millisecond)
-	b.add(looseJob("job", 3))
+	b.advance(100 * time.Millisecond)
+	b.add(independentJob("job", 3))
 	var starts []Action
 	for _, a := range b.core.Decide(b.now, b.wallMS) {
 		if a.Kind == ActStart {
@@ -402,92 +407,92 @@
 	assert.Equal(t, b.core.jobs["job"].runs, 0)
 }
 
-// Idle workers go down behind a cut: starts that are sent to them get no answer, and then
-// their next lives answer.
+// Idle workers crash behind a network partition: starts sent to them are not answered, and then
+// their next incarnations answer.
 func TestStartsThatReachNobodyAreNoCrashes(t *testing.T) {
 	for name, job := range map[string]*workload.Job{
-		"a single task": looseJob("job", 1),
+		"a single task": independentJob("job", 1),
 		"a gang":        gangJob("job", "urgent", "acme", 3, 8),
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrashes(t, 16, nobody)
-			c.pass(200 * time.Millisecond)
+			c := newCrashBench(t, 16, noTask)
+			c.advance(200 * time.Millisecond)
 			dead := []string{"w00", "w01", "w02", "w03", "w04", "w05", "w06", "w07", "w08", "w09", "w10", "w11"}
 			for _, id := range dead {
-				c.silent[id] = true
+				c.unresponsive[id] = true
 				c.crash(id)
-				c.down[id] = c.now.Add(time.Hour)
+				c.restartAt[id] = c.now.Add(time.Hour)
 			}
 			c.refusing = make(map[string]bool)
 			c.add(job)
 			for range 12 {
-				c.pass(300 * time.Millisecond)
+				c.advance(300 * time.Millisecond)
 				for id := range c.core.workers {
-					if c.silent[id] && len(c.core.workers[id].runs) > 0 {
-						delete(c.silent, id)
-						c.down[id] = c.now
+					if c.unresponsive[id] && len(c.core.workers[id].runs) > 0 {
+						delete(c.unresponsive, id)
+						c.restartAt[id] = c.now
 						break
 					}
 				}
 			}
-			c.pass(20 * time.Second)
-			assert.Equal(t, c.state("job"), FinalCompleted)
+			c.advance(20 * time.Second)
+			assert.Equal(t, c.finalState("job"), FinalCompleted)
 			assert.Equal(t, len(c.core.jobs["job"].record.Crashed), 0)
 			assert.Assert(t, len(c.core.jobs["job"].record.Unanswered) > 0)
 		})
 	}
 }
 
-// The answers to starts get lost as well: a task that takes its workers down is given up
-// before the platform's limit all the same.
-func TestATaskWhoseStartsAreNotAnsweredIsGivenUpInTime(t *testing.T) {
-	c := newCrashes(t, 12, taskOf("crashing", 0))
-	c.add(looseJob("crashing", 1))
+// The answers to starts are lost as well: a task that crashes its workers must still fail
+// permanently before the platform's limit.
+func TestCrashingTaskWithUnansweredStartsFailsWithinTheLimit(t *testing.T) {
+	c := newCrashBench(t, 12, taskIs("crashing", 0))
+	c.add(independentJob("crashing", 1))
 	task := workload.TaskID{Job: "crashing"}
 	lost := 0
-	c.loseAnswer = func(o workload.Order) bool {
+	c.dropAnswer = func(o workload.Order) bool {
 		lost++
 		return o.Task == task && lost%2 == 0
 	}
-	c.pass(time.Minute)
-	assert.Equal(t, c.state("crashing"), FinalFailed)
-	assert.Assert(t, c.startsOf[task] <= platformLimit, "%d starts", c.startsOf[task])
+	c.advance(time.Minute)
+	assert.Equal(t, c.finalState("crashing"), FinalFailed)
+	assert.Assert(t, c.startsOf[task] <= maxStartsPerTask, "%d starts", c.startsOf[task])
 	assert.Assert(t, len(c.core.jobs["crashing"].record.Unanswered) > 0)
 }
 
-// Racks, zones and switches take many workers down at once, and what ran there with them.
-func TestWorkThatIsHitByThreeOutagesStillRuns(t *testing.T) {
-	c := newCrashes(t, 20, nobody)
+// Outages of racks, zones and switches take many workers and their runs down at once.
+func TestWorkHitByThreeOutagesStillRuns(t *testing.T) {
+	c := newCrashBench(t, 20, noTask)
 	c.runTime = 10 * time.Second
 	for n := range 10 {
 		c.add(gangJob(fmt.Sprintf("other%d", n), "batch", "other", 1, 8))
 	}
 	c.add(gangJob("unlucky", "batch", "other", 1, 8))
 	for range 3 {
-		c.pass(time.Second)
+		c.advance(time.Second)
 		c.crash(c.hostOf("unlucky"))
 		for id, w := range c.workers {
-			if len(w.running) > 0 && len(c.down) < 8 && id != c.hostOf("unlucky") {
+			if len(w.running) > 0 && len(c.restartAt) < 8 && id != c.hostOf("unlucky") {
 				c.crash(id)
 			}
 		}
-		c.pass(5 * time.Second)
+		c.advance(5 * time.Second)
 	}
-	assert.Assert(t, c.state("unlucky") != FinalFailed)
-	c.pass(time.Minute)
-	assert.Equal(t, c.state("unlucky"), FinalCompleted)
+	assert.Assert(t, c.finalState("unlucky") != FinalFailed)
+	c.advance(time.Minute)
+	assert.Equal(t, c.finalState("unlucky"), FinalCompleted)
 }
 
-// Jobs that crash their workers in the same moment each time look like outages to each other.
-func TestJobsThatCrashTheirWorkersTogetherAreGivenUpInTime(t *testing.T) {
-	c := newCrashes(t, 40, func(task workload.TaskID) bool { return task.Job != "healthy" })
+// Jobs that crash their workers simultaneously look like outages to each other.
+func TestJobsThatCrashTheirWorkersSimultaneouslyFailWithinTheLimit(t *testing.T) {
+	c := newCrashBench(t, 40, func(task workload.TaskID) bool { return task.Job != "healthy" })
 	for n := range 8 {
 		c.add(gangJob(fmt.Sprintf("crashing%d", n), "batch", "other", 1, 8))
 	}
-	c.pass(time.Minute)
+	c.advance(time.Minute)
 	for task, starts := range c.startsOf {
-		assert.Assert(t, starts <= platformLimit, "%s: %d starts", task.Job, starts)
-		assert.Equal(t, c.state(task.Job), FinalFailed)
+		assert.Assert(t, starts <= maxStartsPerTask, "%s: %d starts", task.Job, starts)
+		assert.Equal(t, c.finalState(task.Job), FinalFailed)
 	}
 	assert.Equal(t, len(c.startsOf), 8)
 }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,26 +1,43 @@
 // Package dispatch decides, for a whole deployment, which task runs where and
-// when. It is pure: events and the time go in, actions come out; it has no
-// clock, no network, no goroutine and no randomness, so that a whole day can be
-// replayed in a test. Whoever drives it calls it from one goroutine.
+// when. It is a pure state machine: events and the current time are its input,
+// actions its output. It has no clock, network, goroutine or randomness, so that a
+// whole day can be replayed in a test. All calls must come from one goroutine.
 //
-//	core.go    the state, and a round of decisions
-//	jobs.go    jobs: accepted, cancelled, over, recorded
-//	runs.go    the states of a run, by charts/run.json
-//	orders.go  runs: started, stopped, and what the answers mean
-//	sight.go   what workers report
-//	ends.go    what an end means for its task, gang and job
-//	order.go   which work comes first
-//	fit.go     which workers it fits on
-//	rack.go    how long work waits for the rack that it belongs on
-//	claim.go   room that is being freed for urgent gangs
-//	reserve.go room kept for large work, and what may run beside it
-//	victims.go what is stopped for guaranteed work
-//	advice.go  tickets of the placement advisor
-//	evacuate.go what leaves a worker before the worker does
-//	estimate.go how long tasks take
-//	health.go  which workers are trusted
-//	stored.go  which workers the table has to have
-//	doubt.go   racks and zones of which somebody does not answer
-//	leases.go  when a silent worker has surely stopped
-//	record.go  what of a job is stored
+//	core.go         the state, and a round of decisions
+//	jobs.go         jobs: accepted, cancelled, final, recorded
+//	runs.go         the states of a run, following charts/run.json
+//	orders.go       runs: starts, stops, and the effects of their answers
+//	poll.go         workers, and the reports they return to polls
+//	completions.go  the effects of a completion on its task, gang and job
+//	place.go        a round of placement
+//	order.go        the order of pending work
+//	room.go         the capacity of workers during a round
+//	fit.go          the workers that a step fits on
+//	rack.go         how long work waits for its rack
+//	claim.go        capacity that is being freed for urgent gangs
+//	reserve.go      capacity reserved for large work, and its use by other work
+//	headroom.go     workers kept free for urgent work
+//	victims.go      preemption for urgent and guaranteed work
+//	infeasible.go   steps that found no capacity in a round
+//	advice.go       tickets of the placement advisor
+//	evacuate.go     runs to stop before their worker leaves
+//	estimate.go     expected run times
+//	health.go       workers with repeated failures
+//	flapping.go     machines that crash repeatedly
+//	crash.go        tasks that crash their workers
+//	isolate.go      placement of tasks whose workers crashed
+//	suspect.go      racks and zones with unresponsive workers
+//	leases.go       when an unresponsive worker has definitely stopped
+//	drain.go        availability zones drained by operators
+//	begins.go       start intents stored before a job's first start
+//	recorded.go     attempts stored before their start
+//	record.go       the stored progress of a job
+//	stored.go       the stored table of workers
+//	repeat.go       orders that are sent again
+//	window.go       limits on calls in flight
+//	pollwindow.go   limits on polls in flight
+//	startwindow.go  limits on starts in flight
+//	reasons.go      reasons for the log
+//	choices.go      decisions with several policies
+//	tuning.go       mechanisms and constants that a measurement can change
 package dispatch
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// This file answers availability zones that operators drain, for upkeep or before a
-// switch-off. Nothing new starts on the workers of such a zone, and none of their room
-// is counted on, reserved or kept; what runs there runs to its end. Without it work goes
-// on arriving in a zone that is to be empty, and is lost with it.
+// Operators drain availability zones for maintenance or before a shutdown. Nothing new starts
+// on the workers of a drained zone and none of their capacity is counted or reserved; running
+// tasks run to completion. Without this, work would keep arriving in a zone that is meant to
+// become empty, and would be lost with it.
 
-// Drain takes the availability zones that operators have drained: all of them.
+// Drain replaces the set of availability zones that operators have drained.
 func (c *Core) Drain(zones []string, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	c.drained = make(map[string]bool, len(zones))
@@ -20,16 +20,16 @@
 	}
 }
 
-// HoldStarts keeps the core from starting anything, or lets it start work again. A leader
-// that has not heard for long which zones are drained must not start work anywhere.
+// HoldStarts suspends or resumes starts. A leader without recent information about drained
+// zones must not start work anywhere.
 func (c *Core) HoldStarts(hold bool) { c.startsHeld = hold }
 
-// isDrained reports whether a worker lies in a zone that is drained.
+// isDrained reports whether a worker is in a drained zone.
 func (c *Core) isDrained(w *worker) bool { return c.drained[w.Zone] }
 
-// drainedNote names, for the reason why a step waits, how many of its pool's workers lie
-// in drained zones; empty if none does.
-func (c *Core) drainedNote(pool string) string {
+// drainedSuffix returns a suffix for the reason why a step waits, with the number of its pool's
+// workers in drained zones; empty if there are none.
+func (c *Core) drainedSuffix(pool string) string {
 	count := 0
 	var zones []string
 	for _, w := range c.fleet {
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// estimates predicts run times from what is declared and from what tasks of the
-// same image, or of the same queue, really took. Declared times are far off on
-// some queues and good on others. Trusted everywhere, a declared time five times too
-// long has a gang wait for its rack as long; trusting none throws away what good ones
-// say. So each is weighed by how far it was off.
+// estimates predicts run times from declared times and from the observed run times of tasks
+// with the same image or of the same queue. Declared times are far off on some queues and
+// accurate on others. If they were always trusted, a declaration five times too long would make
+// a gang wait five times too long for its rack; if they were never trusted, accurate
+// declarations would be lost. Each source is therefore weighted by its observed variance.
 type estimates struct {
-	seen map[string]*history
-	// learned counts observations: what was worked out for a step holds until the next
-	// one. Working it out for every run in every round took a fifth of a round's time.
-	learned uint64
-	// asDeclared trusts what is declared.
-	asDeclared bool
+	histories map[string]*history
+	// observations counts observations: a computed duration is valid until the next one.
+	// Computing it for every run in every round took a fifth of the round's time.
+	observations uint64
+	// trustDeclared disables the corrections.
+	trustDeclared bool
 }
 
-// history is what was seen of one image or queue. Times are in logarithms: run
-// times and errors are factors.
+// history holds the observations of one image or queue. Times are logarithms, because run times
+// and errors vary by factors.
 type history struct {
 	count float64
-	// took and tookSpread are mean and variance of the run time.
-	took, tookSpread float64
-	// off and offSpread are mean and variance of the run time over what was
-	// declared.
-	off, offSpread float64
+	// runTime and runTimeVariance are the mean and variance of the run time.
+	runTime, runTimeVariance float64
+	// declaredError and declaredErrorVariance are the mean and variance of the ratio of actual
+	// to declared run time.
+	declaredError, declaredErrorVariance float64
 }
 
-func newEstimates() estimates { return estimates{seen: make(map[string]*history)} }
+func newEstimates() estimates { return estimates{histories: make(map[string]*history)} }
 
 const (
-	// learnWeight is the weight of the newest observation once there are many: it
-	// follows a change of load within some tasks, and one outlier moves little.
-	learnWeight = 0.1
-	// maxOff bounds, as a logarithm, what one observation can say.
-	maxOff = 2.3
-	// trustAfter observations, the queue's own run times count: a mean of fewer
-	// says little.
-	trustAfter = 4
+	// minObservationWeight is the weight of the newest observation once there are many: it
+	// follows load changes within a few tasks while a single outlier has little effect.
+	minObservationWeight = 0.1
+	// maxLogError bounds the logarithmic error of one observation.
+	maxLogError = 2.3
+	// minObservations is the number of observations from which observed run times are used: a
+	// mean of fewer is unreliable.
+	minObservations = 4
 )
 
 func estimateKey(s *step) string {
@@ -50,71 +50,71 @@
 	return "queue " + s.job.Queue
 }
 
-// learn takes in how long a task took that ran from its start to its end.
-func (e *estimates) learn(s *step, took time.Duration, percentAtStart int) {
-	if s.spec.EstimateMS <= 0 || took <= 0 || percentAtStart > 0 {
+// learn records the run time of a task that was observed from start to end.
+func (e *estimates) learn(s *step, runTime time.Duration, initialPercent int) {
+	if s.spec.EstimateMS <= 0 || runTime <= 0 || initialPercent > 0 {
 		return
 	}
 	key := estimateKey(s)
-	h := e.seen[key]
+	h := e.histories[key]
 	if h == nil {
 		h = &history{}
-		e.seen[key] = h
+		e.histories[key] = h
 	}
 	h.count++
-	e.learned++
-	weight := max(learnWeight, 1/h.count)
-	logTook := math.Log(float64(took.Milliseconds() + 1))
-	observe(&h.took, &h.tookSpread, logTook, weight)
-	off := logTook - math.Log(float64(s.spec.EstimateMS))
-	observe(&h.off, &h.offSpread, max(-maxOff, min(maxOff, off)), weight)
+	e.observations++
+	weight := max(minObservationWeight, 1/h.count)
+	logRunTime := math.Log(float64(runTime.Milliseconds() + 1))
+	updateMoments(&h.runTime, &h.runTimeVariance, logRunTime, weight)
+	declaredError := logRunTime - math.Log(float64(s.spec.EstimateMS))
+	updateMoments(&h.declaredError, &h.declaredErrorVariance, max(-maxLogError, min(maxLogError, declaredError)), weight)
 }
 
-// observe moves a mean and its variance towards a value.
-func observe(mean, spread *float64, value, weight float64) {
+// updateMoments moves an exponentially weighted mean and variance towards a value.
+func updateMoments(mean, variance *float64, value, weight float64) {
 	difference := value - *mean
 	*mean += weight * difference
-	*spread = (1 - weight) * (*spread + weight*difference*difference)
+	*variance = (1 - weight) * (*variance + weight*difference*difference)
 }
 
-// of is the expected run time of a task of the step: the declared time, corrected
-// by what it was off so far, and the usual run time, each the more the less it
-// strayed.
-func (e *estimates) of(s *step) time.Duration {
-	if s.length == 0 || s.lengthAt != e.learned {
-		s.length, s.lengthAt = e.workOut(s), e.learned
+// taskDuration returns the expected run time of a task of the step: a weighted mean of the
+// declared time, corrected by its average error, and of the usual run time. The source with the
+// lower variance has the higher weight.
+func (e *estimates) taskDuration(s *step) time.Duration {
+	if s.duration == 0 || s.durationAsOf != e.observations {
+		s.duration, s.durationAsOf = e.compute(s), e.observations
 	}
-	return s.length
+	return s.duration
 }
 
-func (e *estimates) workOut(s *step) time.Duration {
+func (e *estimates) compute(s *step) time.Duration {
 	declared := math.Log(float64(max(s.spec.EstimateMS, 100)))
-	h := e.seen[estimateKey(s)]
-	if h == nil || e.asDeclared {
+	h := e.histories[estimateKey(s)]
+	if h == nil || e.trustDeclared {
 		return fromLog(declared)
 	}
-	corrected := declared + h.off
-	if total := h.tookSpread + h.offSpread; h.count >= trustAfter && total > 0 {
-		trust := h.tookSpread / total
-		corrected = trust*corrected + (1-trust)*h.took
+	corrected := declared + h.declaredError
+	if total := h.runTimeVariance + h.declaredErrorVariance; h.count >= minObservations && total > 0 {
+		trust := h.runTimeVariance / total
+		corrected = trust*corrected + (1-trust)*h.runTime
 	}
 	return fromLog(corrected)
 }
 
 func fromLog(ms float64) time.Duration { return time.Duration(math.Exp(ms)) * time.Millisecond }
 
-// left is how long a run will take yet.
-func (e *estimates) left(r *run, now time.Time) time.Duration {
+// remaining returns the expected remaining time of a run.
+func (e *estimates) remaining(r *run, now time.Time) time.Duration {
 	ran := now.Sub(r.since)
-	if done := r.percent - r.percentAtStart; done >= minProgress {
+	if done := r.percent - r.initialPercent; done >= minProgress {
 		return time.Duration(float64(ran) * float64(100-r.percent) / float64(done))
 	}
-	return max(e.of(r.task.step)-ran, minLeft)
+	return max(e.taskDuration(r.task.step)-ran, minRemaining)
 }
 
 const (
-	// minProgress is the percent from which a run's own pace is believed.
+	// minProgress is the progress in percent from which a run's own rate is used.
 	minProgress = 10
-	// minLeft is assumed of a run that has outlasted its estimate.
-	minLeft = 300 * time.Millisecond
+	// minRemaining is the remaining time assumed for a run that has exceeded its estimate.
+	minRemaining = 300 * time.Millisecond
 )
--- a/internal/dispatch/evacuate.go
+++ b/internal/dispatch/evacuate.go
@@ -4,46 +4,46 @@
 	"time"
 )
 
-// evacuateReserve is kept, beside the time of a stop, before a worker leaves:
-// the order, and one that has to be repeated.
-const evacuateReserve = 700 * time.Millisecond
+// evacuationMargin is reserved, in addition to the stop time, before a worker leaves: it covers
+// the order and one resend.
+const evacuationMargin = 700 * time.Millisecond
 
-// evacuate stops what a leaving worker will not finish, so that it goes on
-// elsewhere. It answers planned replacement of workers: without it a task runs
-// until its worker takes it along, and what it could have saved is lost.
+// evacuate stops runs that a leaving worker will not finish, so that they continue elsewhere.
+// During planned replacements a task would otherwise run until its worker disappears, and lose
+// the state that it could have saved.
 func (c *Core) evacuate() {
-	if !c.has(MechEvacuation) {
+	if !c.enabled(MechEvacuation) {
 		return
 	}
 	for _, w := range c.fleet {
-		if !w.Leaving || w.leavesAt.IsZero() || !w.known {
+		if !w.Leaving || w.leavesAt.IsZero() || !w.synced {
 			continue
 		}
-		left := w.leavesAt.Sub(c.now)
-		leaving := w.inOrder(func(r *run) bool { return r.state == stRunRunning && c.mustLeave(r, left) })
+		timeLeft := w.leavesAt.Sub(c.now)
+		leaving := w.sortedRuns(func(r *run) bool { return r.state == stRunRunning && c.shouldEvacuate(r, timeLeft) })
 		for _, r := range leaving {
 			c.stop(r, "its worker leaves")
 		}
 	}
 }
 
-// mustLeave reports whether a run should be stopped now on a worker that leaves in a
-// while. What can be saved is, at the last moment if it may still end; what
-// cannot is started anew elsewhere at once if it surely will not end here.
-func (c *Core) mustLeave(r *run, left time.Duration) bool {
+// shouldEvacuate reports whether a run on a leaving worker should be stopped now.
+// Checkpointable work that may still finish is stopped at the last moment; other work is
+// restarted elsewhere immediately if it will clearly not finish here.
+func (c *Core) shouldEvacuate(r *run, timeLeft time.Duration) bool {
 	s := r.task.step.spec
-	last := left <= c.bounds.StopTime+evacuateReserve
+	lastChance := timeLeft <= c.bounds.StopTime+evacuationMargin
 	if s.Lasting {
-		return last
+		return lastChance
 	}
-	remaining := c.estimates.left(r, c.now)
+	remaining := c.estimates.remaining(r, c.now)
 	if s.Checkpoints {
-		return remaining > left || last && remaining > left-c.bounds.StopTime
+		return remaining > timeLeft || lastChance && remaining > timeLeft-c.bounds.StopTime
 	}
-	return remaining > surelyNot*left+c.bounds.StopTime
+	return remaining > overrunFactor*timeLeft+c.bounds.StopTime
 }
 
-// surelyNot is by how much the estimate of a run's rest must exceed the time
-// left before work that cannot be saved is given up: estimates are wrong by up
-// to half.
-const surelyNot = 2
+// overrunFactor is how many times the remaining time on the worker a run's expected remaining
+// time must exceed before work without checkpoints is stopped: estimates are wrong by up to
+// half.
+const overrunFactor = 2
--- a/internal/dispatch/fit.go
+++ b/internal/dispatch/fit.go
@@ -7,57 +7,57 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// eligible filters the workers that may run a step at all.
-func (c *Core) eligible(u *pendingStep, rooms []*room) []*room {
-	var list []*room
+// eligible returns the workers that may run the step at all.
+func (c *Core) eligible(u *pendingStep, workers []*workerCapacity) []*workerCapacity {
+	var list []*workerCapacity
 	spec := u.step.spec
-	for _, r := range rooms {
-		if r.Has(spec.Label) && r.Room.Holds(spec.Counted()) && !r.disturbs(spec) && !c.isFailing(r.worker) && !r.flapping {
+	for _, r := range workers {
+		if r.Has(spec.Label) && r.Room.Holds(spec.Counted()) && !r.wouldInterfere(spec) && !c.isFailing(r.worker) && !r.flapping {
 			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// isFailing reports whether a worker gets nothing new because work of several jobs
-// failed there.
+// isFailing reports whether a worker gets no new work because tasks of several jobs failed on
+// it.
 func (c *Core) isFailing(w *worker) bool {
-	return c.has(MechSickWorkers) && w.health.failing(c.now)
+	return c.enabled(MechUnhealthyWorkers) && w.health.failing(c.now)
 }
 
-// find returns a room for each of the step's tasks, or for as many as there are. Tasks
-// that belong on one rack get one that can take them all; tasks with data on a
-// rack go there first. Only if far is set do they go elsewhere.
-func (c *Core) find(u *pendingStep, rooms []*room, far bool, roomOf func(*room) workload.Resources) []*room {
+// findPlaces returns a worker for each of the step's tasks, or for as many as fit. Tasks bound
+// to one rack get a rack that can hold all of them; tasks with data on a rack are placed there
+// first. They are placed elsewhere only if offRack is set.
+func (c *Core) findPlaces(u *pendingStep, workers []*workerCapacity, offRack bool, capacityOf func(*workerCapacity) workload.Resources) []*workerCapacity {
 	n := len(u.tasks)
-	counts := make([]int64, len(rooms))
-	for i, r := range rooms {
-		counts[i] = c.slots(u, r, roomOf(r))
+	counts := make([]int64, len(workers))
+	for i, r := range workers {
+		counts[i] = c.slots(u, r, capacityOf(r))
 	}
 	if u.step.spec.OneRack {
-		if rack, ok := c.bestRack(u, rooms, counts, n); ok {
-			return c.pick(u, rooms, counts, n, func(r *room) bool { return r.Rack == rack })
+		if rack, ok := c.bestRack(u, workers, counts, n); ok {
+			return c.pick(u, workers, counts, n, func(r *workerCapacity) bool { return r.Rack == rack })
 		}
-		if !far {
+		if !offRack {
 			return nil
 		}
 	}
 	if rack := u.step.spec.DataRack; rack != "" {
-		near := c.pick(u, rooms, counts, n, func(r *room) bool { return r.Rack == rack })
-		if len(near) == n || !far {
-			return near
+		onDataRack := c.pick(u, workers, counts, n, func(r *workerCapacity) bool { return r.Rack == rack })
+		if len(onDataRack) == n || !offRack {
+			return onDataRack
 		}
 	}
 	if u.step.spec.Gang {
-		if places := c.ways.spread(c, u, rooms, counts); places != nil {
+		if places := c.policies.spread(c, u, workers, counts); places != nil {
 			return places
 		}
 	}
-	return c.pick(u, rooms, counts, n, func(*room) bool { return true })
+	return c.pick(u, workers, counts, n, func(*workerCapacity) bool { return true })
 }
 
-// slots is how many tasks of the step a worker can take.
-func (c *Core) slots(u *pendingStep, r *room, free workload.Resources) int64 {
+// slots returns the number of the step's tasks that a worker can hold.
+func (c *Core) slots(u *pendingStep, r *workerCapacity, free workload.Resources) int64 {
 	limit := int64(len(u.tasks))
 	if most := u.step.spec.MaxPerWorker; most > 0 {
 		limit = min(limit, int64(most-c.runsOf(u.step, r.worker)))
@@ -75,11 +75,11 @@
 	return count
 }
 
-// bestRack is the rack that can take all n tasks and is left with the fewest
-// slots, or the data's rack.
-func (c *Core) bestRack(u *pendingStep, rooms []*room, counts []int64, n int) (string, bool) {
+// bestRack returns the rack that can hold all n tasks and has the fewest slots left, preferring
+// the rack with the step's data.
+func (c *Core) bestRack(u *pendingStep, workers []*workerCapacity, counts []int64, n int) (string, bool) {
 	sums := make(map[string]int64)
-	for i, r := range rooms {
+	for i, r := range workers {
 		sums[r.Rack] += counts[i]
 	}
 	best, found := "", false
@@ -97,44 +97,44 @@
 	return best, found
 }
 
-// pick takes up to n slots of the workers that match, fullest first, so that
-// whole workers stay free for tasks that need one.
-func (c *Core) pick(u *pendingStep, rooms []*room, counts []int64, n int, match func(*room) bool) []*room {
-	order := make([]int, 0, len(rooms))
-	for i, r := range rooms {
+// pick takes up to n slots of the matching workers, fullest first, so that whole workers stay
+// free for tasks that need one.
+func (c *Core) pick(u *pendingStep, workers []*workerCapacity, counts []int64, n int, match func(*workerCapacity) bool) []*workerCapacity {
+	order := make([]int, 0, len(workers))
+	for i, r := range workers {
 		if counts[i] > 0 && match(r) {
 			order = append(order, i)
 		}
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		if !c.has(MechPacking) {
-			return cmp.Or(c.crashOrder(u, rooms[a], rooms[b]), cmp.Compare(a, b))
+		if !c.enabled(MechPacking) {
+			return cmp.Or(c.crashOrder(u, workers[a], workers[b]), cmp.Compare(a, b))
 		}
-		return cmp.Or(c.crashOrder(u, rooms[a], rooms[b]), c.ways.place(c, u, rooms[a], rooms[b]), cmp.Compare(a, b))
+		return cmp.Or(c.crashOrder(u, workers[a], workers[b]), c.policies.place(c, u, workers[a], workers[b]), cmp.Compare(a, b))
 	})
-	return takeSlots(rooms, counts, order, n)
+	return takeSlots(workers, counts, order, n)
 }
 
-// takeSlots takes up to n slots of workers in an order, one entry a slot.
-func takeSlots(rooms []*room, counts []int64, order []int, n int) []*room {
-	var places []*room
+// takeSlots takes up to n slots of workers in the given order, one entry per slot.
+func takeSlots(workers []*workerCapacity, counts []int64, order []int, n int) []*workerCapacity {
+	var places []*workerCapacity
 	for _, i := range order {
 		for range counts[i] {
 			if len(places) == n {
 				return places
 			}
-			places = append(places, rooms[i])
+			places = append(places, workers[i])
 		}
 	}
 	return places
 }
 
-// compareFullness puts the worker with the least left first. Work inside a
-// guarantee looks only at what other such work uses: the rest can be stopped,
-// and packed together it leaves workers that can be freed whole.
-func compareFullness(u *pendingStep, a, b *room) int {
+// compareFullness sorts the worker with the least free capacity first. For work inside a
+// guarantee only the use by other guaranteed work counts: the rest can be preempted, and
+// packing guaranteed work leaves workers that can be freed completely.
+func compareFullness(u *pendingStep, a, b *workerCapacity) int {
 	if u.rank.class == 0 {
-		left := func(r *room) int64 { return r.Room.Accelerators - r.guarded.Accelerators }
+		left := func(r *workerCapacity) int64 { return r.Room.Accelerators - r.guaranteedUse.Accelerators }
 		if c := cmp.Compare(left(a), left(b)); c != 0 {
 			return c
 		}
--- a/internal/dispatch/flapping.go
+++ b/internal/dispatch/flapping.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// This file answers machines that go down and come back by turns. Each time one is back it
-// is empty, so what is waiting on a full deployment starts there, and is lost with it: the
-// machine draws work as long as it flaps, and the same healthy tasks lose one worker after
-// the other. A machine that went down twice within a while gets nothing new. Crashes under
-// a task that was given up for them are not held against the machine. Machines that go
-// down together tell an outage from a task.
+// Flapping detection excludes machines that repeatedly crash and return. Such a machine is
+// empty each time it returns, so waiting work on a full deployment starts there and is lost
+// with it: the machine attracts work as long as it flaps, and the same healthy tasks lose one
+// worker after another. A machine that crashed twice within crashMemory gets no new work.
+// Crashes attributed to a task that failed permanently are not counted against the machine.
+// Machines that crash together indicate an outage rather than a faulty task.
 
 const (
-	// crashMemory is how long it counts that a machine went down.
+	// crashMemory is how long a machine's crash counts.
 	crashMemory = 30 * time.Second
-	// flappingAfter crashes within crashMemory, nothing new starts on a machine.
+	// flappingAfter is the number of crashes within crashMemory after which a machine gets no
+	// new work.
 	flappingAfter = 2
-	// flappingMost bounds the workers that are left out to one in so many of a pool.
-	flappingMost = 4
-	// outageLeast machines that go down within outageWithin of a crash make it one of many.
-	outageLeast  = 5
-	outageWithin = time.Second
+	// maxFlappingDivisor limits the excluded workers to one in this many of a pool.
+	maxFlappingDivisor = 4
+	// outageMinMachines is the number of machines that must crash within outageWindow of a
+	// crash for it to count as part of an outage.
+	outageMinMachines = 5
+	outageWindow      = time.Second
 )
 
-// machineCrash is one time that a worker's machine went down, with what ran there.
+// machineCrash is one crash of a worker's machine, with the attempts that ran on it.
 type machineCrash struct {
 	at       time.Time
 	attempts []int64
 	jobs     []*job
 }
 
-// noteCrashed notes that a worker went down.
-func (c *Core) noteCrashed(w *worker) {
+// recordMachineCrash records the crash of a worker.
+func (c *Core) recordMachineCrash(w *worker) {
 	for addr, list := range c.machineCrashes {
 		list = slices.DeleteFunc(list, func(m machineCrash) bool { return c.now.Sub(m.at) >= crashMemory })
 		c.setMachineCrashes(addr, list)
@@ -41,7 +43,7 @@
 	for _, r := range w.runs {
 		crash.add(r.task, r.attempt)
 	}
-	for _, lost := range w.lapsed {
+	for _, lost := range w.lostAttempts {
 		crash.add(lost.task, lost.attempt)
 	}
 	c.machineCrashes[w.Addr] = append(c.machineCrashes[w.Addr], crash)
@@ -52,16 +54,17 @@
 	m.jobs = append(m.jobs, t.step.job)
 }
 
-// inOutage reports whether many machines went down about a time that ran nothing of a job.
+// inOutage reports whether many machines that ran nothing of the job crashed at about the given
+// time.
 func (c *Core) inOutage(j *job, at time.Time) bool {
 	count := 0
 	for _, list := range c.machineCrashes {
 		if slices.ContainsFunc(list, func(m machineCrash) bool {
-			return m.at.Sub(at).Abs() <= outageWithin && !slices.Contains(m.jobs, j)
+			return m.at.Sub(at).Abs() <= outageWindow && !slices.Contains(m.jobs, j)
 		}) {
 			count++
 		}
-		if count == outageLeast {
+		if count == outageMinMachines {
 			return true
 		}
 	}
@@ -76,7 +79,7 @@
 	c.machineCrashes[addr] = list
 }
 
-// forgetMachineCrashes forgets the crashes under a task that was given up for them.
+// forgetMachineCrashes removes the crashes attributed to a task that failed permanently.
 func (c *Core) forgetMachineCrashes(attempts []int64) {
 	blamed := func(m machineCrash) bool {
 		return slices.ContainsFunc(m.attempts, func(a int64) bool { return slices.Contains(attempts, a) })
@@ -86,8 +89,8 @@
 	}
 }
 
-// crashesOf counts how often a worker's machine went down lately.
-func (c *Core) crashesOf(w *worker) int {
+// recentCrashes returns the number of recent crashes of a worker's machine.
+func (c *Core) recentCrashes(w *worker) int {
 	count := 0
 	for _, m := range c.machineCrashes[w.Addr] {
 		if c.now.Sub(m.at) < crashMemory {
@@ -97,21 +100,21 @@
 	return count
 }
 
-// noteFlapping marks the workers that get nothing new because their machine went down again
-// and again, under tasks that were not given up for it. If they are many, something else
-// than the machines is at fault, and none is left out.
-func (c *Core) noteFlapping(pools map[string][]*room) {
-	if len(c.machineCrashes) == 0 || !c.has(MechFlappingWorkers) {
+// markFlapping marks the workers whose machine crashed repeatedly under tasks that did not fail
+// permanently for it. If there are many, the cause lies outside the machines and none is
+// excluded.
+func (c *Core) markFlapping(pools map[string][]*workerCapacity) {
+	if len(c.machineCrashes) == 0 || !c.enabled(MechFlappingWorkers) {
 		return
 	}
-	for _, rooms := range pools {
-		var flapping []*room
-		for _, r := range rooms {
-			if c.crashesOf(r.worker) >= flappingAfter {
+	for _, workers := range pools {
+		var flapping []*workerCapacity
+		for _, r := range workers {
+			if c.recentCrashes(r.worker) >= flappingAfter {
 				flapping = append(flapping, r)
 			}
 		}
-		if flappingMost*len(flapping) > len(rooms) {
+		if maxFlappingDivisor*len(flapping) > len(workers) {
 			continue
 		}
 		for _, r := range flapping {
--- a/internal/dispatch/headroom.go
+++ b/internal/dispatch/headroom.go
@@ -8,71 +8,69 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// Headroom answers a mix of urgent work that comes in bursts and batch work that
-// would fill every worker. Without it each urgent gang that needs whole workers
-// has batch tasks stopped, which were started moments ago, lose what they did,
-// and are stopped again at the next one: on a full deployment a third of all
-// starts ended so. Some whole workers stay free for urgent work instead, as long
-// as there is any.
+// Headroom serves deployments with bursts of urgent work and batch work that would fill every
+// worker. Without it each urgent gang that needs whole workers preempts batch tasks that were
+// started moments ago, lose their work, and are preempted again by the next gang: on a full
+// deployment a third of all starts ended this way. Some whole workers therefore stay free for
+// urgent work as long as there is any.
 const (
-	// headroomOver is how much more than the urgent work lately is kept room
-	// for: its use varies by about a third from burst to burst.
-	headroomOver = 1.3
-	// headroomMost bounds the share of a pool's workers that is kept.
-	headroomMost = 0.35
-	// headroomLoad is the share of a pool's accelerators in use from which room
-	// is kept. Below it urgent work finds room anyway, and keeping it would let
-	// large gangs wait on a deployment that is half empty.
-	headroomLoad = 0.6
-	// headroomMemory is the time over which the use by urgent work is averaged:
-	// some bursts.
-	headroomMemory = 8 * time.Second
+	// headroomFactor scales the recent urgent usage that capacity is kept for: the usage varies
+	// by about a third between bursts.
+	headroomFactor = 1.3
+	// headroomMaxShare bounds the share of a pool's workers that is kept free.
+	headroomMaxShare = 0.35
+	// headroomMinLoad is the load of a pool from which capacity is kept free. Below it urgent
+	// work finds capacity anyway, and keeping it would make large gangs wait on a half empty
+	// deployment.
+	headroomMinLoad = 0.6
+	// headroomWindow is the averaging time of the urgent usage: several bursts.
+	headroomWindow = 8 * time.Second
 )
 
-// noteUrgent averages what urgent work uses in each pool.
-func (c *Core) noteUrgent(pools map[string][]*room) {
-	weight := 1 - math.Exp(-c.now.Sub(c.urgentAt).Seconds()/c.number(NumHeadroomMemory, headroomMemory.Seconds()))
-	c.urgentAt = c.now
-	for pool, rooms := range pools {
+// recordUrgentUsage updates the average urgent usage of each pool.
+func (c *Core) recordUrgentUsage(pools map[string][]*workerCapacity) {
+	weight := 1 - math.Exp(-c.now.Sub(c.urgentUsageAt).Seconds()/c.numberOr(NumHeadroomWindow, headroomWindow.Seconds()))
+	c.urgentUsageAt = c.now
+	for pool, workers := range pools {
 		used := int64(0)
-		for _, r := range rooms {
-			used += r.urgent
+		for _, r := range workers {
+			used += r.urgentAccelerators
 		}
-		c.urgentUse[pool] += weight * (float64(used) - c.urgentUse[pool])
+		c.urgentUsage[pool] += weight * (float64(used) - c.urgentUsage[pool])
 	}
 }
 
-// mayNotUseReserve reports whether the step may not use the workers that are kept for
-// urgent work: work that is not urgent and loses what it did when it is stopped.
-func (c *Core) mayNotUseReserve(u *pendingStep) bool {
+// mayNotUseHeadroom reports whether the step must not use the workers kept for urgent work: it
+// is not urgent, and loses its work if preempted.
+func (c *Core) mayNotUseHeadroom(u *pendingStep) bool {
 	s := u.step.spec
 	return u.queue.Priority != 0 && !s.Lasting && !s.Checkpoints
 }
 
-// withoutReserve drops workers that are kept for urgent work, of those that run
+// excludeHeadroom removes the workers that are kept for urgent work, out of those that run
 // nothing else.
-func (c *Core) withoutReserve(pool string, rooms []*room) []*room {
-	if loadOf(rooms) < c.number(NumHeadroomLoad, headroomLoad) {
-		return rooms
+func (c *Core) excludeHeadroom(pool string, workers []*workerCapacity) []*workerCapacity {
+	if loadOf(workers) < c.numberOr(NumHeadroomMinLoad, headroomMinLoad) {
+		return workers
 	}
-	most := int(c.number(NumHeadroomMost, headroomMost) * float64(len(rooms)))
-	wanted := c.number(NumHeadroomOver, headroomOver) * c.urgentUse[pool]
-	return slices.DeleteFunc(slices.Clone(rooms), func(r *room) bool {
-		kept := most > 0 && wanted > 0 && r.urgentOnly
+	maxKept := int(c.numberOr(NumHeadroomMaxShare, headroomMaxShare) * float64(len(workers)))
+	wanted := c.numberOr(NumHeadroomFactor, headroomFactor) * c.urgentUsage[pool]
+	return slices.DeleteFunc(slices.Clone(workers), func(r *workerCapacity) bool {
+		kept := maxKept > 0 && wanted > 0 && r.urgentOnly
 		if kept {
-			most--
+			maxKept--
 			wanted -= float64(r.Room.Accelerators)
 		}
 		return kept
 	})
 }
 
-// loadOf is the share of the workers' accelerators that is in use, or of their
-// processors if that is more.
-func loadOf(rooms []*room) float64 {
+// loadOf returns the share of the workers' accelerators in use, or that of their processors if
+// it is higher.
+func loadOf(workers []*workerCapacity) float64 {
 	var all, free workload.Resources
-	for _, r := range rooms {
-		all, free = all.Add(r.Room), free.Add(r.soon)
+	for _, r := range workers {
+		all, free = all.Add(r.Room), free.Add(r.freeSoon)
 	}
 	load := 0.0
 	if all.Accelerators > 0 {
--- a/internal/dispatch/headroom_test.go
+++ b/internal/dispatch/headroom_test.go
@@ -10,29 +10,29 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// burst plays urgent gangs of whole workers that come every two seconds into a
-// backlog of small batch tasks, and returns how many tasks were stopped.
-func burst(t *testing.T, saves bool) (stops, urgentDone int) {
+// runUrgentBursts adds urgent gangs of whole workers every two seconds to a backlog of small
+// batch tasks, and returns the number of stopped tasks and of completed urgent jobs.
+func runUrgentBursts(t *testing.T, checkpoints bool) (stops, urgentDone int) {
 	b := newBench(t, 12, false)
 	for n := range 40 {
 		job := singleJob(fmt.Sprintf("batch-%d", n), "batch", "other", 16, 1)
-		job.Steps[0].Checkpoints = saves
+		job.Steps[0].Checkpoints = checkpoints
 		b.add(job)
 	}
 	for n := range 20 {
 		b.add(gangJob(fmt.Sprintf("urgent-%d", n), "urgent", "other", 2, 8))
-		b.pass(2 * time.Second)
+		b.advance(2 * time.Second)
 		for id, w := range b.workers {
 			_ = id
 			for key, r := range w.running {
-				if b.now.Sub(r.began) > 2900*time.Millisecond {
-					b.end(w, key.task, key.attempt, workload.EndDone)
+				if b.now.Sub(r.startedAt) > 2900*time.Millisecond {
+					b.endRun(w, key.task, key.attempt, workload.EndDone)
 				}
 			}
 		}
 	}
 	for n := range 20 {
-		if b.state(fmt.Sprintf("urgent-%d", n)) == FinalCompleted {
+		if b.finalState(fmt.Sprintf("urgent-%d", n)) == FinalCompleted {
 			urgentDone++
 		}
 	}
@@ -40,17 +40,17 @@
 }
 
 func TestBurstsOfUrgentWorkOverABacklogStopFewTasksOnceTheyAreKnown(t *testing.T) {
-	stops, done := burst(t, false)
-	// 20 gangs of two whole workers would each have 16 tasks stopped.
+	stops, done := runUrgentBursts(t, false)
+	// Without headroom, 20 gangs of two whole workers would each have 16 tasks stopped.
 	assert.Assert(t, stops < 20*16/4, "%d tasks were stopped", stops)
 	assert.Assert(t, done >= 18, "%d urgent jobs of 20 are done", done)
 }
 
-func TestALargeGangStartsAtOnceOnADeploymentThatIsHalfEmpty(t *testing.T) {
+func TestLargeGangStartsAtOnceOnAHalfEmptyDeployment(t *testing.T) {
 	b := newBench(t, 12, false)
 	b.add(gangJob("urgent", "urgent", "other", 4, 8))
-	b.pass(12 * time.Second) // urgent work used a third of the deployment for long
+	b.advance(12 * time.Second) // urgent work used a third of the deployment for a long time
 	b.add(gangJob("large", "batch", "other", 8, 8))
-	b.pass(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	assert.Equal(t, b.runningOf("large"), 8)
 }
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -7,25 +7,24 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// health tells a sick worker from a sick job: work of several jobs that fails
-// one after the other blames the worker, the same job failing on several
-// workers blames the job.
+// health distinguishes unhealthy workers from unhealthy jobs: consecutive failures of several
+// jobs count against the worker, while a job that fails on several workers is itself at fault.
 type health struct {
-	// failedJobs are the jobs that failed here since the last success.
+	// failedJobs are the jobs that failed on the worker since the last success.
 	failedJobs []string
 	lastFailed time.Time
 }
 
 const (
-	// failingAfter failures of different jobs in a row, a worker counts as failing.
-	// One may be the job's own fault.
+	// failingAfter is the number of different jobs that must fail in a row for a worker to
+	// count as failing. A single one may be the job's own fault.
 	failingAfter = 2
-	// distrustFor is how long a failing worker gets nothing new: faults that
-	// pass do so within some seconds. After it one more failure renews it.
-	distrustFor = 5 * time.Second
+	// failingHoldOff is how long a failing worker gets no new work: transient faults pass
+	// within some seconds. After it, one more failure renews the exclusion.
+	failingHoldOff = 5 * time.Second
 )
 
-func (h *health) ended(e workload.Ended, now time.Time) {
+func (h *health) recordCompletion(e workload.Ended, now time.Time) {
 	switch e.Kind {
 	case workload.EndDone:
 		h.failedJobs = nil
@@ -43,5 +42,5 @@
 }
 
 func (h *health) failing(now time.Time) bool {
-	return len(h.failedJobs) >= failingAfter && now.Sub(h.lastFailed) < distrustFor
+	return len(h.failedJobs) >= failingAfter && now.Sub(h.lastFailed) < failingHoldOff
 }
--- a/internal/dispatch/infeasible_test.go
+++ b/internal/dispatch/infeasible_test.go
@@ -10,26 +10,26 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-func TestWhatFoundNoRoomSpeaksOnlyForWhatNeedsAsMuch(t *testing.T) {
+func TestInfeasibleStepRulesOutOnlyStepsThatNeedAsMuch(t *testing.T) {
 	found := gangJob("found", "batch", "other", 4, 4)
 	for name, c := range map[string]struct {
-		change func(job *workload.Job, u *pendingStep)
-		lacks  bool
+		change   func(job *workload.Job, u *pendingStep)
+		ruledOut bool
 	}{
-		"the same":                  {func(*workload.Job, *pendingStep) {}, true},
-		"a larger gang":             {func(j *workload.Job, _ *pendingStep) { j.Steps[0].Count = 5 }, true},
-		"a longer one":              {func(_ *workload.Job, u *pendingStep) { u.length *= 2 }, true},
-		"a smaller gang":            {func(j *workload.Job, _ *pendingStep) { j.Steps[0].Count = 3 }, false},
-		"a shorter one":             {func(_ *workload.Job, u *pendingStep) { u.length /= 2 }, false},
-		"tasks that need less":      {func(j *workload.Job, _ *pendingStep) { j.Steps[0].Need.Accelerators = 2 }, false},
-		"another label":             {func(j *workload.Job, _ *pendingStep) { j.Steps[0].Label = "kind-b" }, false},
-		"work that may stop others": {func(_ *workload.Job, u *pendingStep) { u.rank.class = 0 }, false},
-		"a bound on each worker":    {func(j *workload.Job, _ *pendingStep) { j.Steps[0].MaxPerWorker = 1 }, false},
+		"the same":              {func(*workload.Job, *pendingStep) {}, true},
+		"a larger gang":         {func(j *workload.Job, _ *pendingStep) { j.Steps[0].Count = 5 }, true},
+		"a longer one":          {func(_ *workload.Job, u *pendingStep) { u.duration *= 2 }, true},
+		"a smaller gang":        {func(j *workload.Job, _ *pendingStep) { j.Steps[0].Count = 3 }, false},
+		"a shorter one":         {func(_ *workload.Job, u *pendingStep) { u.duration /= 2 }, false},
+		"tasks that need less":  {func(j *workload.Job, _ *pendingStep) { j.Steps[0].Need.Accelerators = 2 }, false},
+		"another label":         {func(j *workload.Job, _ *pendingStep) { j.Steps[0].Label = "kind-b" }, false},
+		"work that may preempt": {func(_ *workload.Job, u *pendingStep) { u.rank.class = 0 }, false},
+		"a limit per worker":    {func(j *workload.Job, _ *pendingStep) { j.Steps[0].MaxPerWorker = 1 }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 1, false)
-			unitOf := func(submitted *workload.Job, change func(*workload.Job, *pendingStep)) *pendingStep {
-				u := &pendingStep{queue: b.core.config.Queue("batch"), length: 4 * time.Second, rank: rank{class: 3}}
+			pendingStepOf := func(submitted *workload.Job, change func(*workload.Job, *pendingStep)) *pendingStep {
+				u := &pendingStep{queue: b.core.config.Queue("batch"), duration: 4 * time.Second, rank: rank{class: 3}}
 				change(submitted, u)
 				s := newStep(&job{Job: submitted}, 0, 0)
 				u.step = s
@@ -38,28 +38,28 @@
 				}
 				return u
 			}
-			first := unitOf(found, func(*workload.Job, *pendingStep) {})
-			form, alike := b.core.shapeOf(first)
-			assert.Assert(t, alike)
-			rooms := make(infeasible)
-			rooms.note(form, first)
-			next := unitOf(gangJob("next", "batch", "other", 4, 4), c.change)
-			form, alike = b.core.shapeOf(next)
-			assert.Equal(t, alike && rooms.lacks(form, next), c.lacks)
+			first := pendingStepOf(found, func(*workload.Job, *pendingStep) {})
+			stepShape, cacheable := b.core.shapeOf(first)
+			assert.Assert(t, cacheable)
+			known := make(infeasible)
+			known.record(stepShape, first)
+			next := pendingStepOf(gangJob("next", "batch", "other", 4, 4), c.change)
+			stepShape, cacheable = b.core.shapeOf(next)
+			assert.Equal(t, cacheable && known.rulesOut(stepShape, next), c.ruledOut)
 		})
 	}
 }
 
-func TestAFullDeploymentStartsWhatFitsBehindManyThatDoNot(t *testing.T) {
+func TestFullDeploymentStartsWhatFitsBehindManyThatDoNot(t *testing.T) {
 	b := newBench(t, 2, false)
 	b.add(singleJob("filler", "batch", "other", 7, 2))
-	b.pass(time.Second)
+	b.advance(time.Second)
 	for n := range 30 {
 		b.add(gangJob(fmt.Sprintf("large-%02d", n), "batch", "other", 2, 8))
 	}
 	small := singleJob("small", "batch", "other", 1, 2)
 	small.Steps[0].EstimateMS = 100
 	b.add(small)
-	b.pass(time.Second)
+	b.advance(time.Second)
 	assert.Equal(t, b.runningOf("small"), 1)
 }
--- a/internal/dispatch/jobs.go
+++ b/internal/dispatch/jobs.go
@@ -16,21 +16,21 @@
 	number     int
 	spec       *workload.Step
 	tasks      []task
-	open       int
+	openTasks  int
 	gang       *gang
-	// readySince is when it could first have run; zero while it could not.
+	// readySince is the time from which the step could run, or zero while it cannot.
 	readySince time.Time
-	began      bool
-	// waitReason is why it waits, as of waitReasonAt.
+	started    bool
+	// waitReason is the reason why the step waits, as of waitReasonAt.
 	waitReason   string
 	waitReasonAt time.Time
-	// length is how long a task is expected to take, as of the observations that had
-	// been made then.
-	length   time.Duration
-	lengthAt uint64
-	// claim is where an urgent gang will start, once others have ended there.
+	// duration is the expected run time of a task, computed from the first durationAsOf
+	// observations.
+	duration     time.Duration
+	durationAsOf uint64
+	// claim is where an urgent gang will start once the runs there have ended.
 	claim *claim
-	// advice is what the advisor said of workers, on queues that have one.
+	// advice holds the advisor's answers, on queues that have an advisor.
 	advice advice
 }
 
@@ -39,7 +39,7 @@
 	index int
 	done  bool
 	runs  []*run
-	// crashes is its crash history, nil if it has none.
+	// crashes is the task's crash history, or nil.
 	crashes *crashHistory
 }
 
@@ -47,9 +47,9 @@
 type gang struct {
 	attempt int64
 	runs    int
-	// broken gangs are being stopped.
-	broken bool
-	done   bool
+	// interrupted is set while the gang's remaining members are being stopped.
+	interrupted bool
+	done        bool
 }
 
 type job struct {
@@ -57,35 +57,35 @@
 	record    Record
 	steps     []*step
 	cancelled bool
-	// old jobs may have been started by an earlier epoch.
-	old   bool
-	began bool
-	// beginStored says that the store has the begin, beginAsked since when it is owed.
-	beginStored bool
-	beginAsked  time.Time
-	// changed and stored count changes of the record, and those in the store.
-	changed, stored uint64
-	runs            int
-	// broken counts the gangs of the job that were broken, and the runs stopped for others.
-	broken int
-	// hasEarlier says that tasks have recorded attempts of earlier leaders.
-	hasEarlier bool
-	// protected jobs lie within their account's guarantee.
-	protected bool
-	received  time.Time
+	// fromEarlierEpoch is set if an earlier epoch may have started the job.
+	fromEarlierEpoch bool
+	started          bool
+	// startIntentStored is set once the store has the start intent, which was requested at
+	// startIntentRequestedAt.
+	startIntentStored      bool
+	startIntentRequestedAt time.Time
+	// revision counts changes of the record, storedRevision those that the store has.
+	revision, storedRevision uint64
+	runs                     int
+	// interruptions counts the job's interrupted gangs and its preempted runs.
+	interruptions int
+	// hasEarlierAttempts is set if tasks have recorded attempts of earlier leaders.
+	hasEarlierAttempts bool
+	// guaranteed is set if the job lies within its account's guarantee.
+	guaranteed bool
+	receivedAt time.Time
 }
 
-// AddJob adds an accepted job with its record. Adding a known job again changes
-// nothing.
+// AddJob adds an accepted job with its record. Adding a known job again changes nothing.
 func (c *Core) AddJob(accepted *workload.Job, record Record, cancelled bool, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	if c.jobs[accepted.ID] != nil {
 		return
 	}
-	j := &job{Job: accepted, record: record.clone(), beginStored: record.Began, received: now}
-	j.old = !c.earlier.IsZero() && !now.After(c.earlier) && (record.Began || !c.trustBegins)
+	j := &job{Job: accepted, record: record.clone(), startIntentStored: record.Began, receivedAt: now}
+	j.fromEarlierEpoch = !c.earlierOrdersUntil.IsZero() && !now.After(c.earlierOrdersUntil) && (record.Began || !c.trustStartIntents)
 	if age := wallMS - accepted.AcceptedMS; age > 0 && age < maxJobAge.Milliseconds() {
-		j.received = now.Add(-time.Duration(age) * time.Millisecond)
+		j.receivedAt = now.Add(-time.Duration(age) * time.Millisecond)
 	}
 	c.jobs[accepted.ID] = j
 	if record.Final != "" {
@@ -104,22 +104,22 @@
 	c.finishIfDone(j)
 }
 
-// maxJobAge bounds how far back an acceptance is believed: another instance's
-// time of day may be off.
+// maxJobAge limits how far back an acceptance time is trusted: the wall clock of another
+// instance may be off.
 const maxJobAge = time.Hour
 
 func newStep(j *job, occurrence, number int) *step {
 	spec := &j.Steps[number]
 	s := &step{job: j, occurrence: occurrence, number: number, spec: spec, tasks: make([]task, spec.Count)}
-	for i, done := range j.record.doneBits(stepName(occurrence, number), spec.Count) {
+	for i, done := range j.record.doneBits(stepKey(occurrence, number), spec.Count) {
 		s.tasks[i] = task{step: s, index: i, done: done}
 		if !done {
-			s.open++
+			s.openTasks++
 		}
-		s.began = s.began || done
+		s.started = s.started || done
 		s.tasks[i].loadCrashes()
 	}
-	j.began = j.began || s.began
+	j.started = j.started || s.started
 	return s
 }
 
@@ -127,12 +127,12 @@
 	return workload.TaskID{Job: t.step.job.ID, Occurrence: t.step.occurrence, Step: t.step.number, Index: t.index}
 }
 
-// name is the task's name in the record; all members of a gang share one.
-func (t *task) name() string {
+// recordKey returns the task's key in the record; all members of a gang share one.
+func (t *task) recordKey() string {
 	if t.step.spec.Gang {
-		return stepName(t.step.occurrence, t.step.number)
+		return stepKey(t.step.occurrence, t.step.number)
 	}
-	return taskName(t.step.occurrence, t.step.number, t.index)
+	return taskKey(t.step.occurrence, t.step.number, t.index)
 }
 
 func (c *Core) task(id workload.TaskID) *task {
@@ -151,7 +151,7 @@
 	return &s.tasks[id.Index]
 }
 
-// Cancel notes that a job was cancelled.
+// Cancel cancels a job.
 func (c *Core) Cancel(id string, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	if j := c.jobs[id]; j != nil && j.record.Final == "" {
@@ -161,84 +161,85 @@
 
 func (c *Core) cancel(j *job) {
 	j.cancelled = true
-	c.final(j, FinalCancelled)
+	c.finish(j, FinalCancelled)
 }
 
-// final ends a job: its record says so, and what runs of it is stopped.
-func (c *Core) final(j *job, how Final) {
-	j.record.Final = how
+// finish sets a job's final state and stops its runs.
+func (c *Core) finish(j *job, state Final) {
+	j.record.Final = state
 	j.record.EndedMS = c.wallMS
-	c.change(j)
+	c.markChanged(j)
 	for _, s := range j.steps {
 		for i := range s.tasks {
 			for _, r := range s.tasks[i].runs {
-				if how != FinalCompleted || !r.task.done {
-					c.stop(r, "job "+string(how))
+				if state != FinalCompleted || !r.task.done {
+					c.stop(r, "job "+string(state))
 				}
 			}
 		}
 	}
 }
 
-// change marks a record to be written.
-func (c *Core) change(j *job) {
-	j.changed++
+// markChanged marks a job's record for writing.
+func (c *Core) markChanged(j *job) {
+	j.revision++
 	c.dirty[j.ID] = j
 }
 
-// Unpersisted is a record to be written.
+// Unpersisted is a job record that is not stored yet.
 type Unpersisted struct {
 	Job    string
 	Change uint64
 	Record []byte
 	Final  Final
-	// Began says that the record tells of the job's begin.
+	// Began reports whether the record contains the job's start intent.
 	Began bool
 }
 
-// Unpersisted returns up to limit records that the store does not have yet, those that
-// a start waits for first.
+// Unpersisted returns up to limit records that are not stored yet, starting with those that a
+// start waits for.
 func (c *Core) Unpersisted(limit int) []Unpersisted {
 	var list []Unpersisted
-	owed := slices.SortedFunc(maps.Values(c.dirty), func(a, b *job) int {
+	changed := slices.SortedFunc(maps.Values(c.dirty), func(a, b *job) int {
 		switch {
-		case a.owesBegin() && !b.owesBegin():
+		case a.owesStartIntent() && !b.owesStartIntent():
 			return -1
-		case b.owesBegin() && !a.owesBegin():
+		case b.owesStartIntent() && !a.owesStartIntent():
 			return 1
 		}
 		return cmp.Compare(a.ID, b.ID)
 	})
-	for _, j := range owed {
+	for _, j := range changed {
 		if len(list) == limit {
 			break
 		}
-		list = append(list, Unpersisted{Job: j.ID, Change: j.changed, Record: j.record.Encode(), Final: j.record.Final, Began: j.record.Began})
+		list = append(list, Unpersisted{Job: j.ID, Change: j.revision, Record: j.record.Encode(), Final: j.record.Final, Began: j.record.Began})
 	}
 	return list
 }
 
-// EndedUnpersisted returns the jobs that are final, for some time already, and whose
-// record the store does not have.
+// EndedUnpersisted returns the jobs that have been final for at least the given time and whose
+// record is not stored yet.
 func (c *Core) EndedUnpersisted(since time.Duration) []Unpersisted {
 	var list []Unpersisted
 	for _, j := range c.dirty {
 		if j.record.Final != "" && c.wallMS-j.record.EndedMS >= since.Milliseconds() {
-			list = append(list, Unpersisted{Job: j.ID, Change: j.changed, Record: j.record.Encode(), Final: j.record.Final, Began: j.record.Began})
+			list = append(list, Unpersisted{Job: j.ID, Change: j.revision, Record: j.record.Encode(), Final: j.record.Final, Began: j.record.Began})
 		}
 	}
 	slices.SortFunc(list, func(a, b Unpersisted) int { return cmp.Compare(a.Job, b.Job) })
 	return list
 }
 
-// MarkDirty has a job's record written: the store may not have it as it is.
+// MarkDirty schedules a job's record for writing because the store may not have its current
+// state.
 func (c *Core) MarkDirty(id string) {
 	if j := c.jobs[id]; j != nil {
-		c.change(j)
+		c.markChanged(j)
 	}
 }
 
-// Recorded notes that the store has the records of a list.
+// Recorded marks the given records as stored.
 func (c *Core) Recorded(list []Unpersisted, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	for _, u := range list {
@@ -246,9 +247,9 @@
 		if j == nil {
 			continue
 		}
-		j.stored = max(j.stored, u.Change)
-		j.beginStored = j.beginStored || u.Began
-		if j.stored == j.changed {
+		j.storedRevision = max(j.storedRevision, u.Change)
+		j.startIntentStored = j.startIntentStored || u.Began
+		if j.storedRevision == j.revision {
 			delete(c.dirty, j.ID)
 		}
 	}
@@ -264,11 +265,11 @@
 	}
 }
 
-// Began lists the jobs that have begun and are not final.
+// Began returns the ids of the jobs that have started and are not final.
 func (c *Core) Began() []string {
 	var ids []string
 	for _, j := range c.queue {
-		if j.began && j.record.Final == "" {
+		if j.started && j.record.Final == "" {
 			ids = append(ids, j.ID)
 		}
 	}
--- a/internal/dispatch/leases.go
+++ b/internal/dispatch/leases.go
@@ -7,96 +7,96 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// clockSkew is by how much a worker's clock may run slow.
-const clockSkew = 0.02
+// maxClockSkew is the maximum fraction by which a worker's clock may run slow.
+const maxClockSkew = 0.02
 
-// slowest is how long d may take on a clock that runs slow.
-func slowest(d time.Duration) time.Duration {
-	return time.Duration(float64(d) / (1 - clockSkew))
+// maxElapsed returns the longest real time that d can take on a slow clock.
+func maxElapsed(d time.Duration) time.Duration {
+	return time.Duration(float64(d) / (1 - maxClockSkew))
 }
 
-// sample notes the worker's clock as of an answer.
-func (w *worker) sample(clockMS int64, now time.Time) {
+// sampleClock records the worker's clock from an answer.
+func (w *worker) sampleClock(clockMS int64, now time.Time) {
 	if clockMS > 0 {
-		w.heardAt = now
+		w.lastContact = now
 	}
 	if clockMS > w.clockMS {
 		w.clockMS, w.clockAt = clockMS, now
 	}
 }
 
-// clock estimates the worker's clock, at a steady rate of one.
-func (w *worker) clock(now time.Time) int64 {
+// estimatedClock returns the worker's estimated clock, assuming a rate of one since the last
+// sample.
+func (w *worker) estimatedClock(now time.Time) int64 {
 	return w.clockMS + now.Sub(w.clockAt).Milliseconds()
 }
 
-// lease notes that something was told to run until a time on the worker's clock.
-func (w *worker) lease(untilMS int64) { w.leaseMS = max(w.leaseMS, untilMS) }
+// extendLease records that something may run until a time on the worker's clock.
+func (w *worker) extendLease(untilMS int64) { w.leaseUntilMS = max(w.leaseUntilMS, untilMS) }
 
-// surelyLapsed reports whether everything on the worker has been ended by its
-// own lease, even if its clock runs slow and every order sent to it counted.
-func (w *worker) surelyLapsed(now time.Time, slack time.Duration) bool {
-	left := time.Duration(w.leaseMS-w.clockMS) * time.Millisecond
-	return now.Sub(w.clockAt) > slowest(max(left, 0))+slack
+// definitelyExpired reports whether everything on the worker has been ended by its own lease,
+// even if its clock runs slow and every order sent to it was received.
+func (w *worker) definitelyExpired(now time.Time, slack time.Duration) bool {
+	left := time.Duration(w.leaseUntilMS-w.clockMS) * time.Millisecond
+	return now.Sub(w.clockAt) > maxElapsed(max(left, 0))+slack
 }
 
-// expireLeases ends the runs on workers that have been silent for longer than
-// any lease, whatever else is known of them: a worker that is no longer listed and
-// refuses connections may run on behind a cut. Then it forgets workers that are no
-// longer listed and run nothing.
+// expireLeases ends the runs on workers that have not responded for longer than any lease. No
+// other evidence is sufficient: an unlisted worker that refuses connections may still be
+// running behind a network partition. It then removes unlisted workers that run nothing.
 func (c *Core) expireLeases() {
-	c.settleCrashed()
-	c.endWait()
+	c.settleCrashes()
+	c.endUnsyncedWait()
 	for _, w := range slices.Clone(c.fleet) {
-		if w.misses > 0 && len(w.runs)+len(w.unknownRuns) > 0 && w.surelyLapsed(c.now, c.bounds.StopTime) {
-			c.lapse(w, LossSilent)
+		if w.misses > 0 && len(w.runs)+len(w.unknownRuns) > 0 && w.definitelyExpired(c.now, c.bounds.StopTime) {
+			c.endLostRuns(w, LossUnresponsive)
 		}
-		c.settleUnheard(w)
-		if w.known && !w.unlistedSince.IsZero() && len(w.runs)+len(w.unknownRuns) == 0 {
+		c.settleUnresponsive(w)
+		if w.synced && !w.unlistedSince.IsZero() && len(w.runs)+len(w.unknownRuns) == 0 {
 			c.unstore(w)
 		}
-		if !w.unlistedSince.IsZero() && len(w.runs)+len(w.unknownRuns) == 0 && c.now.Sub(w.unlistedSince) > slowest(c.bounds.LongestLease) &&
-			(w.known || !c.now.Before(c.surelyQuiet)) {
-			c.noteUnseen(w)
+		if !w.unlistedSince.IsZero() && len(w.runs)+len(w.unknownRuns) == 0 && c.now.Sub(w.unlistedSince) > maxElapsed(c.bounds.LongestLease) &&
+			(w.synced || !c.now.Before(c.definitelyStopped)) {
+			c.recordLostUnsynced(w)
 			c.unstore(w)
-			c.settleLapsed(w, true)
+			c.settleLostAttempts(w, true)
 			delete(c.workers, w.ID)
 			c.fleet = slices.DeleteFunc(c.fleet, func(other *worker) bool { return other == w })
 		}
 	}
 }
 
-// lapse ends all runs of a worker.
-func (c *Core) lapse(w *worker, cause LossCause) {
+// endLostRuns ends all runs of a lost worker.
+func (c *Core) endLostRuns(w *worker, cause LossCause) {
 	w.unknownRuns = nil
-	lost := w.inOrder(anyRun)
+	lost := w.sortedRuns(anyRun)
 	for _, r := range lost {
-		c.recordLost(r, cause, len(lost)-1)
-		c.noteLost(r, cause)
-		c.ended(r, workload.EndLapsed)
+		c.reportLostRun(r, cause, len(lost)-1)
+		c.recordLostAttempt(r, cause)
+		c.runEnded(r, workload.EndLapsed)
 	}
 }
 
-// lostWorker takes that another life of the worker answered: this one is over.
-func (c *Core) lostWorker(w *worker) {
-	c.noteUnseen(w)
-	if !w.over && !w.Leaving {
-		c.noteCrashed(w)
+// workerReplaced handles an answer from another incarnation of the worker: this one is over.
+func (c *Core) workerReplaced(w *worker) {
+	c.recordLostUnsynced(w)
+	if !w.replaced && !w.Leaving {
+		c.recordMachineCrash(w)
 	}
-	w.over = true
+	w.replaced = true
 	c.settleReplaced(w)
-	c.lapse(w, LossReplaced)
-	w.known = true
+	c.endLostRuns(w, LossReplaced)
+	w.synced = true
 	w.unlistedSince = c.now
-	w.holdOff = c.now.Add(time.Hour)
-	w.nextPoll = c.now.Add(time.Hour)
+	w.holdOffUntil = c.now.Add(time.Hour)
+	w.nextPollAt = c.now.Add(time.Hour)
 }
 
-// Unsynced lists the workers that have not answered this epoch while what an earlier
-// one started may run there; work of that time waits for them.
+// Unsynced returns the workers that have not answered this epoch while they may run work of an
+// earlier one; jobs from that time wait for them.
 func (c *Core) Unsynced() []string {
 	var list []string
-	if !c.now.Before(c.surelyQuiet) {
+	if !c.now.Before(c.definitelyStopped) {
 		return nil
 	}
 	for _, w := range c.fleet {
@@ -107,32 +107,31 @@
 	return list
 }
 
-// mayRunUnsynced reports whether something that an earlier epoch started may run on a
-// worker that has not answered this one. Nobody gives work to a worker that is not
-// in the table.
-func (w *worker) mayRunUnsynced() bool { return !w.known && w.stored }
+// mayRunUnsynced reports whether work of an earlier epoch may run on a worker that has not
+// answered this one. Workers that are not in the stored table never get work.
+func (w *worker) mayRunUnsynced() bool { return !w.synced && w.stored }
 
-// Synced reports whether no worker is waited for: each that is listed has answered, and
-// what runs is known.
+// Synced reports whether no worker is waited for: every listed worker has answered and all runs
+// are known.
 func (c *Core) Synced() bool {
 	for _, w := range c.fleet {
 		listed := w.unlistedSince.IsZero()
-		if listed && !w.known || w.misses > 0 && (listed || len(w.runs) > 0) || len(w.unknownRuns) > 0 {
+		if listed && !w.synced || w.misses > 0 && (listed || len(w.runs) > 0) || len(w.unknownRuns) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRunUnsynced reports whether a job's tasks may still run, by an earlier
-// epoch's order, on a worker that has not answered this one.
-func (c *Core) mayRunUnsynced(j *job) bool { return j.old && c.unsynced.any(c) }
+// mayRunUnsynced reports whether tasks of a job, ordered by an earlier epoch, may still run on
+// a worker that has not answered this one.
+func (c *Core) mayRunUnsynced(j *job) bool { return j.fromEarlierEpoch && c.unsynced.any(c) }
 
-// unsyncedWorkers is whether any worker is unsynced, found once for each event: a new
-// leader of thousands of workers has hundreds of jobs that wait for one of them, and a
-// search for each job takes the processor from the polls that would end the wait.
+// unsyncedWorkers caches, per event, whether any worker is unsynced. A new leader with
+// thousands of workers has hundreds of jobs waiting for one of them, and a search per job would
+// take processor time from the polls that end the wait.
 type unsyncedWorkers struct {
-	// asOf is the sequence of the event at which found was worked out.
+	// asOf is the sequence of the event at which found was computed.
 	asOf  uint64
 	found bool
 }
@@ -140,7 +139,7 @@
 func (u *unsyncedWorkers) any(c *Core) bool {
 	if u.asOf != c.sequence {
 		u.asOf = c.sequence
-		u.found = c.now.Before(c.surelyQuiet) && slices.ContainsFunc(c.fleet, (*worker).mayRunUnsynced)
+		u.found = c.now.Before(c.definitelyStopped) && slices.ContainsFunc(c.fleet, (*worker).mayRunUnsynced)
 	}
 	return u.found
 }
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -7,39 +7,39 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// attemptsPerEpoch separates the attempt numbers of two epochs: an attempt is
-// the epoch times this, plus a counter. So attempts rise over all leaders of
-// the lease without a write.
+// attemptsPerEpoch separates the attempt numbers of epochs: an attempt number is the epoch
+// times this value plus a counter. Attempt numbers thus increase across all leaders without a
+// stored counter.
 const attemptsPerEpoch = 1_000_000
 
 type run struct {
 	task    *task
 	worker  *worker
 	attempt int64
-	// state is one of charts/run.json.
+	// state is one of the states in charts/run.json.
 	state chart.State
 	gang  *gang
-	// confirmed runs are there, as their worker has said; unanswered says that the call
-	// with their start has ended without an answer.
+	// confirmed is set once the worker has reported the run, unanswered once the call with its
+	// start ended without an answer.
 	confirmed, unanswered bool
-	// recorded says that the store knows that this attempt may be under way.
-	recorded bool
-	need     workload.Resources
-	since    time.Time
-	// settledBy is the sequence after which a poll is sure to know of the
-	// run's start (running) or of its stop (stopping, unclear).
-	settledBy uint64
-	// order is the start, until it is answered, and copies how often it was sent.
-	order  *workload.Order
-	copies int
-	// stops is how often a stop was sent, the last time at stopSent.
-	stops    int
-	stopSent time.Time
-	reason   string
-	percent  int
-	// percentAtStart is above zero for a run that was met under way: how long it
-	// has run in all is not known.
-	percentAtStart int
+	// attemptRecorded is set if the store has this attempt as possibly running.
+	attemptRecorded bool
+	need            workload.Resources
+	since           time.Time
+	// settledAfter is the sequence from which a poll reliably reflects the run's start (if
+	// running) or its stop (if stopping or unclear).
+	settledAfter uint64
+	// order is the start until it is answered, and startsSent the number of times it was sent.
+	order      *workload.Order
+	startsSent int
+	// stopsSent is the number of times a stop was sent, most recently at stopSentAt.
+	stopsSent  int
+	stopSentAt time.Time
+	reason     string
+	percent    int
+	// initialPercent is above zero for a run that was adopted in progress; its total run time
+	// is unknown.
+	initialPercent int
 	checkpoint     string
 }
 
@@ -47,13 +47,13 @@
 func (c *Core) start(t *task, w *worker, attempt int64, g *gang, reason string) {
 	r := &run{
 		task: t, worker: w, attempt: attempt, state: runChart.Initial, gang: g, need: t.step.spec.Counted(), since: c.now,
-		checkpoint: t.step.job.record.Saved[t.name()],
+		checkpoint: t.step.job.record.Checkpoints[t.recordKey()],
 	}
-	r.recorded = t.takeReserved(attempt)
+	r.attemptRecorded = t.takeReservedAttempt(attempt)
 	c.attach(r)
-	c.ordered = append(c.ordered, r)
-	until := w.clock(c.now) + startWithin.Milliseconds()
-	w.lease(until)
+	c.pendingStarts = append(c.pendingStarts, r)
+	until := w.estimatedClock(c.now) + startValidity.Milliseconds()
+	w.extendLease(until)
 	r.order = &workload.Order{
 		Worker: w.ID, Addr: w.Addr, Zone: w.Zone, Task: t.id(), Attempt: attempt, Epoch: c.epoch, UntilMS: until,
 		Spec: t.step.job.Spec, Checkpoint: r.checkpoint, Ticket: t.step.advice.tickets[w.ID].ticket,
@@ -62,14 +62,14 @@
 }
 
 func (c *Core) sendStart(r *run, reason string) {
-	r.copies++
+	r.startsSent++
 	c.actions = append(c.actions, Action{Kind: ActStart, Reason: reason, Order: *r.order})
 }
 
-// startWithin bounds, on the worker's clock, when a start may be carried out. A
-// start without an answer is settled after it even where the worker stays out
-// of reach; it is long enough for the first poll to extend the lease.
-const startWithin = 1500 * time.Millisecond
+// startValidity limits, on the worker's clock, when a start may be carried out. After it an
+// unanswered start is settled even if the worker stays unreachable; it is long enough for the
+// first poll to extend the lease.
+const startValidity = 1500 * time.Millisecond
 
 func (c *Core) nextAttempt() int64 {
 	c.attempts++
@@ -80,8 +80,8 @@
 	t := r.task
 	t.runs = append(t.runs, r)
 	t.step.job.runs++
-	t.step.began = true
-	t.step.job.began = true
+	t.step.started = true
+	t.step.job.started = true
 	if r.gang != nil {
 		r.gang.runs++
 	}
@@ -89,14 +89,14 @@
 	r.worker.used = r.worker.used.Add(r.need)
 }
 
-// detach forgets a run that surely neither runs nor can start any more.
+// detach removes a run that definitely neither runs nor can start any more.
 func (c *Core) detach(r *run) {
 	key := runKey{r.task.id(), r.attempt}
 	if r.worker.runs[key] != r {
 		return
 	}
-	r.step(runGone)
-	if r.recorded {
+	r.transition(runGone)
+	if r.attemptRecorded {
 		c.endAttempt(r.task, r.attempt)
 	}
 	delete(r.worker.runs, key)
@@ -117,121 +117,122 @@
 	}
 }
 
-// stop orders a run to stop; a second call changes nothing.
+// stop orders a run to stop; repeated calls have no effect.
 func (c *Core) stop(r *run, reason string) {
 	if r.stopping() {
 		return
 	}
 	r.reason = reason
-	r.step(runStop)
+	r.transition(runStop)
 	c.sendStop(r)
 }
 
 func (c *Core) sendStop(r *run) {
-	r.stopSent = c.now
-	r.stops++
+	r.stopSentAt = c.now
+	r.stopsSent++
 	c.actions = append(c.actions, Action{Kind: ActStop, Reason: r.reason, Order: workload.Order{
 		Worker: r.worker.ID, Addr: r.worker.Addr, Zone: r.worker.Zone, Task: r.task.id(), Attempt: r.attempt, Epoch: c.epoch,
 	}})
 }
 
-// answered finds the worker and the run that an answer is about, and takes the
-// worker's clock from it. Both are nil where the worker is forgotten, the run
-// alone where it is.
-func (c *Core) answered(order workload.Order, receipt workload.Receipt, now time.Time, wallMS int64) (*worker, *run) {
+// answerTarget returns the worker and the run that an answer refers to, and samples the
+// worker's clock. Both are nil if the worker has been removed; only the run is nil if the run
+// has been removed.
+func (c *Core) answerTarget(order workload.Order, receipt workload.Receipt, now time.Time, wallMS int64) (*worker, *run) {
 	c.tick(now, wallMS)
 	w := c.workers[order.Worker]
 	if w == nil {
 		return nil, nil
 	}
-	w.sample(receipt.ClockMS, now)
+	w.sampleClock(receipt.ClockMS, now)
 	return w, w.runs[runKey{order.Task, order.Attempt}]
 }
 
-// StartAnswered takes the answer to a start.
+// StartAnswered processes the answer to a start.
 func (c *Core) StartAnswered(order workload.Order, receipt workload.Receipt, now time.Time, wallMS int64) {
-	w, r := c.answered(order, receipt, now, wallMS)
+	w, r := c.answerTarget(order, receipt, now, wallMS)
 	if r == nil && w != nil {
-		c.startSettled(w, runKey{order.Task, order.Attempt}, receipt.Verdict)
+		c.settleLostStart(w, runKey{order.Task, order.Attempt}, receipt.Verdict)
 	}
 	if r == nil {
 		return
 	}
-	c.startEnded(r)
+	c.startCallEnded(r)
 	switch receipt.Verdict {
 	case workload.VerdictDone:
-		c.repeats.answered()
-		r.step(runStarted)
+		c.resends.earn()
+		r.transition(runStarted)
 		r.confirmed = true
 		r.order = nil
-		r.settledBy = c.sequence
+		r.settledAfter = c.sequence
 	case workload.VerdictUnknown:
 		if r.state == stRunRunning {
-			return // the worker lists it, or has answered another copy
+			return // the worker lists the run or has answered a resend
 		}
 		r.unanswered = true
-		c.missed(w)
-		c.unclear(r, "start without an answer")
+		c.recordMiss(w)
+		c.markUnclear(r, "start unanswered")
 	case workload.VerdictFenced:
 		c.fenced = true
 	case workload.VerdictGone:
-		c.rejected(r, "start not sent: its worker is over")
-		c.lostWorker(w)
+		c.handleRejectedStart(r, "start not sent: its worker was replaced")
+		c.workerReplaced(w)
 	case workload.VerdictNoTicket:
 		delete(r.task.step.advice.tickets, w.ID)
-		c.rejected(r, "start rejected: "+receipt.Verdict.String())
+		c.handleRejectedStart(r, "start rejected: "+receipt.Verdict.String())
 	case workload.VerdictUnsent, workload.VerdictClosed:
-		c.missed(w)
-		c.rejected(r, "start not sent: "+receipt.Verdict.String())
+		c.recordMiss(w)
+		c.handleRejectedStart(r, "start not sent: "+receipt.Verdict.String())
 	default:
 		w.refused(now)
-		c.rejected(r, "start rejected: "+receipt.Verdict.String())
+		c.handleRejectedStart(r, "start rejected: "+receipt.Verdict.String())
 	}
 }
 
-// unclear marks a run that may have started, or may yet. Its room stays taken
+// markUnclear marks a run that may have started or may still start. Its capacity stays in use
 // until a stop has closed the attempt.
-func (c *Core) unclear(r *run, reason string) {
-	told := r.stopping()
-	r.step(runUnanswered)
-	c.breakGang(r, reason)
-	if !told {
+func (c *Core) markUnclear(r *run, reason string) {
+	alreadyStopping := r.stopping()
+	r.transition(runUnanswered)
+	c.interruptGang(r, reason)
+	if !alreadyStopping {
 		r.reason = reason
 		c.sendStop(r)
 	}
 }
 
-// rejected drops a run whose start was surely not carried out. Of one that was sent
-// twice the other copy may have been, or may be yet: a stop has to close the attempt.
-func (c *Core) rejected(r *run, reason string) {
+// handleRejectedStart removes a run whose start was definitely not carried out. If the start
+// was sent twice, the other message may have been or may still be carried out, so a stop has to
+// close the attempt.
+func (c *Core) handleRejectedStart(r *run, reason string) {
 	switch {
-	case r.copies <= 1:
-		c.breakGang(r, reason)
+	case r.startsSent <= 1:
+		c.interruptGang(r, reason)
 		c.detach(r)
 	case r.state == stRunOrdered:
-		c.unclear(r, reason)
+		c.markUnclear(r, reason)
 	}
 }
 
-// StopAnswered takes the answer to a stop.
+// StopAnswered processes the answer to a stop.
 func (c *Core) StopAnswered(order workload.Order, receipt workload.Receipt, now time.Time, wallMS int64) {
-	w, r := c.answered(order, receipt, now, wallMS)
+	w, r := c.answerTarget(order, receipt, now, wallMS)
 	if w == nil {
 		return
 	}
 	switch receipt.Verdict {
 	case workload.VerdictDone, workload.VerdictOld:
-		c.repeats.answered()
+		c.resends.earn()
 		if r != nil {
-			r.step(runStopAnswered)
-			r.settledBy = c.sequence
+			r.transition(runStopAnswered)
+			r.settledAfter = c.sequence
 			w.wantPoll = true
 		}
 	case workload.VerdictFenced:
 		c.fenced = true
 	case workload.VerdictGone:
-		c.lostWorker(w)
+		c.workerReplaced(w)
 	default:
-		c.missed(w)
+		c.recordMiss(w)
 	}
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -8,28 +8,28 @@
 
 // place decides on all work that could run now.
 func (c *Core) place() {
-	pendingSteps := c.pendingSteps()
+	pending := c.pendingSteps()
 	clear(c.waiting)
-	if len(pendingSteps) == 0 {
+	if len(pending) == 0 {
 		return
 	}
-	rooms := c.rooms()
-	c.pools = rooms
-	c.noteFlapping(rooms)
-	c.noteUrgent(rooms)
-	c.noteQuiet(rooms)
-	c.applyRestartClaims(rooms)
-	c.applyClaims(pendingSteps, rooms)
+	pools := c.capacities()
+	c.pools = pools
+	c.markFlapping(pools)
+	c.recordUrgentUsage(pools)
+	c.recordLightLoad(pools)
+	c.applyRestartClaims(pools)
+	c.applyClaims(pending, pools)
 	c.infeasible = make(infeasible)
-	c.coming = nil
+	c.upcomingReleases = nil
 	blocked := 0
-	startsLeft, ordered := c.startsLeft(), len(c.ordered)
-	mayReserve := int(c.number(NumReservations, maxBlocked))
-	for _, u := range pendingSteps {
-		if len(c.ordered)-ordered >= startsLeft {
+	startsLeft, pendingBefore := c.startsLeft(), len(c.pendingStarts)
+	maxReservations := int(c.numberOr(NumReservations, maxReservingSteps))
+	for _, u := range pending {
+		if len(c.pendingStarts)-pendingBefore >= startsLeft {
 			break
 		}
-		if blocked < maxConsidered && c.placeStep(u, rooms[u.queue.Pool], blocked < mayReserve) {
+		if blocked < maxConsidered && c.placeStep(u, pools[u.queue.Pool], blocked < maxReservations) {
 			continue
 		}
 		blocked++
@@ -38,127 +38,128 @@
 }
 
 const (
-	// maxBlocked steps keep room for themselves. More would leave most of the
-	// room to work that cannot start for long.
-	maxBlocked = 4
-	// maxConsidered steps that do not fit end a round: it bounds the time of a
-	// round when hundreds of jobs wait.
+	// maxReservingSteps is the maximum number of steps that may reserve capacity. More reservations
+	// would leave most of the capacity to work that cannot start for a long time.
+	maxReservingSteps = 4
+	// maxConsidered is the number of blocked steps after which a round places nothing more: it
+	// bounds the duration of a round when hundreds of jobs wait.
 	maxConsidered = 40
 )
 
-// placeStep starts what fits of a step. What does not fit waits for room that
-// is being freed, has lower work stopped if it is urgent, or keeps room for
-// later. It returns false if the step, or a part of it, waits.
-func (c *Core) placeStep(u *pendingStep, rooms []*room, mayKeep bool) bool {
-	if u.claimed != nil {
-		return c.placeClaimed(u, rooms)
+// placeStep starts the tasks of a step that fit. For the rest, the step waits for capacity that
+// is being freed, preempts lower-priority work if it is urgent, or reserves capacity. It
+// returns false if any task of the step waits.
+func (c *Core) placeStep(u *pendingStep, workers []*workerCapacity, mayReserve bool) bool {
+	if u.claimedCapacity != nil {
+		return c.placeClaimed(u, workers)
 	}
-	form, alike := c.shapeOf(u)
-	if alike && !mayKeep && c.infeasible.lacks(form, u) {
-		c.recordReason(u, whyNoRoom)
+	stepShape, cacheable := c.shapeOf(u)
+	if cacheable && !mayReserve && c.infeasible.rulesOut(stepShape, u) {
+		c.recordReason(u, reasonNoCapacity)
 		return false
 	}
-	if c.mayNotUseReserve(u) && c.has(MechHeadroom) {
-		rooms = c.withoutReserve(u.queue.Pool, rooms)
+	if c.mayNotUseHeadroom(u) && c.enabled(MechHeadroom) {
+		workers = c.excludeHeadroom(u.queue.Pool, workers)
 	}
-	rooms = c.allowed(u, c.eligible(u, rooms))
-	far := c.mayGoFar(u, rooms)
-	now := c.find(u, rooms, far, func(r *room) workload.Resources { return r.open(c.now.Add(u.length)) })
-	if len(now) == len(u.tasks) || !u.step.spec.Gang && len(now) > 0 {
-		c.startOrStore(u, now)
-		u.tasks = u.tasks[len(now):]
+	workers = c.workersWithTicket(u, c.eligible(u, workers))
+	offRack := c.mayRunOffRack(u, workers)
+	places := c.findPlaces(u, workers, offRack, func(r *workerCapacity) workload.Resources { return r.freeUntil(c.now.Add(u.duration)) })
+	if len(places) == len(u.tasks) || !u.step.spec.Gang && len(places) > 0 {
+		c.startOrStore(u, places)
+		u.tasks = u.tasks[len(places):]
 	}
 	if len(u.tasks) == 0 {
 		return true
 	}
-	why := c.await(u, rooms, far, mayKeep)
-	if alike && (why == whyNoRoom || why == whyNoRack) {
-		c.infeasible.note(form, u)
+	cause := c.arrangeCapacity(u, workers, offRack, mayReserve)
+	if cacheable && (cause == reasonNoCapacity || cause == reasonNoRackCapacity) {
+		c.infeasible.record(stepShape, u)
 	}
-	c.recordReason(u, why)
+	c.recordReason(u, cause)
 	return false
 }
 
-// The reasons to wait that hold for all steps of a shape.
+// The causes of a wait that apply to all steps of a shape.
 const (
-	whyNoRoom = "no room"
-	whyNoRack = "no room where it belongs"
+	reasonNoCapacity     = "no room"
+	reasonNoRackCapacity = "no room where it belongs"
 )
 
-// placeClaimed starts a gang where it claimed room, once all of it is free.
-func (c *Core) placeClaimed(u *pendingStep, rooms []*room) bool {
-	u.release()
-	now := c.find(u, c.allowed(u, c.eligible(u, rooms)), false, func(r *room) workload.Resources { return r.open(c.now.Add(u.length)) })
-	if len(now) == len(u.tasks) {
-		c.startOrStore(u, now)
+// placeClaimed starts a gang in its claimed capacity once all of it is free.
+func (c *Core) placeClaimed(u *pendingStep, workers []*workerCapacity) bool {
+	u.releaseClaim()
+	places := c.findPlaces(u, c.workersWithTicket(u, c.eligible(u, workers)), false, func(r *workerCapacity) workload.Resources { return r.freeUntil(c.now.Add(u.duration)) })
+	if len(places) == len(u.tasks) {
+		c.startOrStore(u, places)
 		return true
 	}
-	if areFree(u.claimed, u.step.spec.Counted()) {
-		c.startOrStore(u, u.claimed)
+	if allFree(u.claimedCapacity, u.step.spec.Counted()) {
+		c.startOrStore(u, u.claimedCapacity)
 		return true
 	}
-	takeRoom(u, u.claimed)
+	takeCapacity(u, u.claimedCapacity)
 	c.recordReason(u, "room is being freed")
 	return false
 }
 
-// await makes sure that a step that does not fit will, and says how.
-func (c *Core) await(u *pendingStep, rooms []*room, far, mayKeep bool) string {
-	soon := c.find(u, rooms, far, func(r *room) workload.Resources { return r.soon })
+// arrangeCapacity arranges future capacity for a step that does not fit now, and returns the
+// cause of its wait.
+func (c *Core) arrangeCapacity(u *pendingStep, workers []*workerCapacity, offRack, mayReserve bool) string {
+	futurePlaces := c.findPlaces(u, workers, offRack, func(r *workerCapacity) workload.Resources { return r.freeSoon })
 	switch {
-	case len(soon) == len(u.tasks):
-		takeRoom(u, soon)
+	case len(futurePlaces) == len(u.tasks):
+		takeCapacity(u, futurePlaces)
 		if u.rank.urgent() {
-			c.awaitsBegin(u.step.job) // so that nothing is left to wait for
-			c.claimRooms(u, placesOf(soon))
+			c.awaitsStartIntent(u.step.job) // store it now, so that the start does not wait for it later
+			c.claimCapacity(u, claimedPlaces(futurePlaces))
 		}
 		return "room is being freed"
 	case u.rank.urgent():
-		if c.has(MechWaitForEnds) && c.waitForEnds(u, rooms, far) {
+		if c.enabled(MechWaitForCompletions) && c.waitForCompletions(u, workers, offRack) {
 			return "others end in time"
 		}
-		if c.makeRoom(u, rooms, far, soon) {
+		if c.preemptFor(u, workers, offRack, futurePlaces) {
 			return "others are stopped"
 		}
 		return "nothing may be stopped for it"
-	case len(rooms) == 0:
+	case len(workers) == 0:
 		return "no worker that may run it"
-	case mayKeep && u.step.spec.Gang && c.has(MechReservations) && c.keep(u, rooms, far):
+	case mayReserve && u.step.spec.Gang && c.enabled(MechReservations) && c.reserveEarliest(u, workers, offRack):
 		return "room is kept for it"
-	case !far:
-		return whyNoRack
+	case !offRack:
+		return reasonNoRackCapacity
 	}
-	return whyNoRoom
+	return reasonNoCapacity
 }
 
-// startAt starts the first tasks of a step in the rooms, one in each entry.
-func (c *Core) startAt(u *pendingStep, places []*room) {
-	delete(c.coming, u.queue.Pool) // these runs will end as well
+// startAt starts the first tasks of a step, one on each entry of places.
+func (c *Core) startAt(u *pendingStep, places []*workerCapacity) {
+	delete(c.upcomingReleases, u.queue.Pool) // the new runs change the expected releases
 	var g *gang
 	attempt := int64(0)
 	if u.step.spec.Gang {
-		attempt = c.attemptOf(u.tasks)
+		attempt = c.nextAttemptOf(u.tasks)
 		g = &gang{attempt: attempt}
 		u.step.gang, u.step.claim = g, nil
 	}
 	reason := fmt.Sprintf("rank %d, due in %d ms, waited %d ms", u.rank.class,
 		u.dueBy.Sub(c.now).Milliseconds(), c.now.Sub(u.step.readySince).Milliseconds())
 	var first *FirstStart
-	if !u.step.job.began {
+	if !u.step.job.started {
 		first = &FirstStart{Guaranteed: u.rank.class == 0, Priority: u.queue.Priority, Waited: c.now.Sub(c.earliestStart(u.step))}
 	}
 	for i, r := range places {
 		if g == nil {
-			attempt = c.attemptOf(u.tasks[i : i+1])
+			attempt = c.nextAttemptOf(u.tasks[i : i+1])
 		}
 		need := u.step.spec.Counted()
 		r.free = r.free.Sub(need)
-		r.soon = r.soon.Sub(need)
-		if u.step.job.protected {
-			r.guarded = r.guarded.Add(need)
+		r.freeSoon = r.freeSoon.Sub(need)
+		if u.step.job.guaranteed {
+			r.guaranteedUse = r.guaranteedUse.Add(need)
 		}
-		r.countSort(u.step.spec)
-		u.markRoom(r)
+		r.countKind(u.step.spec)
+		u.markCrashSuspects(r)
 		c.start(u.tasks[i], r.worker, attempt, g, reason)
 	}
 	c.actions[len(c.actions)-1].First = first
