--- a/internal/dispatch/place_test.go
+++ b/internal/dispatch/place_test.go
@@ -15,8 +15,7 @@
 	return job
 }
 
-// racksUsed counts the racks (the second letter of a worker's name) on which
-// tasks of a job run.
+// racksUsed counts the racks (the second letter of a worker's id) on which tasks of a job run.
 func (b *bench) racksUsed(job string) int {
 	racks := make(map[byte]bool)
 	for id, w := range b.workers {
@@ -42,7 +41,7 @@
 }
 
 func TestUrgentWorkOfOneRackHasOthersStoppedThereRatherThanSpreading(t *testing.T) {
-	for name, account := range map[string]string{"inside the guarantee": "acme", "outside of any": "other"} {
+	for name, account := range map[string]string{"inside the guarantee": "acme", "outside of any guarantee": "other"} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 20, false) // two racks of ten
 			for _, rack := range []string{"r0", "r1"} {
@@ -51,28 +50,28 @@
 				filler.Steps[0].EstimateMS = 60_000
 				b.add(filler)
 			}
-			b.pass(time.Second)
+			b.advance(time.Second)
 			assert.Equal(t, b.running(), 18)
 			urgent := gangJob("urgent", "urgent", account, 2, 8)
 			urgent.Steps[0].OneRack = true
 			// One worker is free in each rack: the gang would fit across both.
 			b.add(urgent)
-			b.pass(time.Second)
+			b.advance(time.Second)
 			assert.Equal(t, b.runningOf("urgent"), 2)
 			assert.Equal(t, b.racksUsed("urgent"), 1)
 		})
 	}
 }
 
-func TestLateWorkHasNothingStoppedAndComesBehindWorkThatCanBeOnTime(t *testing.T) {
+func TestLateWorkPreemptsNothing(t *testing.T) {
 	b := newBench(t, 1, false)
 	b.add(singleJob("filler", "batch", "other", 8, 1))
-	b.pass(time.Second)
+	b.advance(time.Second)
 	late := gangJob("late", "urgent", "other", 1, 8)
 	late.AcceptedMS = b.wallMS - 6000 // its objective is 1.5 x 3 s + 0.25 s
 	b.core.AddJob(late, Record{}, false, b.now, b.wallMS)
-	b.pass(time.Second)
-	assert.Equal(t, b.runningOf("filler"), 8, "work was stopped for a job that is late all the same")
+	b.advance(time.Second)
+	assert.Equal(t, b.runningOf("filler"), 8, "work was stopped for a job that is late anyway")
 	assert.Equal(t, b.stops, 0)
 }
 
@@ -81,39 +80,39 @@
 	filler := singleJob("filler", "batch", "other", 32, 1)
 	filler.Steps[0].EstimateMS = 60_000
 	b.add(filler)
-	b.pass(time.Second)
+	b.advance(time.Second)
 	b.add(gangJob("first", "urgent", "acme", 1, 8))
 	b.add(singleJob("second", "urgent", "acme", 8, 1))
-	b.pass(testBounds.Reclaim)
+	b.advance(testBounds.Reclaim)
 	assert.Equal(t, b.runningOf("first"), 1)
 	assert.Equal(t, b.runningOf("second"), 8)
-	assert.Equal(t, b.runningOf("filler"), 16, "no more is stopped than is needed")
+	assert.Equal(t, b.runningOf("filler"), 16, "only the necessary runs are stopped")
 }
 
-func TestUrgentWorkWithTimeToSpareWaitsForOthersToEnd(t *testing.T) {
+func TestUrgentWorkWithSlackWaitsForCompletions(t *testing.T) {
 	b := newBench(t, 1, false)
 	filler := singleJob("filler", "batch", "other", 8, 1)
 	filler.Steps[0].EstimateMS = 2000
 	b.add(filler)
-	b.pass(1500 * time.Millisecond)
+	b.advance(1500 * time.Millisecond)
 	b.add(gangJob("urgent", "urgent", "other", 1, 8)) // 4.75 s for 3 s of work
-	b.pass(400 * time.Millisecond)
+	b.advance(400 * time.Millisecond)
 	assert.Equal(t, b.stops, 0)
 	b.endAll(workload.EndDone)
-	b.pass(1500 * time.Millisecond)
+	b.advance(1500 * time.Millisecond)
 	assert.Equal(t, b.runningOf("urgent"), 1)
 	assert.Equal(t, b.stops, 0)
 }
 
-func TestUrgentWorkHasOthersStoppedWhenTheyOutlastTheirEstimates(t *testing.T) {
+func TestUrgentWorkPreemptsRunsThatExceedTheirEstimates(t *testing.T) {
 	b := newBench(t, 1, false)
 	filler := singleJob("filler", "batch", "other", 8, 1)
 	filler.Steps[0].EstimateMS = 2000
 	b.add(filler)
-	b.pass(1500 * time.Millisecond)
+	b.advance(1500 * time.Millisecond)
 	b.add(gangJob("urgent", "urgent", "other", 1, 8))
-	b.pass(1750 * time.Millisecond)
-	assert.Equal(t, b.runningOf("urgent"), 1, "waited until it was late")
+	b.advance(1750 * time.Millisecond)
+	assert.Equal(t, b.runningOf("urgent"), 1, "the urgent job starts before it is late")
 }
 
 func TestServingTasksShareNoWorkerWithBatchTasks(t *testing.T) {
@@ -121,55 +120,55 @@
 	serving := singleJob("serving", "batch", "other", 2, 1)
 	serving.Steps[0].TargetMS, serving.Steps[0].Lasting = 50, true
 	b.add(serving)
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	b.add(singleJob("filler", "batch", "other", 24, 1))
-	b.pass(time.Second)
+	b.advance(time.Second)
 	assert.Equal(t, b.runningOf("serving"), 2)
-	assert.Equal(t, b.runningOf("filler"), 16, "one worker is the serving tasks' own")
+	assert.Equal(t, b.runningOf("filler"), 16, "one worker is reserved for serving tasks")
 }
 
-func TestALastingTaskIsStartedAgainHoweverItEnds(t *testing.T) {
+func TestLongRunningTaskRestartsAfterAnyEnd(t *testing.T) {
 	b := newBench(t, 1, false)
 	job := singleJob("lasting", "batch", "other", 1, 1)
 	job.Steps[0].Lasting = true
 	b.add(job)
 	for _, kind := range []workload.EndKind{workload.EndDone, workload.EndFailed, workload.EndFailed, workload.EndFailed, workload.EndLapsed} {
-		b.pass(500 * time.Millisecond)
+		b.advance(500 * time.Millisecond)
 		assert.Equal(t, b.runningOf("lasting"), 1)
 		b.endAll(kind)
 	}
-	b.pass(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	assert.Equal(t, b.runningOf("lasting"), 1)
 	b.core.Cancel("lasting", b.now, b.wallMS)
-	b.pass(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	assert.Equal(t, b.running(), 0)
-	assert.Equal(t, b.state("lasting"), FinalCancelled)
+	assert.Equal(t, b.finalState("lasting"), FinalCancelled)
 }
 
-func TestOccurrencesStartWhenTheyAreDueAndMayOverlap(t *testing.T) {
+func TestOccurrencesStartWhenDueAndMayOverlap(t *testing.T) {
 	b := newBench(t, 4, false)
 	job := singleJob("timed", "batch", "other", 1, 1)
 	job.Times, job.FirstMS, job.EveryMS = 3, b.wallMS+1000, 1000
 	b.add(job)
-	b.pass(900 * time.Millisecond)
+	b.advance(900 * time.Millisecond)
 	assert.Equal(t, b.starts, 0)
-	b.pass(1200 * time.Millisecond)
+	b.advance(1200 * time.Millisecond)
 	assert.Equal(t, b.runningOf("timed"), 2)
-	b.pass(time.Second)
+	b.advance(time.Second)
 	assert.Equal(t, b.runningOf("timed"), 3)
 	b.endAll(workload.EndDone)
-	b.pass(2 * time.Second)
-	assert.Equal(t, b.state("timed"), FinalCompleted)
+	b.advance(2 * time.Second)
+	assert.Equal(t, b.finalState("timed"), FinalCompleted)
 }
 
 func TestASickJobEndsAfterItsAttemptsAndASickWorkerGetsNothingNew(t *testing.T) {
 	b := newBench(t, 2, false)
 	b.add(singleJob("sick", "batch", "other", 1, 1))
 	for range 2 {
-		b.pass(400 * time.Millisecond)
+		b.advance(400 * time.Millisecond)
 		b.endAll(workload.EndFailed)
 	}
-	b.pass(400 * time.Millisecond)
-	assert.Equal(t, b.state("sick"), FinalFailed)
+	b.advance(400 * time.Millisecond)
+	assert.Equal(t, b.finalState("sick"), FinalFailed)
 	assert.Equal(t, b.starts, 2)
 }
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -13,73 +13,73 @@
 	attempt int64
 }
 
-// worker is one life of a worker, as this epoch knows it.
+// worker is one incarnation of a worker, as seen by this epoch.
 type worker struct {
 	workload.Worker
-	// known workers have answered in this epoch: they refuse older epochs, and
-	// all that runs there is in runs.
-	known bool
-	// over says that another life has answered.
-	over bool
-	// stored workers are in the product's table, so that a leader which never saw the
-	// platform list them asks them all the same; storedLeaving is what it says there.
+	// synced is set once the worker has answered in this epoch: it then rejects older epochs,
+	// and runs holds everything that runs on it.
+	synced bool
+	// replaced is set once another incarnation has answered.
+	replaced bool
+	// stored is set if the worker is in the stored table, so that a leader that never saw it in
+	// the platform's list still polls it; storedLeaving is the leaving flag of that row.
 	stored, storedLeaving bool
 	used                  workload.Resources
 	runs                  map[runKey]*run
-	// unknownRuns is what runs there of jobs that are over or not known: it was told
-	// to stop, and takes room until the worker no longer lists it.
+	// unknownRuns holds runs of finished or unknown jobs: they were told to stop, and use
+	// capacity until the worker no longer lists them.
 	unknownRuns map[runKey]workload.Resources
-	// clockMS was read off the worker no later than clockAt.
+	// clockMS was read from the worker no later than clockAt.
 	clockMS int64
 	clockAt time.Time
-	// leaseMS is the latest time, on the worker's clock, until which anything
-	// was told to run there.
-	leaseMS int64
-	// heard is the last end that was taken in, noted the last one that may be
-	// acknowledged, told the last one that was.
-	heard, persisted, acknowledged int64
-	unpersisted                    []unpersistedEnd
-	// lapsed are runs that were lost with it before it was known what became of it.
-	lapsed []lapsedRun
-	// heardAt is when it answered last.
-	heardAt  time.Time
-	polling  bool
-	quick    bool
-	wantPoll bool
-	nextPoll time.Time
-	lastPoll uint64
-	// unlistedSince is when the platform ceased to list the worker.
+	// leaseUntilMS is the latest time, on the worker's clock, until which anything may run on
+	// it.
+	leaseUntilMS int64
+	// lastCompletion is the number of the last completion received, acknowledgeable that of the
+	// last one that may be acknowledged, and acknowledged that of the last one that was.
+	lastCompletion, acknowledgeable, acknowledged int64
+	unpersisted                                   []unpersistedCompletion
+	// lostAttempts are runs that were lost with the worker and whose outcome is not known yet.
+	lostAttempts []lostAttempt
+	// lastContact is the time of the last answer.
+	lastContact      time.Time
+	polling          bool
+	quick            bool
+	wantPoll         bool
+	nextPollAt       time.Time
+	lastPollSequence uint64
+	// unlistedSince is the time at which the platform stopped listing the worker.
 	unlistedSince time.Time
-	// leavesAt is the earliest time at which a leaving worker goes.
-	leavesAt time.Time
-	holdOff  time.Time
-	misses   int
-	health   health
+	// leavesAt is the earliest time at which a leaving worker terminates.
+	leavesAt     time.Time
+	holdOffUntil time.Time
+	misses       int
+	health       health
 }
 
-// unpersistedEnd is an end that must not be acknowledged before its job's
-// record has reached a change.
-type unpersistedEnd struct {
-	number int64
-	job    *job
-	change uint64
+// unpersistedCompletion is a completion that must not be acknowledged before its job's record
+// is stored at the given revision.
+type unpersistedCompletion struct {
+	number   int64
+	job      *job
+	revision uint64
 }
 
 const (
-	// pollWait is how long a worker may wait for an end before it answers. It
-	// leaves a lease most of its length when one poll is lost.
-	pollWait = 1000 * time.Millisecond
-	// leavingLease is the lease of a worker that leaves. Once it is gone it may as well
-	// run on behind a cut, and its work waits for the end of its lease. Shorter, one poll
-	// that is lost or late would end what runs there.
-	leavingLease = 4 * time.Second
-	// pollAgain is the pause after a poll without an answer.
-	pollAgain = 300 * time.Millisecond
-	// holdOffAfter is how long a worker that refused a start gets no other.
-	holdOffAfter = 300 * time.Millisecond
+	// longPollWait is how long a worker may wait for a completion before it answers. It leaves
+	// most of a lease if one poll is lost.
+	longPollWait = 1000 * time.Millisecond
+	// leavingWorkerLease is the lease on a leaving worker. When the worker is gone it may
+	// equally be running behind a network partition, so its work waits for the end of the
+	// lease. With a shorter lease one lost or late poll would end its runs.
+	leavingWorkerLease = 4 * time.Second
+	// pollRetryPause is the pause after an unanswered poll.
+	pollRetryPause = 300 * time.Millisecond
+	// refusalHoldOff is how long a worker that refused a start gets no other.
+	refusalHoldOff = 300 * time.Millisecond
 )
 
-// Listed takes the platform's list of workers: all of them.
+// Listed processes the platform's complete list of workers.
 func (c *Core) Listed(list []workload.Worker, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	seen := make(map[string]bool, len(list))
@@ -107,51 +107,50 @@
 
 // usable reports whether a worker may get new work.
 func (w *worker) usable(now time.Time) bool {
-	return w.known && w.stored && !w.Leaving && w.unlistedSince.IsZero() && !now.Before(w.holdOff) && w.misses == 0
+	return w.synced && w.stored && !w.Leaving && w.unlistedSince.IsZero() && !now.Before(w.holdOffUntil) && w.misses == 0
 }
 
-func (w *worker) refused(now time.Time) { w.holdOff = now.Add(holdOffAfter) }
+func (w *worker) refused(now time.Time) { w.holdOffUntil = now.Add(refusalHoldOff) }
 
-func (w *worker) missed(now time.Time) {
+func (w *worker) recordMiss(now time.Time) {
 	w.misses++
-	w.nextPoll = now.Add(pollAgain)
+	w.nextPollAt = now.Add(pollRetryPause)
 	w.wantPoll = true
 }
 
-// polls emits the polls that are due: one waits at each worker that runs
-// something, and a quick one beside it settles stops.
-func (c *Core) polls() {
+// sendPolls emits the polls that are due: a long poll at each worker that runs something, and a
+// quick one concurrently to settle stops.
+func (c *Core) sendPolls() {
 	var due []duePoll
 	for _, w := range c.fleet {
 		switch {
 		case w.polling:
-			if (w.wantPoll || c.isSuspect(w)) && !w.quick && !c.now.Before(w.nextPoll) {
+			if (w.wantPoll || c.isSuspect(w)) && !w.quick && !c.now.Before(w.nextPollAt) {
 				due = append(due, duePoll{w, true})
 			}
-		case c.now.Before(w.nextPoll):
-		case w.wantPoll || !w.known || c.isSuspect(w):
+		case c.now.Before(w.nextPollAt):
+		case w.wantPoll || !w.synced || c.isSuspect(w):
 			due = append(due, duePoll{w, false})
 		case len(w.unpersisted) > 0:
-			// Ends are listed again until they are acknowledged, which the
-			// store's answer comes before: waiting would not wait.
-			w.nextPoll = c.now.Add(pollAgain)
+			// Completions are listed again until they are acknowledged, which requires the
+			// store's answer first: a long poll would return immediately.
+			w.nextPollAt = c.now.Add(pollRetryPause)
 		case len(w.runs) > 0 && !c.awaitsFirstStart(w):
-			c.poll(w, pollWait, false)
-		case w.persisted > w.acknowledged:
-			c.poll(w, 0, false)
+			c.sendPoll(w, longPollWait, false)
+		case w.acknowledgeable > w.acknowledged:
+			c.sendPoll(w, 0, false)
 		}
 	}
-	c.sendDue(due)
+	c.sendDuePolls(due)
 }
 
-func (c *Core) poll(w *worker, wait time.Duration, quick bool) {
-	poll := workload.Poll{Worker: w.ID, Addr: w.Addr, Zone: w.Zone, Epoch: c.epoch, Acknowledged: w.persisted, Wait: wait}
-	// A worker that does not answer gets no longer lease: a poll that it never
-	// received would count as an extension, and its runs would never be taken for
-	// lapsed.
+func (c *Core) sendPoll(w *worker, wait time.Duration, quick bool) {
+	poll := workload.Poll{Worker: w.ID, Addr: w.Addr, Zone: w.Zone, Epoch: c.epoch, Acknowledged: w.acknowledgeable, Wait: wait}
+	// A worker that does not answer gets no longer lease: a poll that it never received would
+	// count as an extension, and its runs would never expire.
 	if w.clockMS > 0 && len(w.runs) > 0 && w.misses == 0 && !c.watching {
-		poll.UntilMS = w.clock(c.now) + c.leaseOf(w).Milliseconds()
-		w.lease(poll.UntilMS)
+		poll.UntilMS = w.estimatedClock(c.now) + c.leaseFor(w).Milliseconds()
+		w.extendLease(poll.UntilMS)
 	}
 	if !quick {
 		w.polling = true
@@ -159,18 +158,18 @@
 	c.actions = append(c.actions, Action{Kind: ActPoll, Poll: poll, Sequence: c.sequence, Quick: quick})
 }
 
-// leaseOf is how long a poll extends the lease of what runs on a worker.
-func (c *Core) leaseOf(w *worker) time.Duration {
+// leaseFor returns by how much a poll extends the lease of the runs on a worker.
+func (c *Core) leaseFor(w *worker) time.Duration {
 	if w.Leaving {
-		return min(leavingLease, c.bounds.LongestLease)
+		return min(leavingWorkerLease, c.bounds.LongestLease)
 	}
 	return c.bounds.LongestLease
 }
 
-// PollAnswered takes a worker's answer to a poll, sent as the action says.
+// PollAnswered processes a worker's answer to a poll that was sent as the given action.
 func (c *Core) PollAnswered(sent Action, report workload.Report, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
-	c.pollWindow.ended(sent.lane, now.Sub(sent.sent), now)
+	c.pollWindow.callEnded(sent.class, now.Sub(sent.sentAt), now)
 	w := c.workers[sent.Poll.Worker]
 	if w == nil {
 		return
@@ -186,36 +185,36 @@
 		c.fenced = true
 		return
 	case workload.VerdictGone:
-		c.lostWorker(w)
+		c.workerReplaced(w)
 		return
 	default:
-		c.missed(w)
+		c.recordMiss(w)
 		return
 	}
-	w.sample(report.ClockMS, now)
-	if !w.known {
-		// Earlier epochs may have granted the longest lease until this moment;
-		// from now on the worker refuses them.
-		w.lease(w.clockMS + c.bounds.LongestLease.Milliseconds())
+	w.sampleClock(report.ClockMS, now)
+	if !w.synced {
+		// Earlier epochs may have granted the longest lease until this moment; from now on the
+		// worker rejects them.
+		w.extendLease(w.clockMS + c.bounds.LongestLease.Milliseconds())
 	}
-	c.settleLapsed(w, false)
-	w.misses, w.nextPoll, w.known = 0, time.Time{}, true
+	c.settleLostAttempts(w, false)
+	w.misses, w.nextPollAt, w.synced = 0, time.Time{}, true
 	w.acknowledged = max(w.acknowledged, sent.Poll.Acknowledged)
 	if report.Unread > 0 {
-		c.pollBeforeWork(w) // its room is not known
+		c.pollBeforeWork(w) // its free capacity is unknown
 	}
-	c.takeCompletions(w, report.Ended)
-	if sent.Sequence < w.lastPoll {
+	c.receiveCompletions(w, report.Ended)
+	if sent.Sequence < w.lastPollSequence {
 		return // a later poll was answered first
 	}
-	w.lastPoll = sent.Sequence
-	c.takeRunning(w, report.Running, sent.Sequence)
+	w.lastPollSequence = sent.Sequence
+	c.reconcileRuns(w, report.Running, sent.Sequence)
 }
 
-// takeRunning brings the runs of a worker in line with what it lists.
-func (c *Core) takeRunning(w *worker, list []workload.Running, sent uint64) {
+// reconcileRuns updates the runs of a worker to match the runs that it lists.
+func (c *Core) reconcileRuns(w *worker, list []workload.Running, sent uint64) {
 	listed := make(map[runKey]bool, len(list))
-	told := w.unknownRuns
+	previouslyUnknown := w.unknownRuns
 	w.unknownRuns = nil
 	for _, running := range list {
 		key := runKey{running.Task, running.Attempt}
@@ -223,33 +222,33 @@
 		r := w.runs[key]
 		if r == nil {
 			r = c.adopt(w, running)
-			if _, stopped := told[key]; r != nil && stopped {
-				c.stop(r, "was told to stop before its job was known")
+			if _, stopped := previouslyUnknown[key]; r != nil && stopped {
+				c.stop(r, "stopped before its job was known")
 			}
 		}
 		if r != nil {
-			c.progress(r, running)
+			c.applyProgress(r, running)
 		}
 	}
-	missing := w.inOrder(func(r *run) bool {
-		return !listed[runKey{r.task.id(), r.attempt}] && r.settledBy != 0 && sent >= r.settledBy
+	missing := w.sortedRuns(func(r *run) bool {
+		return !listed[runKey{r.task.id(), r.attempt}] && r.settledAfter != 0 && sent >= r.settledAfter
 	})
 	for _, r := range missing {
 		switch {
 		case !r.stopping():
-			c.unclear(r, "the worker no longer lists it")
+			c.markUnclear(r, "the worker no longer lists it")
 		case r.state == stRunStopped:
-			c.ended(r, workload.EndStopped)
+			c.runEnded(r, workload.EndStopped)
 		}
 	}
 }
 
-// stopUnknown stops a run of a job that is over or that nobody knows. Its room
-// is taken until the worker no longer lists it; where the job's row is gone,
-// that room is unknown and the worker gets nothing new meanwhile.
-func (c *Core) stopUnknown(w *worker, running workload.Running) {
+// stopUnknownRun stops a run of a finished or unknown job. Its capacity stays in use until the
+// worker no longer lists it; if the job's row is gone, the capacity is unknown and the worker
+// gets no new work meanwhile.
+func (c *Core) stopUnknownRun(w *worker, running workload.Running) {
 	c.pollSoon(w)
-	c.actions = append(c.actions, Action{Kind: ActStop, Reason: "of no job that is open", Order: workload.Order{
+	c.actions = append(c.actions, Action{Kind: ActStop, Reason: "its job is finished or unknown", Order: workload.Order{
 		Worker: w.ID, Addr: w.Addr, Zone: w.Zone, Task: running.Task, Attempt: running.Attempt, Epoch: c.epoch,
 	}})
 	var need workload.Resources
@@ -265,21 +264,21 @@
 	w.unknownRuns[runKey{running.Task, running.Attempt}] = need
 }
 
-// pollSoon has a worker polled again that runs what it should not.
+// pollSoon schedules a poll of a worker that runs something it should not.
 func (c *Core) pollSoon(w *worker) {
 	w.wantPoll = true
-	w.nextPoll = c.now.Add(unknownAgain)
+	w.nextPollAt = c.now.Add(unknownRunPollDelay)
 }
 
-// pollBeforeWork does, and gives it nothing new until then: how much room it has is not
-// known.
+// pollBeforeWork schedules a poll of a worker whose free capacity is unknown, and withholds new
+// work until then.
 func (c *Core) pollBeforeWork(w *worker) {
 	c.pollSoon(w)
-	w.holdOff = c.now.Add(unknownAgain + holdOffAfter)
+	w.holdOffUntil = c.now.Add(unknownRunPollDelay + refusalHoldOff)
 }
 
-// unknownNeed is the room that unknown runs take.
-func (w *worker) unknownNeed() workload.Resources {
+// unknownRunsUse returns the capacity used by unknown runs.
+func (w *worker) unknownRunsUse() workload.Resources {
 	var sum workload.Resources
 	for _, need := range w.unknownRuns {
 		sum = sum.Add(need)
@@ -287,9 +286,9 @@
 	return sum
 }
 
-// jobsWithUnknownRuns are the jobs of which an unknown run may not have ended yet. A job
-// can become known after a run of it was met, when another epoch started it in
-// the moment of its acceptance: nothing of it starts until that run is gone.
+// jobsWithUnknownRuns returns the jobs with an unknown run that may not have ended. A job can
+// become known after one of its runs was seen, if another epoch started it at the moment of its
+// acceptance: none of its tasks start until that run is gone.
 func (c *Core) jobsWithUnknownRuns() map[string]bool {
 	jobs := make(map[string]bool)
 	for _, w := range c.fleet {
@@ -300,26 +299,26 @@
 	return jobs
 }
 
-// unknownAgain is when a worker is polled again that runs what it should not.
-const unknownAgain = 250 * time.Millisecond
+// unknownRunPollDelay is the time after which a worker with unknown runs is polled again.
+const unknownRunPollDelay = 250 * time.Millisecond
 
-// adopt takes over a run that an earlier epoch started. A run that must not go
-// on, or that nobody knows, is stopped.
+// adopt takes over a run that an earlier epoch started. A run that must not continue or whose
+// job is unknown is stopped.
 func (c *Core) adopt(w *worker, running workload.Running) *run {
 	t := c.task(running.Task)
 	if t == nil {
-		c.stopUnknown(w, running)
+		c.stopUnknownRun(w, running)
 		return nil
 	}
 	r := &run{
 		task: t, worker: w, attempt: running.Attempt, state: stRunRunning, need: t.step.spec.Counted(),
-		since: c.now, settledBy: c.sequence, percent: running.Percent, percentAtStart: running.Percent,
+		since: c.now, settledAfter: c.sequence, percent: running.Percent, initialPercent: running.Percent,
 	}
 	if t.step.spec.Gang {
-		r.gang = c.gangOf(t.step, running.Attempt)
+		r.gang = c.adoptedGang(t.step, running.Attempt)
 	}
 	surplus := t.done || len(t.runs) > 0 || t.step.job.record.Final != "" || running.Attempt > c.epoch*attemptsPerEpoch
-	r.recorded = t.takeEarlier(running.Attempt)
+	r.attemptRecorded = t.takeEarlierAttempt(running.Attempt)
 	c.attach(r)
 	if surplus {
 		c.stop(r, "surplus run")
@@ -327,8 +326,8 @@
 	return r
 }
 
-// gangOf returns the gang of an attempt that is being adopted.
-func (c *Core) gangOf(s *step, attempt int64) *gang {
+// adoptedGang returns the gang of an attempt that is being adopted.
+func (c *Core) adoptedGang(s *step, attempt int64) *gang {
 	if s.gang == nil || s.gang.attempt != attempt {
 		g := &gang{attempt: attempt}
 		if s.gang == nil {
@@ -339,11 +338,11 @@
 	return s.gang
 }
 
-func (c *Core) progress(r *run, running workload.Running) {
+func (c *Core) applyProgress(r *run, running workload.Running) {
 	r.confirmed = true
 	if r.state == stRunOrdered {
-		r.step(runStarted)
-		r.settledBy = c.sequence
+		r.transition(runStarted)
+		r.settledAfter = c.sequence
 	}
 	r.percent = max(r.percent, running.Percent)
 	if running.Checkpoint != "" {
--- a/internal/dispatch/pollwindow.go
+++ b/internal/dispatch/pollwindow.go
@@ -6,92 +6,92 @@
 	"time"
 )
 
-// This file answers leaders that have to hear from thousands of workers at once: after a
-// takeover, or when a zone is suspect. Each poll is cheap, but all of them together take
-// longer than a poll may: then all of them time out, their work is thrown away, the
-// silence makes more racks suspect, and more workers are polled. So polls that do not
-// wait at their worker go through a window, which grows as long as answers come soon and
-// shrinks when they do not. Workers that left one unanswered have a window of their own: a zone that is
-// cut off must not keep the others from being heard.
+// Poll windows limit the load of a leader that has to contact thousands of workers at once,
+// after a takeover or when a zone is suspect. Each poll is cheap, but all of them together take
+// longer than the timeout of one poll: then all of them time out, their work is discarded, the
+// missing answers make more racks suspect, and more workers are polled. Polls that do not wait
+// at their worker therefore go through a window that grows while answers are fast and shrinks
+// when they are not. Workers that missed a poll have a separate window, so that a zone that is
+// cut off does not delay contact with the others.
 
-// windowMissed bounds the polls to workers that left one unanswered.
-const windowMissed = 96
+// maxMissedPolls limits the polls in flight to workers that missed one.
+const maxMissedPolls = 96
 
-// pollLane is the window that a poll counts in.
-type pollLane int
+// pollClass selects the window that counts a poll.
+type pollClass int
 
-// The lanes.
+// The poll classes.
 const (
-	// laneNone is for polls that wait at a worker that runs something.
-	laneNone pollLane = iota
-	laneHealthy
-	laneMissed
+	// pollClassLong is for long polls at workers that run something; they are not limited.
+	pollClassLong pollClass = iota
+	pollClassHealthy
+	pollClassMissed
 )
 
-// pollWindow bounds the polls under way that do not wait.
+// pollWindow limits the polls in flight that do not wait at their worker.
 type pollWindow struct {
 	window
-	underWay [laneMissed + 1]int
+	inFlight [pollClassMissed + 1]int
 }
 
 func newPollWindow() pollWindow { return pollWindow{window: newWindow()} }
 
-// free is how many polls more may be sent in a lane.
-func (p *pollWindow) free(lane pollLane) int {
-	most := p.most()
-	if lane == laneMissed {
-		most = windowMissed
+// available returns the number of further polls that may be sent in a class.
+func (p *pollWindow) available(class pollClass) int {
+	limit := p.limit()
+	if class == pollClassMissed {
+		limit = maxMissedPolls
 	}
-	return max(most-p.underWay[lane], 0)
+	return max(limit-p.inFlight[class], 0)
 }
 
-// ended takes that a poll was answered, or given up, after a time.
-func (p *pollWindow) ended(lane pollLane, after time.Duration, now time.Time) {
-	if lane == laneNone {
+// callEnded records that a poll was answered or timed out after the given time.
+func (p *pollWindow) callEnded(class pollClass, took time.Duration, now time.Time) {
+	if class == pollClassLong {
 		return
 	}
-	if lane == laneHealthy {
-		p.window.ended(after, p.underWay[lane], now)
+	if class == pollClassHealthy {
+		p.window.callEnded(took, p.inFlight[class], now)
 	}
-	p.underWay[lane]--
+	p.inFlight[class]--
 }
 
-// duePoll is a poll that does not wait and may be sent now.
+// duePoll is a poll that does not wait at its worker and may be sent now.
 type duePoll struct {
 	worker *worker
 	quick  bool
 }
 
-// sendDue sends as many of the polls that are due as the windows leave room for: first
-// to workers that run something, then those that have waited longest.
-func (c *Core) sendDue(due []duePoll) {
-	if !c.has(MechPollWindow) {
+// sendDuePolls sends as many due polls as the windows allow: first those to workers that run
+// something, then those that have waited longest.
+func (c *Core) sendDuePolls(due []duePoll) {
+	if !c.enabled(MechPollWindow) {
 		for _, d := range due {
-			c.sendQuick(d, laneNone)
+			c.sendImmediatePoll(d, pollClassLong)
 		}
 		return
 	}
 	slices.SortStableFunc(due, func(a, b duePoll) int {
-		return cmp.Or(-cmp.Compare(min(len(a.worker.runs), 1), min(len(b.worker.runs), 1)), a.worker.nextPoll.Compare(b.worker.nextPoll))
+		return cmp.Or(-cmp.Compare(min(len(a.worker.runs), 1), min(len(b.worker.runs), 1)), a.worker.nextPollAt.Compare(b.worker.nextPollAt))
 	})
 	for _, d := range due {
-		lane := laneHealthy
+		class := pollClassHealthy
 		if d.worker.misses > 0 {
-			lane = laneMissed
+			class = pollClassMissed
 		}
-		if c.pollWindow.free(lane) > 0 {
-			c.pollWindow.underWay[lane]++
-			c.sendQuick(d, lane)
+		if c.pollWindow.available(class) > 0 {
+			c.pollWindow.inFlight[class]++
+			c.sendImmediatePoll(d, class)
 		}
 	}
 }
 
-func (c *Core) sendQuick(d duePoll, lane pollLane) {
+func (c *Core) sendImmediatePoll(d duePoll, class pollClass) {
 	d.worker.wantPoll = false
 	if d.quick {
 		d.worker.quick = true
 	}
-	c.poll(d.worker, 0, d.quick)
+	c.sendPoll(d.worker, 0, d.quick)
 	action := &c.actions[len(c.actions)-1]
-	action.lane, action.sent = lane, c.now
+	action.class, action.sentAt = class, c.now
 }
--- a/internal/dispatch/rack.go
+++ b/internal/dispatch/rack.go
@@ -6,50 +6,49 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file answers gangs that belong on one rack, and tasks whose data lies on
-// one, on a deployment that is nearly full. Elsewhere they run several times as
-// long, miss their objective, and take the room of as many others meanwhile. So
-// they wait for their rack as long as it is going to have room. Letting them go once
-// they have waited as long as they would take longer elsewhere lets nearly all go on
-// the heaviest days.
+// Gangs bound to one rack, and tasks with data on a rack, run several times as long elsewhere,
+// miss their objective, and use the capacity of as many others meanwhile. On a nearly full
+// deployment they therefore wait for their rack as long as it is expected to have capacity.
+// Releasing them once they have waited for the time that they would lose elsewhere would
+// release nearly all of them under the highest load.
 
-// reclaimReserve is kept of the reclaim bound: stopping others, the orders, and
-// one order that has to be repeated.
-const reclaimReserve = 1200 * time.Millisecond
+// reclaimMargin is reserved from the reclaim bound: it covers the preemption, the orders, and
+// one resent order.
+const reclaimMargin = 1200 * time.Millisecond
 
 const (
-	// quietLoad and quietPatience: on a deployment that is less than half in use,
-	// work starts elsewhere after a while. Something else than load keeps its rack
-	// from it there, and going elsewhere takes room from nobody.
-	quietLoad     = 0.5
-	quietPatience = 2200 * time.Millisecond
-	// overdue is how many times its estimate a run may take before its end is not
-	// counted on any more: estimates are off by half.
-	overdue = 2
+	// lightLoad and lightLoadWaitLimit apply to a deployment that is less than half in use:
+	// work starts off its rack after a short wait. There the rack is unavailable for reasons
+	// other than load, and running elsewhere takes capacity from no other work.
+	lightLoad          = 0.5
+	lightLoadWaitLimit = 2200 * time.Millisecond
+	// overdueFactor is the multiple of its estimate after which a run's completion is no longer
+	// counted on: estimates are off by half.
+	overdueFactor = 2
 )
 
-// mayGoFar reports whether the step may start away from its rack: because no rack
-// will hold it soon, or because the deployment is nearly idle. Work inside a
-// guarantee waits as long as its start is still in time.
-func (c *Core) mayGoFar(u *pendingStep, rooms []*room) bool {
+// mayRunOffRack reports whether the step may start away from its rack, because no rack will
+// hold it soon or because the deployment is lightly loaded. Work inside a guarantee waits as
+// long as its start is still in time.
+func (c *Core) mayRunOffRack(u *pendingStep, workers []*workerCapacity) bool {
 	s := u.step.spec
-	if !s.OneRack && s.DataRack == "" || !c.has(MechRackPatience) || !c.rackWillHold(u, rooms) {
+	if !s.OneRack && s.DataRack == "" || !c.enabled(MechRackWait) || !c.rackWillFit(u, workers) {
 		return true
 	}
 	waited := c.now.Sub(u.step.readySince)
 	if u.rank.class == 0 {
-		return waited > c.bounds.Reclaim-c.bounds.StopTime-reclaimReserve
+		return waited > c.bounds.Reclaim-c.bounds.StopTime-reclaimMargin
 	}
-	since := c.quietSince[u.queue.Pool]
-	return !since.IsZero() && min(c.now.Sub(since), waited) > quietPatience
+	since := c.lightLoadSince[u.queue.Pool]
+	return !since.IsZero() && min(c.now.Sub(since), waited) > lightLoadWaitLimit
 }
 
-// rackWillHold reports whether the step will fit on its rack by the ends that can
-// be counted on.
-func (c *Core) rackWillHold(u *pendingStep, rooms []*room) bool {
+// rackWillFit reports whether the step will fit on its rack after the completions that can be
+// counted on.
+func (c *Core) rackWillFit(u *pendingStep, workers []*workerCapacity) bool {
 	sums := make(map[string]int64)
-	for _, r := range rooms {
-		sums[r.Rack] += c.slots(u, r, c.prospect(u, r))
+	for _, r := range workers {
+		sums[r.Rack] += c.slots(u, r, c.expectedCapacity(u, r))
 	}
 	if rack := u.step.spec.DataRack; rack != "" {
 		return sums[rack] > 0
@@ -62,11 +61,10 @@
 	return false
 }
 
-// prospect is the room that a worker will have for the step: all of it for urgent
-// work, which has others stopped; else what it has once the runs have ended whose
-// ends can be counted on. Lasting tasks have none, and runs that are overdue may
-// have stalled.
-func (c *Core) prospect(u *pendingStep, r *room) workload.Resources {
+// expectedCapacity returns the capacity that a worker will have for the step: all of it for
+// urgent work, which can preempt; otherwise what is left once the runs with a predictable
+// completion have ended. Long-running tasks have none, and overdue runs may have stalled.
+func (c *Core) expectedCapacity(u *pendingStep, r *workerCapacity) workload.Resources {
 	if u.rank.urgent() {
 		return r.Room
 	}
@@ -82,17 +80,17 @@
 }
 
 func (c *Core) isOverdue(r *run) bool {
-	return r.percentAtStart == 0 && c.now.Sub(r.since) > overdue*c.estimates.of(r.task.step)
+	return r.initialPercent == 0 && c.now.Sub(r.since) > overdueFactor*c.estimates.taskDuration(r.task.step)
 }
 
-// noteQuiet notes since when each pool is less than half in use.
-func (c *Core) noteQuiet(pools map[string][]*room) {
-	for pool, rooms := range pools {
+// recordLightLoad records since when each pool has been less than half in use.
+func (c *Core) recordLightLoad(pools map[string][]*workerCapacity) {
+	for pool, workers := range pools {
 		switch {
-		case loadOf(rooms) >= quietLoad:
-			delete(c.quietSince, pool)
-		case c.quietSince[pool].IsZero():
-			c.quietSince[pool] = c.now
+		case loadOf(workers) >= lightLoad:
+			delete(c.lightLoadSince, pool)
+		case c.lightLoadSince[pool].IsZero():
+			c.lightLoadSince[pool] = c.now
 		}
 	}
 }
--- a/internal/dispatch/reasons.go
+++ b/internal/dispatch/reasons.go
@@ -8,49 +8,50 @@
 )
 
 const (
-	// reasonAfter is how long a step waits before a line says so: most start sooner.
-	reasonAfter = 150 * time.Millisecond
-	// reasonEvery and reasonChange bound the lines about one step that waits, for one
-	// reason and for changing ones.
-	reasonEvery  = 2 * time.Second
-	reasonChange = 300 * time.Millisecond
+	// reasonDelay is how long a step waits before its reason is logged: most steps start
+	// sooner.
+	reasonDelay = 150 * time.Millisecond
+	// reasonInterval and changedReasonInterval limit the log lines per waiting step, for an
+	// unchanged and for a changed reason.
+	reasonInterval        = 2 * time.Second
+	changedReasonInterval = 300 * time.Millisecond
 )
 
-// recordReason says why a step waits, if that changed or has lasted.
-func (c *Core) recordReason(u *pendingStep, why string) {
+// recordReason logs why a step waits, if the cause has changed or persisted.
+func (c *Core) recordReason(u *pendingStep, cause string) {
 	s := u.step
-	if !c.worthRecording(s, why) || c.now.Sub(s.readySince) < reasonAfter {
+	if !c.isReasonDue(s, cause) || c.now.Sub(s.readySince) < reasonDelay {
 		return
 	}
-	reason := fmt.Sprintf("%s%s; rank %d, due in %d ms, waited %d ms, %d tasks of about %d ms", why, c.drainedNote(u.queue.Pool), u.rank.class,
-		u.dueBy.Sub(c.now).Milliseconds(), c.now.Sub(s.readySince).Milliseconds(), len(u.tasks), u.length.Milliseconds())
-	c.recordReasonOf(s, why, reason)
+	reason := fmt.Sprintf("%s%s; rank %d, due in %d ms, waited %d ms, %d tasks of about %d ms", cause, c.drainedSuffix(u.queue.Pool), u.rank.class,
+		u.dueBy.Sub(c.now).Milliseconds(), c.now.Sub(s.readySince).Milliseconds(), len(u.tasks), u.duration.Milliseconds())
+	c.recordReasonOf(s, cause, reason)
 }
 
-// recordHeldBack says why no step of a job may start.
-func (c *Core) recordHeldBack(j *job, why string) {
-	if j.runs > 0 || len(j.steps) == 0 || !c.worthRecording(j.steps[0], why) {
+// recordBlocked logs why no step of a job may start.
+func (c *Core) recordBlocked(j *job, cause string) {
+	if j.runs > 0 || len(j.steps) == 0 || !c.isReasonDue(j.steps[0], cause) {
 		return
 	}
-	c.recordReasonOf(j.steps[0], why, fmt.Sprintf("%s; waited %d ms", why, c.now.Sub(j.received).Milliseconds()))
+	c.recordReasonOf(j.steps[0], cause, fmt.Sprintf("%s; waited %d ms", cause, c.now.Sub(j.receivedAt).Milliseconds()))
 }
 
-// recordLost says how a run was lost.
-func (c *Core) recordLost(r *run, cause LossCause, beside int) {
+// reportLostRun emits an action that describes how a run was lost.
+func (c *Core) reportLostRun(r *run, cause LossCause, others int) {
 	c.actions = append(c.actions, Action{
 		Kind:  ActLost,
 		Order: workload.Order{Worker: r.worker.ID, Zone: r.worker.Zone, Task: r.task.id(), Attempt: r.attempt, Epoch: c.epoch},
-		Lost:  &LostRun{Cause: cause, Ran: c.now.Sub(r.since), Beside: beside},
+		Lost:  &LostRun{Cause: cause, Ran: c.now.Sub(r.since), Beside: others},
 	})
 }
 
-func (c *Core) worthRecording(s *step, why string) bool {
+func (c *Core) isReasonDue(s *step, cause string) bool {
 	since := c.now.Sub(s.waitReasonAt)
-	return since >= reasonEvery || why != s.waitReason && since >= reasonChange
+	return since >= reasonInterval || cause != s.waitReason && since >= changedReasonInterval
 }
 
-func (c *Core) recordReasonOf(s *step, why, reason string) {
-	s.waitReason, s.waitReasonAt = why, c.now
+func (c *Core) recordReasonOf(s *step, cause, reason string) {
+	s.waitReason, s.waitReasonAt = cause, c.now
 	task := workload.TaskID{Job: s.job.ID, Occurrence: s.occurrence, Step: s.number}
 	c.actions = append(c.actions, Action{Kind: ActReason, Reason: reason, Order: workload.Order{Task: task, Epoch: c.epoch}})
 }
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Final is how a job ended, empty while it has not.
+// Final is the final state of a job, empty while it has none.
 type Final string
 
 // The final states of a job.
@@ -18,37 +18,35 @@
 	FinalCancelled Final = "cancelled"
 )
 
-// Record is what the store keeps of a job's progress. It is written before the
-// ends that it holds are acknowledged to a worker, so it is all that a new
-// leader needs besides what workers still list.
+// Record is the stored progress of a job. It is written before the completions it contains are
+// acknowledged to a worker, so a new leader needs only the record and what workers still list.
 type Record struct {
 	Final Final `json:"final,omitempty"`
-	// Began says that tasks of the job may have been started.
+	// Began is the job's start intent: tasks of the job may have been started.
 	Began bool `json:"began,omitempty"`
-	// EndedMS is when it became final, in milliseconds since 1970.
+	// EndedMS is the time at which the job became final, in milliseconds since 1970.
 	EndedMS int64 `json:"ended_ms,omitempty"`
-	// Done holds, by occurrence and step ("0.1"), the bits of the done tasks in
-	// hexadecimal.
+	// Done maps occurrence and step ("0.1") to the bit set of done tasks in hexadecimal.
 	Done map[string]string `json:"done,omitempty"`
-	// Failed holds, by occurrence, step and task ("0.1.7"; a gang has no
-	// task: "0.1"), the attempts that ended failed.
+	// Failed maps occurrence, step and task ("0.1.7"; without a task for gangs: "0.1") to the
+	// attempts that failed.
 	Failed map[string][]int64 `json:"failed,omitempty"`
-	// Crashed holds, by occurrence, step and task, also of a gang, the attempts under
-	// which the task's worker went down.
+	// Crashed maps occurrence, step and task, also for gangs, to the attempts during which the
+	// task's worker crashed.
 	Crashed map[string][]int64 `json:"crashed,omitempty"`
-	// Attempts holds, by the same names, those that may be under way of tasks under
-	// which a worker may have gone down before.
+	// Attempts maps the same keys to the attempts that may be in progress, for tasks whose
+	// worker may have crashed before.
 	Attempts map[string][]int64 `json:"attempts,omitempty"`
-	// Shared holds, by the same names, such attempts where many workers went down at once.
+	// Shared maps the same keys to the attempts that ended in a crash of many workers at once.
 	Shared map[string][]int64 `json:"shared,omitempty"`
-	// Unanswered holds, by the same names, the attempts that were lost with their worker and
-	// of which it never said that they were there.
+	// Unanswered maps the same keys to the attempts that were lost with their worker and that
+	// the worker never confirmed.
 	Unanswered map[string][]int64 `json:"unanswered,omitempty"`
-	// Saved holds, by the names of Failed, the last checkpoint.
-	Saved map[string]string `json:"saved,omitempty"`
+	// Checkpoints maps the keys of Failed to the last checkpoint.
+	Checkpoints map[string]string `json:"saved,omitempty"`
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form of the record.
 func (r *Record) Encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -57,7 +55,7 @@
 	return data
 }
 
-// DecodeRecord reads the stored form.
+// DecodeRecord parses the stored form of a record.
 func DecodeRecord(data []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
@@ -72,22 +70,22 @@
 
 func (r *Record) clone() Record {
 	c := *r
-	c.Done, c.Saved, c.Failed = maps.Clone(r.Done), maps.Clone(r.Saved), maps.Clone(r.Failed)
+	c.Done, c.Checkpoints, c.Failed = maps.Clone(r.Done), maps.Clone(r.Checkpoints), maps.Clone(r.Failed)
 	c.Crashed, c.Attempts = maps.Clone(r.Crashed), maps.Clone(r.Attempts)
 	c.Shared, c.Unanswered = maps.Clone(r.Shared), maps.Clone(r.Unanswered)
 	return c
 }
 
-func stepName(occurrence, step int) string { return fmt.Sprintf("%d.%d", occurrence, step) }
+func stepKey(occurrence, step int) string { return fmt.Sprintf("%d.%d", occurrence, step) }
 
-func taskName(occurrence, step, index int) string {
+func taskKey(occurrence, step, index int) string {
 	return fmt.Sprintf("%d.%d.%d", occurrence, step, index)
 }
 
 // doneBits returns which of count tasks are done.
-func (r *Record) doneBits(name string, count int) []bool {
+func (r *Record) doneBits(key string, count int) []bool {
 	bits := make([]bool, count)
-	raw, err := hex.DecodeString(r.Done[name])
+	raw, err := hex.DecodeString(r.Done[key])
 	if err != nil {
 		return bits
 	}
@@ -99,8 +97,8 @@
 	return bits
 }
 
-func (r *Record) setDone(name string, index, count int) {
-	raw, err := hex.DecodeString(r.Done[name])
+func (r *Record) setDone(key string, index, count int) {
+	raw, err := hex.DecodeString(r.Done[key])
 	if err != nil || len(raw) != (count+7)/8 {
 		raw = make([]byte, (count+7)/8)
 	}
@@ -108,58 +106,58 @@
 	if r.Done == nil {
 		r.Done = make(map[string]string)
 	}
-	r.Done[name] = hex.EncodeToString(raw)
+	r.Done[key] = hex.EncodeToString(raw)
 }
 
-// addFailed notes a failed attempt; false if it was noted before.
-func (r *Record) addFailed(name string, attempt int64) bool {
-	return addAttempt(&r.Failed, name, attempt)
+// addFailed records a failed attempt and reports whether it is new.
+func (r *Record) addFailed(key string, attempt int64) bool {
+	return addAttempt(&r.Failed, key, attempt)
 }
 
-// addCrash notes an attempt under which the task's worker went down.
-func (r *Record) addCrash(name string, attempt int64) { addAttempt(&r.Crashed, name, attempt) }
+// addCrash records an attempt during which the task's worker crashed.
+func (r *Record) addCrash(key string, attempt int64) { addAttempt(&r.Crashed, key, attempt) }
 
-// addShared notes one under which it went down among many others.
-func (r *Record) addShared(name string, attempt int64) { addAttempt(&r.Shared, name, attempt) }
+// addShared records an attempt whose worker crashed together with many others.
+func (r *Record) addShared(key string, attempt int64) { addAttempt(&r.Shared, key, attempt) }
 
-// forgetCrashes forgets all of them.
-func (r *Record) forgetCrashes(name string) {
-	delete(r.Crashed, name)
-	delete(r.Shared, name)
-	delete(r.Unanswered, name)
+// forgetCrashes removes all recorded crashes of a task.
+func (r *Record) forgetCrashes(key string) {
+	delete(r.Crashed, key)
+	delete(r.Shared, key)
+	delete(r.Unanswered, key)
 }
 
-// addUnanswered notes an attempt that was lost and may never have begun.
-func (r *Record) addUnanswered(name string, attempt int64) { addAttempt(&r.Unanswered, name, attempt) }
+// addUnanswered records an attempt that was lost and may never have started.
+func (r *Record) addUnanswered(key string, attempt int64) { addAttempt(&r.Unanswered, key, attempt) }
 
-// addAttempt notes an attempt; false if it was noted before.
-func addAttempt(attempts *map[string][]int64, name string, attempt int64) bool {
-	if slices.Contains((*attempts)[name], attempt) {
+// addAttempt records an attempt and reports whether it is new.
+func addAttempt(attempts *map[string][]int64, key string, attempt int64) bool {
+	if slices.Contains((*attempts)[key], attempt) {
 		return false
 	}
 	if *attempts == nil {
 		*attempts = make(map[string][]int64)
 	}
-	(*attempts)[name] = append(slices.Clone((*attempts)[name]), attempt)
+	(*attempts)[key] = append(slices.Clone((*attempts)[key]), attempt)
 	return true
 }
 
-// beginAttempt notes an attempt that may be under way from now on.
-func (r *Record) beginAttempt(name string, attempt int64) { addAttempt(&r.Attempts, name, attempt) }
+// beginAttempt records an attempt that may be in progress from now on.
+func (r *Record) beginAttempt(key string, attempt int64) { addAttempt(&r.Attempts, key, attempt) }
 
-// endAttempt notes that it is over.
-func (r *Record) endAttempt(name string, attempt int64) {
-	left := slices.DeleteFunc(slices.Clone(r.Attempts[name]), func(a int64) bool { return a == attempt })
+// endAttempt removes an attempt that is over.
+func (r *Record) endAttempt(key string, attempt int64) {
+	left := slices.DeleteFunc(slices.Clone(r.Attempts[key]), func(a int64) bool { return a == attempt })
 	if len(left) == 0 {
-		delete(r.Attempts, name)
+		delete(r.Attempts, key)
 		return
 	}
-	r.Attempts[name] = left
+	r.Attempts[key] = left
 }
 
-func (r *Record) setSaved(name, checkpoint string) {
-	if r.Saved == nil {
-		r.Saved = make(map[string]string)
+func (r *Record) setCheckpoint(key, checkpoint string) {
+	if r.Checkpoints == nil {
+		r.Checkpoints = make(map[string]string)
 	}
-	r.Saved[name] = checkpoint
+	r.Checkpoints[key] = checkpoint
 }
--- a/internal/dispatch/recorded.go
+++ b/internal/dispatch/recorded.go
@@ -7,136 +7,139 @@
 	"github.com/corianderbank/corianderbank/internal/quarantine"
 )
 
-// This file answers changes of the leader between a crash and its news. A count that lives
-// in one leader begins anew with the next one, and a task that takes its workers down gets
-// as many more. So before a task starts under which workers went down, the store knows of
-// the attempt; a later leader that finds neither that run nor its end counts it as a crash.
+// Recorded attempts keep crash counts across leader changes. A count held only in memory would
+// restart with the next leader, and a task that crashes its workers could crash as many again.
+// Before a task whose workers crashed starts, its attempt is therefore stored; a later leader
+// that finds neither the run nor its completion counts the attempt as a crash.
 
-// recordPatience is how long room is held for a task whose attempt is being stored.
-const recordPatience = 150 * time.Millisecond
+// recordWaitLimit is how long capacity is held for a task whose attempt is being stored.
+const recordWaitLimit = 150 * time.Millisecond
 
-// beginAttempt has the store know of an attempt that may be under way.
+// beginAttempt schedules the storing of an attempt that may be in progress.
 func (c *Core) beginAttempt(t *task, attempt int64) {
-	t.step.job.record.beginAttempt(t.ownName(), attempt)
-	c.change(t.step.job)
+	t.step.job.record.beginAttempt(t.crashKey(), attempt)
+	c.markChanged(t.step.job)
 }
 
-// endAttempt takes that a recorded attempt ended, and its worker did not.
+// endAttempt records that a stored attempt ended while its worker continued.
 func (c *Core) endAttempt(t *task, attempt int64) {
-	if t.over() {
+	if t.isFinished() {
 		return
 	}
-	t.step.job.record.endAttempt(t.ownName(), attempt)
-	c.change(t.step.job)
+	t.step.job.record.endAttempt(t.crashKey(), attempt)
+	c.markChanged(t.step.job)
 }
 
-// countEarlier takes attempts that an earlier leader recorded and that nobody lists for
-// crashes, once all workers have answered or their leases are over.
-func (c *Core) countEarlier(j *job) {
-	j.hasEarlier = false
+// countEarlierAttempts counts attempts that an earlier leader recorded and that no worker lists
+// as crashes. Call it once all workers have answered or their leases have expired.
+func (c *Core) countEarlierAttempts(j *job) {
+	j.hasEarlierAttempts = false
 	for _, s := range j.steps {
 		for i := range s.tasks {
 			t := &s.tasks[i]
 			if t.crashes == nil {
 				continue
 			}
-			for _, attempt := range t.crashes.earlier {
-				c.countCrash(lapsedRun{task: t, attempt: attempt, confirmed: true})
+			for _, attempt := range t.crashes.earlierAttempts {
+				c.countCrash(lostAttempt{task: t, attempt: attempt, confirmed: true})
 			}
-			t.crashes.earlier = nil
+			t.crashes.earlierAttempts = nil
 		}
 	}
 }
 
-// takeEarlier reports whether an attempt was recorded by an earlier leader and is seen for
-// the first time.
-func (t *task) takeEarlier(attempt int64) bool {
+// takeEarlierAttempt reports whether an attempt was recorded by an earlier leader and is seen
+// for the first time.
+func (t *task) takeEarlierAttempt(attempt int64) bool {
 	if t.crashes == nil {
 		return false
 	}
-	at := slices.Index(t.crashes.earlier, attempt)
+	at := slices.Index(t.crashes.earlierAttempts, attempt)
 	if at >= 0 {
-		t.crashes.earlier = slices.Delete(t.crashes.earlier, at, at+1)
+		t.crashes.earlierAttempts = slices.Delete(t.crashes.earlierAttempts, at, at+1)
 	}
 	return at >= 0
 }
 
-// noteUnseen takes that a worker was lost, or is no longer waited for, before it answered
-// this epoch. Any task that an earlier leader started may have run there; the next leader
-// is to know more than this one.
-func (c *Core) noteUnseen(w *worker) {
-	c.lostUnseen = c.lostUnseen || w.mayRunUnsynced()
+// recordLostUnsynced records that a worker was lost, or is no longer waited for, before it
+// answered this epoch. Any task that an earlier leader started may have run on it, so attempts
+// of jobs from earlier epochs are stored for the next leader.
+func (c *Core) recordLostUnsynced(w *worker) {
+	c.lostUnsynced = c.lostUnsynced || w.mayRunUnsynced()
 }
 
-// endWait does so, once, for the workers that are no longer waited for.
-func (c *Core) endWait() {
-	if c.waitEnded || c.now.Before(c.surelyQuiet) {
+// endUnsyncedWait calls recordLostUnsynced, once, for the workers that are no longer waited
+// for.
+func (c *Core) endUnsyncedWait() {
+	if c.unsyncedWaitEnded || c.now.Before(c.definitelyStopped) {
 		return
 	}
-	c.waitEnded = true
+	c.unsyncedWaitEnded = true
 	for _, w := range c.fleet {
-		c.noteUnseen(w)
+		c.recordLostUnsynced(w)
 	}
 }
 
-// awaitsAttempt reports whether one of the first tasks of a step may not start yet because
-// the store does not know of its attempt, and has it stored.
-func (c *Core) awaitsAttempt(u *pendingStep, count int) bool {
+// awaitsAttemptRecord reports whether one of the first count tasks of a step may not start yet
+// because its attempt is not stored, and schedules the write if needed.
+func (c *Core) awaitsAttemptRecord(u *pendingStep, count int) bool {
 	waits := false
 	j := u.step.job
 	for _, t := range u.tasks[:count] {
-		if t.crashDecision() == quarantine.StartFreely && !(c.lostUnseen && j.old) {
+		if t.crashDecision() == quarantine.StartFreely && !(c.lostUnsynced && j.fromEarlierEpoch) {
 			continue
 		}
 		s := t.ensureCrashes()
-		if s.next == 0 {
-			s.next = c.reserveAttempt(t)
-			c.beginAttempt(t, s.next)
-			s.nextChange, s.nextAsked = j.changed, c.now
+		if s.reservedAttempt == 0 {
+			s.reservedAttempt = c.reserveAttempt(t)
+			c.beginAttempt(t, s.reservedAttempt)
+			s.reservedRevision, s.reservedAt = j.revision, c.now
 		}
-		waits = waits || j.stored < s.nextChange
+		waits = waits || j.storedRevision < s.reservedRevision
 	}
 	return waits
 }
 
-// reserveAttempt is the number of a task's next start; members of a gang share it.
+// reserveAttempt returns the attempt number of a task's next start; members of a gang share it.
 func (c *Core) reserveAttempt(t *task) int64 {
 	if t.step.spec.Gang {
 		for i := range t.step.tasks {
-			if s := t.step.tasks[i].crashes; s != nil && s.next != 0 {
-				return s.next
+			if s := t.step.tasks[i].crashes; s != nil && s.reservedAttempt != 0 {
+				return s.reservedAttempt
 			}
 		}
 	}
 	return c.nextAttempt()
 }
 
-// attemptOf is the number of the next start of a task, or of the gang that begins with it.
-func (c *Core) attemptOf(tasks []*task) int64 {
+// nextAttemptOf returns the attempt number for the next start of the given tasks: the reserved
+// one, or a new one.
+func (c *Core) nextAttemptOf(tasks []*task) int64 {
 	for _, t := range tasks {
-		if t.crashes != nil && t.crashes.next != 0 {
-			return t.crashes.next
+		if t.crashes != nil && t.crashes.reservedAttempt != 0 {
+			return t.crashes.reservedAttempt
 		}
 	}
 	return c.nextAttempt()
 }
 
-// holdWhileRecording holds the rooms of a step whose attempt is being stored, unless the
-// store is slow: others may use them then.
-func (c *Core) holdWhileRecording(u *pendingStep, places []*room) {
+// holdCapacityWhileRecording holds the capacity of a step whose attempt is being stored. If the
+// store is slow, other work may use it.
+func (c *Core) holdCapacityWhileRecording(u *pendingStep, places []*workerCapacity) {
 	for _, t := range u.tasks[:len(places)] {
-		if s := t.crashes; s != nil && s.next != 0 && c.now.Sub(s.nextAsked) > recordPatience {
+		if s := t.crashes; s != nil && s.reservedAttempt != 0 && c.now.Sub(s.reservedAt) > recordWaitLimit {
 			return
 		}
 	}
-	takeRoom(u, places)
+	takeCapacity(u, places)
 }
 
-// takeReserved reports whether an attempt is the one reserved for a task, and uses it up.
-func (t *task) takeReserved(attempt int64) bool {
-	if t.crashes == nil || t.crashes.next != attempt {
+// takeReservedAttempt reports whether an attempt is the one reserved for a task, and clears the
+// reservation.
+func (t *task) takeReservedAttempt(attempt int64) bool {
+	if t.crashes == nil || t.crashes.reservedAttempt != attempt {
 		return false
 	}
-	t.crashes.next = 0
+	t.crashes.reservedAttempt = 0
 	return true
 }
--- a/internal/dispatch/repeat.go
+++ b/internal/dispatch/repeat.go
@@ -4,33 +4,32 @@
 	"time"
 )
 
-// This file answers orders that get lost: a worker that leaves a share of them
-// unanswered, and carries these out seconds later or never. Without it the time-out of
-// the call decides: a gang of which one start got no answer is stopped and started
-// again, and each stop that was lost holds up the urgent work that it frees room for. An
-// order that is repeated says the same once more: a run that is there stays the only
-// one, and what a stop has closed stays closed.
+// Orders are resent because workers may leave some of them unanswered and carry them out
+// seconds later or never. Without resends the call timeout would decide: a gang with one
+// unanswered start is stopped and started again, and each lost stop delays the urgent work that
+// it frees capacity for. Resending an order is idempotent: an existing run stays the only one,
+// and an attempt closed by a stop stays closed.
 
 const (
-	// repeatAfter is how long an order may go without an answer before it is sent
-	// again; slowed workers answer sooner.
-	repeatAfter = 120 * time.Millisecond
-	// stopAgainAfter is when a stop is sent again that was repeated already, or whose
-	// worker answers nothing. It is longer than the time-out of the call.
-	stopAgainAfter = 700 * time.Millisecond
-	// repeatsMost repeats are allowed at once, and repeatsEarned more for each answer:
-	// when nothing is answered, a cut or an overload of this instance is likelier than
-	// many lost orders, and repeating all of them would add to it.
-	repeatsMost   = 32
-	repeatsEarned = 0.25
+	// resendAfter is how long an order may stay unanswered before it is sent again; slow
+	// workers answer sooner.
+	resendAfter = 120 * time.Millisecond
+	// resendStopAfter is the delay before a stop is sent again if it was resent before or its
+	// worker is unresponsive. It is longer than the call timeout.
+	resendStopAfter = 700 * time.Millisecond
+	// maxResends is the number of resends allowed at once, and resendsPerAnswer the number
+	// regained per answer: when nothing is answered, a network partition or an overload of this
+	// instance is more likely than many lost orders, and resending all of them would add to it.
+	maxResends       = 32
+	resendsPerAnswer = 0.25
 )
 
-// repeatBudget bounds the orders that are sent again.
-type repeatBudget float64
+// resendBudget limits the orders that are sent again.
+type resendBudget float64
 
-func (b *repeatBudget) answered() { *b = min(*b+repeatsEarned, repeatsMost) }
+func (b *resendBudget) earn() { *b = min(*b+resendsPerAnswer, maxResends) }
 
-func (b *repeatBudget) take() bool {
+func (b *resendBudget) take() bool {
 	if *b < 1 {
 		return false
 	}
@@ -38,25 +37,25 @@
 	return true
 }
 
-// repeatStarts sends starts once more that are not answered.
-func (c *Core) repeatStarts() {
-	if !c.has(MechResends) || c.startsHeld {
+// resendStarts resends unanswered starts once.
+func (c *Core) resendStarts() {
+	if !c.enabled(MechResends) || c.startsHeld {
 		return
 	}
-	for _, r := range c.ordered {
-		if c.now.Sub(r.since) < c.answerTime.atLeast(repeatAfter) {
+	for _, r := range c.pendingStarts {
+		if c.now.Sub(r.since) < c.responseTime.atLeast(resendAfter) {
 			return
 		}
-		if r.copies == 1 && r.state == stRunOrdered && !c.isDrained(r.worker) && c.repeats.take() {
+		if r.startsSent == 1 && r.state == stRunOrdered && !c.isDrained(r.worker) && c.resends.take() {
 			c.sendStart(r, "sent again, no answer yet")
 		}
 	}
 }
 
-// resendStops sends stops again that are not answered.
+// resendStops resends unanswered stops.
 func (c *Core) resendStops() {
 	for _, w := range c.fleet {
-		unanswered := w.inOrder(func(r *run) bool { return r.stopping() && r.state != stRunStopped })
+		unanswered := w.sortedRuns(func(r *run) bool { return r.stopping() && r.state != stRunStopped })
 		for _, r := range unanswered {
 			if c.isStopDue(w, r) {
 				c.sendStop(r)
@@ -66,9 +65,9 @@
 }
 
 func (c *Core) isStopDue(w *worker, r *run) bool {
-	waited := c.now.Sub(r.stopSent)
-	if waited >= stopAgainAfter {
+	waited := c.now.Sub(r.stopSentAt)
+	if waited >= resendStopAfter {
 		return true
 	}
-	return waited >= repeatAfter && r.stops == 1 && w.misses == 0 && c.has(MechResends) && c.repeats.take()
+	return waited >= resendAfter && r.stopsSent == 1 && w.misses == 0 && c.enabled(MechResends) && c.resends.take()
 }
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -8,106 +8,104 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// release is room that a run gives back when it ends.
+// release is the capacity that a run returns when it ends.
 type release struct {
-	room *room
-	run  *run
-	at   time.Time
-	need workload.Resources
+	capacity *workerCapacity
+	run      *run
+	at       time.Time
+	need     workload.Resources
 }
 
-// reservation is room that a step will have by the ends of what runs.
+// reservation is the capacity that a step will have after expected completions.
 type reservation struct {
-	rooms  []*room
-	future map[*room]workload.Resources
-	at     time.Time
+	workers        []*workerCapacity
+	futureCapacity map[*workerCapacity]workload.Resources
+	at             time.Time
 }
 
-// keep reserves room in time for a step that does not fit: the earliest moment
-// at which enough of its workers will have room, by the estimated ends of what
-// runs. Without it large gangs starve behind small work, which fills every gap
-// as soon as it opens.
-// False if its workers will never have room by those ends.
-func (c *Core) keep(u *pendingStep, rooms []*room, far bool) bool {
-	r := c.earliest(u, rooms, far)
+// reserveEarliest reserves capacity for a step that does not fit, from the earliest time at
+// which enough of its workers will have it according to the estimated completions. Without it
+// large gangs starve behind small work, which fills every gap as soon as it opens. It returns
+// false if its workers will never have enough.
+func (c *Core) reserveEarliest(u *pendingStep, workers []*workerCapacity, offRack bool) bool {
+	r := c.earliestReservation(u, workers, offRack)
 	if r != nil {
 		c.reserve(u, r)
 	}
 	return r != nil
 }
 
-// stopReserve is what is kept of an urgent step's time when it waits for others
-// to end by themselves: if they do not, they still have to be stopped.
-const stopReserve = 400 * time.Millisecond
+// stopMargin is reserved from the time of an urgent step that waits for completions: if the
+// runs do not end, they still have to be stopped.
+const stopMargin = 400 * time.Millisecond
 
-// waitOutAhead, added to the time that a stop takes, bounds how far ahead ends
-// are believed when urgent work waits for them: stopping takes time as well, and
-// an estimate of half a second is off by little.
-const waitOutAhead = 500 * time.Millisecond
+// maxWaitAhead, added to the stop time, limits how far ahead completions are trusted when
+// urgent work waits for them: stopping takes time as well, and an estimate of half a second is
+// accurate enough.
+const maxWaitAhead = 500 * time.Millisecond
 
-// waitForEnds reserves room for an urgent step that will have it in time without
-// stopping anyone; false if it will not. What is stopped is lost, and a step
-// that has time to spare saves it. Estimates are wrong at times: the decision is
-// made anew in every round.
-func (c *Core) waitForEnds(u *pendingStep, rooms []*room, far bool) bool {
-	latest := u.dueBy.Add(-u.length)
+// waitForCompletions reserves capacity for an urgent step that will have it in time without
+// preemption, and returns false otherwise. Preempted work is lost, which a step with enough
+// time avoids. Estimates can be wrong, so the decision is made again in every round.
+func (c *Core) waitForCompletions(u *pendingStep, workers []*workerCapacity, offRack bool) bool {
+	latest := u.dueBy.Add(-u.duration)
 	if u.rank.class == 0 {
-		if bound := u.step.readySince.Add(c.bounds.Reclaim - reclaimReserve); bound.Before(latest) || u.rank.hope != onTime {
+		if bound := u.step.readySince.Add(c.bounds.Reclaim - reclaimMargin); bound.Before(latest) || u.rank.timeliness != onTime {
 			latest = bound
 		}
 	}
-	latest = latest.Add(-c.bounds.StopTime - stopReserve)
+	latest = latest.Add(-c.bounds.StopTime - stopMargin)
 	if !c.now.Before(latest) {
 		return false
 	}
-	r := c.earliest(u, rooms, far)
-	if r == nil || r.at.After(latest) || r.at.Sub(c.now) > c.bounds.StopTime+waitOutAhead {
+	r := c.earliestReservation(u, workers, offRack)
+	if r == nil || r.at.After(latest) || r.at.Sub(c.now) > c.bounds.StopTime+maxWaitAhead {
 		return false
 	}
 	c.reserve(u, r)
 	return true
 }
 
-// earliest is the first moment at which the step fits, on one rack if it belongs
-// on one.
-func (c *Core) earliest(u *pendingStep, rooms []*room, far bool) *reservation {
-	if !u.step.spec.OneRack || far {
-		return c.earliestOn(u, rooms)
+// earliestReservation returns the earliest reservation for the step, on one rack if it is bound
+// to one.
+func (c *Core) earliestReservation(u *pendingStep, workers []*workerCapacity, offRack bool) *reservation {
+	if !u.step.spec.OneRack || offRack {
+		return c.earliestReservationOn(u, workers)
 	}
 	var best *reservation
-	for _, members := range byRack(rooms) {
-		r := c.earliestOn(u, members)
-		if r != nil && (best == nil || r.at.Before(best.at) || r.at.Equal(best.at) && r.rooms[0].order < best.rooms[0].order) {
+	for _, members := range byRack(workers) {
+		r := c.earliestReservationOn(u, members)
+		if r != nil && (best == nil || r.at.Before(best.at) || r.at.Equal(best.at) && r.workers[0].order < best.workers[0].order) {
 			best = r
 		}
 	}
 	return best
 }
 
-func (c *Core) earliestOn(u *pendingStep, rooms []*room) *reservation {
-	c.searches++
-	r := &reservation{at: c.now, future: make(map[*room]workload.Resources, len(rooms))}
+func (c *Core) earliestReservationOn(u *pendingStep, workers []*workerCapacity) *reservation {
+	c.reservationSearches++
+	r := &reservation{at: c.now, futureCapacity: make(map[*workerCapacity]workload.Resources, len(workers))}
 	total := int64(0)
-	for _, candidate := range rooms {
-		if !candidate.keptFrom.IsZero() {
+	for _, candidate := range workers {
+		if !candidate.reservedFrom.IsZero() {
 			continue
 		}
-		candidate.searchedBy = c.searches
-		r.rooms = append(r.rooms, candidate)
-		r.future[candidate] = candidate.soon
-		total += c.slots(u, candidate, candidate.soon)
+		candidate.lastSearch = c.reservationSearches
+		r.workers = append(r.workers, candidate)
+		r.futureCapacity[candidate] = candidate.freeSoon
+		total += c.slots(u, candidate, candidate.freeSoon)
 	}
 	wanted := int64(len(u.tasks))
 	for _, end := range c.releases(u.queue.Pool) {
 		if total >= wanted {
 			break
 		}
-		if end.room.searchedBy != c.searches || end.run.stopping() {
-			continue // not among the rooms, or told to stop in this round
+		if end.capacity.lastSearch != c.reservationSearches || end.run.stopping() {
+			continue // not one of the workers, or told to stop in this round
 		}
-		before := c.slots(u, end.room, r.future[end.room])
-		r.future[end.room] = r.future[end.room].Add(end.need)
-		total += c.slots(u, end.room, r.future[end.room]) - before
+		before := c.slots(u, end.capacity, r.futureCapacity[end.capacity])
+		r.futureCapacity[end.capacity] = r.futureCapacity[end.capacity].Add(end.need)
+		total += c.slots(u, end.capacity, r.futureCapacity[end.capacity]) - before
 		r.at = end.at
 	}
 	if total < wanted {
@@ -116,39 +114,39 @@
 	return r
 }
 
-// releases lists the coming ends on a pool's workers, earliest first. They are worked
-// out once a round.
+// releases returns the expected releases on a pool's workers, earliest first, computed once per
+// round.
 func (c *Core) releases(pool string) []release {
-	if list, known := c.coming[pool]; known {
+	if list, known := c.upcomingReleases[pool]; known {
 		return list
 	}
 	var list []release
 	for _, r := range c.pools[pool] {
 		for _, run := range r.runs {
 			if !run.stopping() && !run.task.step.spec.Lasting {
-				list = append(list, release{r, run, c.now.Add(c.estimates.left(run, c.now)), run.need})
+				list = append(list, release{r, run, c.now.Add(c.estimates.remaining(run, c.now)), run.need})
 			}
 		}
 	}
 	slices.SortFunc(list, func(a, b release) int {
-		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.room.order, b.room.order))
+		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.capacity.order, b.capacity.order))
 	})
-	if c.coming == nil {
-		c.coming = make(map[string][]release)
+	if c.upcomingReleases == nil {
+		c.upcomingReleases = make(map[string][]release)
 	}
-	c.coming[pool] = list
+	c.upcomingReleases[pool] = list
 	return list
 }
 
-// reserve keeps slots for a step on the workers that will have them, those with
-// the least room to spare first.
+// reserve reserves slots for a step on the workers that will have them, those with the least
+// spare capacity first.
 func (c *Core) reserve(u *pendingStep, res *reservation) {
-	counts := make([]int64, len(res.rooms))
-	for i, r := range res.rooms {
-		counts[i] = c.slots(u, r, res.future[r])
+	counts := make([]int64, len(res.workers))
+	for i, r := range res.workers {
+		counts[i] = c.slots(u, r, res.futureCapacity[r])
 	}
-	for _, r := range c.pick(u, res.rooms, counts, len(u.tasks), func(*room) bool { return true }) {
-		r.kept = r.kept.Add(u.step.spec.Counted())
-		r.keptFrom = res.at
+	for _, r := range c.pick(u, res.workers, counts, len(u.tasks), func(*workerCapacity) bool { return true }) {
+		r.reserved = r.reserved.Add(u.step.spec.Counted())
+		r.reservedFrom = res.at
 	}
 }
--- a/internal/dispatch/room.go
+++ b/internal/dispatch/room.go
@@ -9,88 +9,91 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// room is a worker's room during one round of decisions.
-type room struct {
+// workerCapacity is a worker's capacity during one round of decisions.
+type workerCapacity struct {
 	*worker
-	// free is free now, soon will be once what is being stopped has ended.
-	free, soon workload.Resources
-	// kept is what a large step waits for from keptFrom on; shorter work may
-	// use it before.
-	kept     workload.Resources
-	keptFrom time.Time
-	// guarded is what protected work uses.
-	guarded workload.Resources
-	// urgentOnly workers run nothing but work of the first priority, or nothing.
+	// free is the capacity that is free now, freeSoon that after the runs being stopped have
+	// ended.
+	free, freeSoon workload.Resources
+	// reserved is the capacity that a large step waits for from reservedFrom on; work that ends
+	// earlier may use it.
+	reserved     workload.Resources
+	reservedFrom time.Time
+	// guaranteedUse is the capacity used by work inside a guarantee.
+	guaranteedUse workload.Resources
+	// urgentOnly is set if the worker runs nothing but work of the highest priority, or nothing
+	// at all.
 	urgentOnly bool
-	// serving and batch count the runs of either sort.
+	// serving and batch count the runs of either kind.
 	serving, batch int
-	// urgent is the number of accelerators that work of the first priority uses.
-	urgent int64
-	order  int
-	// flapping workers get nothing new.
+	// urgentAccelerators is the number of accelerators used by work of the highest priority.
+	urgentAccelerators int64
+	order              int
+	// flapping is set if the worker gets no new work because its machine crashed repeatedly.
 	flapping bool
-	// crashSuspects are the tasks here under which other workers went down.
+	// crashSuspects are the jobs on the worker whose tasks lost other workers to crashes.
 	crashSuspects crashSuspects
-	// stuck is what runs use whose ends cannot be counted on, once it was worked out.
+	// overdueUse is the capacity used by runs without a predictable completion, valid if
+	// overdueKnown is set.
 	overdueUse   workload.Resources
 	overdueKnown bool
-	// sought is the last search for a reservation that this room is part of.
-	searchedBy int
+	// lastSearch is the last reservation search that included the worker.
+	lastSearch int
 }
 
-func (c *Core) rooms() map[string][]*room {
-	pools := make(map[string][]*room)
+func (c *Core) capacities() map[string][]*workerCapacity {
+	pools := make(map[string][]*workerCapacity)
 	for _, w := range c.fleet {
 		if !w.usable(c.now) || c.isSuspect(w) || c.isDrained(w) {
 			continue
 		}
-		free := w.Room.Sub(w.used).Sub(w.unknownNeed())
-		r := &room{worker: w, free: free, soon: free, urgentOnly: true}
+		free := w.Room.Sub(w.used).Sub(w.unknownRunsUse())
+		r := &workerCapacity{worker: w, free: free, freeSoon: free, urgentOnly: true}
 		for _, run := range w.runs {
-			r.countSort(run.task.step.spec)
+			r.countKind(run.task.step.spec)
 			if run.task.crashDecision() != quarantine.StartFreely {
 				r.crashSuspects.add(run.task.step.job)
 			}
-			r.count(run, c.config.Queue(run.task.step.job.Queue))
-			if run.task.step.job.protected {
-				r.guarded = r.guarded.Add(run.need)
+			r.countUse(run, c.config.Queue(run.task.step.job.Queue))
+			if run.task.step.job.guaranteed {
+				r.guaranteedUse = r.guaranteedUse.Add(run.need)
 			}
 		}
 		pools[w.Pool] = append(pools[w.Pool], r)
 	}
-	for _, rooms := range pools {
-		slices.SortFunc(rooms, c.compareRooms)
-		for i, r := range rooms {
+	for _, workers := range pools {
+		slices.SortFunc(workers, c.compareByRack)
+		for i, r := range workers {
 			r.order = i
 		}
 	}
 	return pools
 }
 
-// compareRooms orders the workers of a pool where nothing else does: rack by rack, so
-// that what is filled first and what stays free lie together.
-func (c *Core) compareRooms(a, b *room) int {
+// compareByRack is the default order of the workers of a pool: rack by rack, so that filled and
+// free workers each lie together.
+func (c *Core) compareByRack(a, b *workerCapacity) int {
 	byRack := 0
-	if c.has(MechRackOrder) {
+	if c.enabled(MechRackOrder) {
 		byRack = cmp.Compare(a.Rack, b.Rack)
 	}
 	return cmp.Or(byRack, cmp.Compare(a.ID, b.ID))
 }
 
-// count takes a run into account.
-func (r *room) count(run *run, q *workload.Queue) {
+// countUse adds a run's use to the worker's totals.
+func (r *workerCapacity) countUse(run *run, q *workload.Queue) {
 	switch {
-	case run.frees():
-		r.soon = r.soon.Add(run.need)
+	case run.freesSoon():
+		r.freeSoon = r.freeSoon.Add(run.need)
 	case q != nil && q.Priority == 0:
-		r.urgent += run.need.Accelerators
+		r.urgentAccelerators += run.need.Accelerators
 	default:
 		r.urgentOnly = false
 	}
 }
 
-// countSort takes a run of a step into account.
-func (r *room) countSort(spec *workload.Step) {
+// countKind counts a run of a step as serving or batch.
+func (r *workerCapacity) countKind(spec *workload.Step) {
 	if spec.TargetMS > 0 {
 		r.serving++
 	} else {
@@ -98,30 +101,30 @@
 	}
 }
 
-// open is the room that work ending at a time may use.
-func (r *room) open(ends time.Time) workload.Resources {
+// freeUntil returns the capacity available to work that ends at the given time.
+func (r *workerCapacity) freeUntil(completion time.Time) workload.Resources {
 	free := r.free
-	if !r.keptFrom.IsZero() && ends.After(r.keptFrom) {
-		free = free.Sub(r.kept)
+	if !r.reservedFrom.IsZero() && completion.After(r.reservedFrom) {
+		free = free.Sub(r.reserved)
 	}
 	return free
 }
 
-// takeRoom takes room that is free or being freed for a step that waits for it.
-func takeRoom(u *pendingStep, places []*room) {
+// takeCapacity subtracts free capacity, or capacity that is being freed, for a step that waits
+// for it.
+func takeCapacity(u *pendingStep, places []*workerCapacity) {
 	need := u.step.spec.Counted()
 	for _, r := range places {
-		r.soon = r.soon.Sub(need)
+		r.freeSoon = r.freeSoon.Sub(need)
 		r.free = r.free.Sub(need)
-		u.markRoom(r)
+		u.markCrashSuspects(r)
 	}
 }
 
-// disturbs reports whether a serving task would share the worker with a batch
-// task. Interference differs by image and changes within seconds, so neither sort
-// is put beside the other: no serving task then misses its latency target because
-// of where something was placed.
-func (r *room) disturbs(spec *workload.Step) bool {
+// wouldInterfere reports whether a serving task would share the worker with a batch task.
+// Interference varies by image and changes within seconds, so the two kinds are never placed
+// together: no serving task misses its latency target because of its placement.
+func (r *workerCapacity) wouldInterfere(spec *workload.Step) bool {
 	if spec.TargetMS > 0 {
 		return r.batch > 0
 	}
--- a/internal/dispatch/runs.go
+++ b/internal/dispatch/runs.go
@@ -7,10 +7,10 @@
 	"github.com/corianderbank/corianderbank/internal/chart"
 )
 
-// runChart says which states a run goes through.
+// runChart is the state chart of a run.
 var runChart = chart.MustLoad("run")
 
-// The states of charts/run.json that decisions look at, and its events.
+// The states of charts/run.json that decisions depend on, and its events.
 const (
 	stRunOrdered  chart.State = "ordered"
 	stRunRunning  chart.State = "running"
@@ -25,9 +25,9 @@
 	runGone         chart.Event = "gone"
 )
 
-// inOrder lists the runs of a worker that match, in an order of their own: the same
+// sortedRuns returns the matching runs of a worker in a deterministic order, so that the same
 // events lead to the same orders.
-func (w *worker) inOrder(match func(*run) bool) []*run {
+func (w *worker) sortedRuns(match func(*run) bool) []*run {
 	var list []*run
 	for _, r := range w.runs {
 		if match(r) {
@@ -49,19 +49,20 @@
 
 func anyRun(*run) bool { return true }
 
-// step moves a run on. A run that is over is forgotten, and nothing moves it.
-func (r *run) step(event chart.Event) {
+// transition applies an event to a run's state. A run that is over is removed and receives no
+// further events.
+func (r *run) transition(event chart.Event) {
 	next, err := runChart.Next(r.state, event)
 	if err != nil {
-		panic(err) // a test rules it out: every state answers or ignores every event
+		panic(err) // a test ensures that every state handles or ignores every event
 	}
 	r.state = next
 }
 
-// stopping reports whether the run was told to stop: runs that are unclear were.
+// stopping reports whether the run was told to stop, which includes unclear runs.
 func (r *run) stopping() bool {
 	return r.state == stRunUnclear || r.state == stRunStopping || r.state == stRunStopped
 }
 
-// frees reports whether the run will surely be gone within the time of a stop.
-func (r *run) frees() bool { return r.state == stRunStopping || r.state == stRunStopped }
+// freesSoon reports whether the run will definitely be gone within the stop time.
+func (r *run) freesSoon() bool { return r.state == stRunStopping || r.state == stRunStopped }
--- a/internal/dispatch/silence_test.go
+++ b/internal/dispatch/silence_test.go
@@ -10,23 +10,23 @@
 func TestWhatRanOnAWorkerThatIsGoneRunsElsewhereOnceItsLeaseIsOver(t *testing.T) {
 	b := newBench(t, 3, false)
 	b.add(gangJob("gang", "batch", "other", 2, 8))
-	b.pass(3 * time.Second)
+	b.advance(3 * time.Second)
 	assert.Equal(t, b.runningOf("gang"), 2)
 	for id, w := range b.workers {
 		if len(w.running) > 0 {
-			b.silent[id] = true
+			b.unresponsive[id] = true
 			break
 		}
 	}
 	for id, w := range b.workers {
-		if !b.silent[id] {
+		if !b.unresponsive[id] {
 			for key := range w.running {
-				b.end(w, key.task, key.attempt, "broken")
+				b.endRun(w, key.task, key.attempt, "broken")
 			}
 		}
 	}
-	b.pass(testBounds.LongestLease / 2)
-	assert.Equal(t, b.starts, 2, "the silent worker may run its member yet")
-	b.pass(testBounds.LongestLease)
-	assert.Equal(t, b.starts, 4, "nobody may wait for a worker for ever")
+	b.advance(testBounds.LongestLease / 2)
+	assert.Equal(t, b.starts, 2, "the unresponsive worker may still run its member")
+	b.advance(testBounds.LongestLease)
+	assert.Equal(t, b.starts, 4, "the wait for a worker must end")
 }
--- a/internal/dispatch/startwindow.go
+++ b/internal/dispatch/startwindow.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// This file answers bursts of work on a large deployment: hundreds of jobs that were
-// waiting when a leader begins, or thousands of tasks that fit at once. A leader that
-// orders all of them together has no processor time left to see their answers before they
-// time out: the starts are unclear and have to be closed, gangs break, its lease runs out,
-// and the next leader does the same. So only so many starts are under way as are answered
-// soon; what is left is placed in the rounds that follow, in its order.
+// The start window limits bursts of starts on a large deployment: hundreds of jobs that were
+// waiting when a leader begins, or thousands of tasks that fit at once. A leader that orders
+// all of them together has no processor time left to process the answers before they time out:
+// the starts become unclear and have to be closed, gangs are interrupted, its lease expires,
+// and the next leader repeats the pattern. Only as many starts are in flight as are answered
+// quickly; the rest is placed in later rounds, in order.
 
-// startsLeft is how many starts this instance keeps up with beside those under way. Those
-// on suspect workers do not count: their answers may never come.
+// startsLeft returns the number of further starts that this instance can handle in addition to
+// those in flight. Starts on suspect workers do not count: their answers may never arrive.
 func (c *Core) startsLeft() int {
-	if !c.has(MechStartWindow) {
+	if !c.enabled(MechStartWindow) {
 		return math.MaxInt
 	}
-	left := c.startWindow.most()
-	for _, r := range c.ordered {
+	left := c.startWindow.limit()
+	for _, r := range c.pendingStarts {
 		if r.state == stRunOrdered && !c.isSuspect(r.worker) {
 			left--
 		}
@@ -27,26 +27,26 @@
 	return left
 }
 
-// startEnded takes that a start was answered, or given up.
-func (c *Core) startEnded(r *run) {
+// startCallEnded records that a start was answered or timed out.
+func (c *Core) startCallEnded(r *run) {
 	if r.state == stRunOrdered {
-		c.startWindow.ended(c.now.Sub(r.since), len(c.ordered), c.now)
-		c.answerTime.note(min(c.now.Sub(r.since), answerLateMost))
+		c.startWindow.callEnded(c.now.Sub(r.since), len(c.pendingStarts), c.now)
+		c.responseTime.record(min(c.now.Sub(r.since), maxLateResponse))
 	}
 }
 
-// firstPollAfter is how long a worker's first poll waits for the answer to its start, which
+// firstPollDelay is how long a worker's first poll waits for the answer to its start, which
 // leaves a connection that the poll can use.
-const firstPollAfter = 250 * time.Millisecond
+const firstPollDelay = 250 * time.Millisecond
 
-// awaitsFirstStart reports whether all that a worker runs was ordered just now and is not
+// awaitsFirstStart reports whether everything on a worker was ordered just now and is not
 // answered yet.
 func (c *Core) awaitsFirstStart(w *worker) bool {
-	if !c.has(MechStartWindow) {
+	if !c.enabled(MechStartWindow) {
 		return false
 	}
 	for _, r := range w.runs {
-		if r.state != stRunOrdered || c.now.Sub(r.since) >= firstPollAfter {
+		if r.state != stRunOrdered || c.now.Sub(r.since) >= firstPollDelay {
 			return false
 		}
 	}
--- a/internal/dispatch/stored.go
+++ b/internal/dispatch/stored.go
@@ -6,21 +6,21 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file answers workers whose entry in the platform's list lapsed while they ran
-// on, cut off from the platform. An instance that started meanwhile has never seen
-// them; as the leader it would run their tasks a second time. So each
-// worker is put into the product's own table before it gets any work, and taken out
-// once nothing of ours can run there.
+// The stored table of workers covers workers whose entry in the platform's list expired while
+// they kept running, cut off from the platform. An instance that started in the meantime has
+// never seen them; as the leader it would run their tasks a second time. Each worker is
+// therefore stored before it gets any work, and removed once no task of this deployment can run
+// on it.
 
-// Unstored lists up to limit workers that the table does not have as they are.
+// Unstored returns up to limit workers whose row in the stored table is missing or outdated.
 func (c *Core) Unstored(limit int) []workload.Worker {
 	var list []workload.Worker
 	for _, w := range c.fleet {
 		if len(list) >= limit {
 			break
 		}
-		if slices.Contains(c.gone, w.ID) {
-			continue // first it is taken out
+		if slices.Contains(c.pendingRemovals, w.ID) {
+			continue // its old row is removed first
 		}
 		if w.unlistedSince.IsZero() && (!w.stored || w.storedLeaving != w.Leaving) {
 			list = append(list, w.Worker)
@@ -29,31 +29,33 @@
 	return list
 }
 
-// Stored says that the table has these workers. Of one that is to be taken out since,
-// the row will be gone: it has to be put in again before it gets work.
+// Stored marks workers as stored. If a worker is due for removal by now its row will be
+// deleted, so it must be stored again before it gets work.
 func (c *Core) Stored(list []workload.Worker) {
 	for i := range list {
 		w := c.workers[list[i].ID]
-		if w != nil && !slices.Contains(c.gone, w.ID) {
+		if w != nil && !slices.Contains(c.pendingRemovals, w.ID) {
 			w.stored, w.storedLeaving = true, list[i].Leaving
 		}
 	}
 }
 
-// unstore has a worker taken out of the table: it is no longer listed, and nothing
-// of ours can run there. Work of a next epoch would wait for it otherwise, for as
-// long as the longest lease.
+// unstore schedules the removal of a worker from the stored table: it is no longer listed and
+// no task of this deployment can run on it. Otherwise work of a later epoch would wait for it
+// for the longest lease.
 func (c *Core) unstore(w *worker) {
 	if w.stored {
 		w.stored = false
-		c.gone = append(c.gone, w.ID)
+		c.pendingRemovals = append(c.pendingRemovals, w.ID)
 	}
 }
 
-// Gone lists up to limit workers that are to be taken out of the table.
-func (c *Core) Gone(limit int) []string { return slices.Clone(c.gone[:min(limit, len(c.gone))]) }
+// Gone returns up to limit workers to remove from the stored table.
+func (c *Core) Gone(limit int) []string {
+	return slices.Clone(c.pendingRemovals[:min(limit, len(c.pendingRemovals))])
+}
 
-// Removed says that the table no longer has these workers.
+// Removed records that workers were removed from the stored table.
 func (c *Core) Removed(ids []string) {
-	c.gone = slices.DeleteFunc(c.gone, func(id string) bool { return slices.Contains(ids, id) })
+	c.pendingRemovals = slices.DeleteFunc(c.pendingRemovals, func(id string) bool { return slices.Contains(ids, id) })
 }
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -4,99 +4,96 @@
 	"time"
 )
 
-// This file answers cuts: a rack, a switch or an availability zone that falls silent
-// at once. Without it each worker there had to leave an order unanswered before it
-// got no more: gangs are started on one after the other, and each waits for as long as
-// the lease that the worker may have. With it the first silence makes the rack suspect,
-// and a rack of which nobody answers its zone. A suspect worker is polled and gets
-// nothing new until it has answered, which a healthy one does at once.
+// Suspicion handles failures of a whole rack, switch or availability zone. Without it every
+// worker there had to miss an order before it got no more work: gangs were started on one
+// worker after another, and each waited for as long as the worker's lease could last. The first
+// unanswered order instead makes the rack suspect, and a rack without any answer makes its zone
+// suspect. A suspect worker is polled and gets no new work until it has answered, which a
+// healthy one does immediately.
 
 const (
-	// suspectRackAfter is how long an order may go without an answer before its worker's
-	// rack is suspect; slowed workers answer sooner.
+	// suspectRackAfter is how long an order may stay unanswered before its worker's rack is
+	// suspect; slow workers answer sooner.
 	suspectRackAfter = 120 * time.Millisecond
-	// suspicionSpreads is how long a rack may be suspect without any answer from it
-	// before its zone is: time for a poll at a slowed worker.
-	suspicionSpreads = 60 * time.Millisecond
-	// suspectAgain is the least time between two suspicions of the same rack or zone, so that
-	// one worker that answers nothing does not keep its neighbours busy.
-	suspectAgain = 1 * time.Second
-	// suspicionLasts is how long a suspicion is kept that nobody answered: after it every
-	// worker there has a miss of its own.
-	suspicionLasts = 3 * time.Second
+	// suspicionSpreadDelay is how long a rack may be suspect without any answer before its zone
+	// is suspect: long enough for a poll of a slow worker.
+	suspicionSpreadDelay = 60 * time.Millisecond
+	// suspicionInterval is the minimum time between two suspicions of the same rack or zone, so
+	// that one unresponsive worker does not cause constant polls of its neighbours.
+	suspicionInterval = 1 * time.Second
+	// suspicionLifetime is how long an unanswered suspicion is kept: after it every worker
+	// there has missed a poll of its own.
+	suspicionLifetime = 3 * time.Second
 )
 
-// domain is a group of workers that fail together: a rack, or a zone where rack is
-// empty.
+// domain is a group of workers that fail together: a rack, or a zone if rack is empty.
 type domain struct {
 	zone, rack string
 }
 
-func (w *worker) rack() domain { return domain{w.Zone, w.Rack} }
-func (w *worker) zone() domain { return domain{zone: w.Zone} }
+func (w *worker) rackDomain() domain { return domain{w.Zone, w.Rack} }
+func (w *worker) zoneDomain() domain { return domain{zone: w.Zone} }
 
-// Suspect puts a zone suspect, because its instances do not answer.
+// Suspect marks a zone as suspect because its instances do not answer.
 func (c *Core) Suspect(zone string, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	c.suspectDomain(domain{zone: zone})
 }
 
-// suspectDomain puts a domain suspect. Workers that name none are in none.
+// suspectDomain marks a domain as suspect. Workers without a rack or zone belong to no domain.
 func (c *Core) suspectDomain(d domain) {
-	if d == (domain{}) || c.now.Sub(c.suspects[d]) < suspectAgain {
+	if d == (domain{}) || c.now.Sub(c.suspects[d]) < suspicionInterval {
 		return
 	}
 	c.suspects[d] = c.now
 }
 
-// isSuspect reports whether a worker has not answered since its rack or zone is in
-// doubt.
+// isSuspect reports whether a worker has not answered since its rack or zone became suspect.
 func (c *Core) isSuspect(w *worker) bool {
-	if len(c.suspects) == 0 || !c.has(MechSuspectDomains) {
+	if len(c.suspects) == 0 || !c.enabled(MechSuspectDomains) {
 		return false
 	}
-	return c.suspects[w.rack()].After(w.heardAt) || c.suspects[w.zone()].After(w.heardAt)
+	return c.suspects[w.rackDomain()].After(w.lastContact) || c.suspects[w.zoneDomain()].After(w.lastContact)
 }
 
-// missed takes that a worker did not answer.
-func (c *Core) missed(w *worker) {
-	w.missed(c.now)
-	c.suspectDomain(w.rack())
+// recordMiss records that a worker did not answer.
+func (c *Core) recordMiss(w *worker) {
+	w.recordMiss(c.now)
+	c.suspectDomain(w.rackDomain())
 }
 
-// spreadSuspicion puts the racks of orders without an answer suspect, and the zones of
-// racks of which nobody answers, and drops suspicions that are old.
+// spreadSuspicion marks the racks of unanswered orders as suspect, and the zones of racks
+// without any answer, and drops old suspicions.
 func (c *Core) spreadSuspicion() {
-	c.ordered = stillOrdered(c.ordered)
-	for _, r := range c.ordered {
-		if c.now.Sub(r.since) < c.answerTime.atLeast(suspectRackAfter) {
+	c.pendingStarts = pruneAnswered(c.pendingStarts)
+	for _, r := range c.pendingStarts {
+		if c.now.Sub(r.since) < c.responseTime.atLeast(suspectRackAfter) {
 			break
 		}
-		c.suspectDomain(r.worker.rack())
+		c.suspectDomain(r.worker.rackDomain())
 	}
 	if len(c.suspects) == 0 {
 		return
 	}
 	answered := make(map[domain]bool)
 	for _, w := range c.fleet {
-		if since := c.suspects[w.rack()]; !since.IsZero() && w.heardAt.After(since) {
-			answered[w.rack()] = true
+		if since := c.suspects[w.rackDomain()]; !since.IsZero() && w.lastContact.After(since) {
+			answered[w.rackDomain()] = true
 		}
 	}
 	for d, since := range c.suspects {
 		age := c.now.Sub(since)
 		switch {
-		case age > suspicionLasts:
+		case age > suspicionLifetime:
 			delete(c.suspects, d)
-		case d.rack != "" && age >= c.answerTime.atLeast(suspicionSpreads) && !answered[d]:
+		case d.rack != "" && age >= c.responseTime.atLeast(suspicionSpreadDelay) && !answered[d]:
 			c.suspectDomain(domain{zone: d.zone})
 		}
 	}
 }
 
-// stillOrdered drops the runs that are answered, of a list in the order of their
-// starts.
-func stillOrdered(list []*run) []*run {
+// pruneAnswered removes answered runs from a list ordered by start time.
+func pruneAnswered(list []*run) []*run {
 	kept := list[:0]
 	for _, r := range list {
 		if r.state == stRunOrdered {
--- a/internal/dispatch/victims.go
+++ b/internal/dispatch/victims.go
@@ -8,101 +8,102 @@
 	"time"
 )
 
-// acceleratorCores is what one accelerator counts in cores when work lost is
-// weighed.
+// acceleratorCores is the number of cores that one accelerator counts as when lost work is
+// compared.
 const acceleratorCores = 8
 
-// makeRoom stops lower work so that the step fits. It answers a burst of urgent
-// work on a full deployment: without it guaranteed capacity would be there only
-// once others have ended. It stops as little work as it can, and nothing unless
-// the whole step will fit; false if nothing can.
-func (c *Core) makeRoom(u *pendingStep, rooms []*room, far bool, soon []*room) bool {
-	plan := c.cheapest(u, rooms, far)
+// preemptFor stops lower-priority work so that the step fits. Without it guaranteed capacity
+// would be available to a burst of urgent work on a full deployment only after other work has
+// ended. It stops as little work as possible, and nothing unless the whole step will fit, in
+// which case it returns true.
+func (c *Core) preemptFor(u *pendingStep, workers []*workerCapacity, offRack bool, futurePlaces []*workerCapacity) bool {
+	plan := c.cheapestPlan(u, workers, offRack)
 	if plan == nil {
 		if !u.step.spec.Gang {
-			takeRoom(u, soon)
+			takeCapacity(u, futurePlaces)
 		}
 		return false
 	}
 	places := make([]claimedPlace, 0, len(plan))
 	for _, p := range plan {
-		places = append(places, claimedPlace{p.room.worker, p.slots})
+		places = append(places, claimedPlace{p.capacity.worker, p.slots})
 		for _, victim := range p.victims {
 			if !victim.stopping() {
-				victim.task.step.job.broken++
+				victim.task.step.job.interruptions++
 				c.stop(victim, fmt.Sprintf("makes room for %s", u.step.job.ID))
-				p.room.soon = p.room.soon.Add(victim.need)
+				p.capacity.freeSoon = p.capacity.freeSoon.Add(victim.need)
 			}
 		}
 		need := u.step.spec.Counted().Times(p.slots)
-		p.room.soon = p.room.soon.Sub(need)
-		p.room.free = p.room.free.Sub(need)
-		u.markRoom(p.room)
+		p.capacity.freeSoon = p.capacity.freeSoon.Sub(need)
+		p.capacity.free = p.capacity.free.Sub(need)
+		u.markCrashSuspects(p.capacity)
 	}
-	c.claimRooms(u, places)
+	c.claimCapacity(u, places)
 	return true
 }
 
-// offer is what it costs to have slots on one worker.
+// offer is the cost of obtaining slots on one worker.
 type offer struct {
-	room    *room
-	slots   int64
-	victims []*run
-	cost    float64
+	capacity *workerCapacity
+	slots    int64
+	victims  []*run
+	cost     float64
 }
 
-// cheapest returns the offers that make the step fit at the least cost, on one
-// rack if the step belongs on one, unless it may go far; nil if nothing can.
-func (c *Core) cheapest(u *pendingStep, rooms []*room, far bool) []offer {
+// cheapestPlan returns the offers that make the step fit at the lowest cost, or nil if none do.
+// A step bound to one rack stays on one rack unless only a plan across racks exists and offRack
+// is set.
+func (c *Core) cheapestPlan(u *pendingStep, workers []*workerCapacity, offRack bool) []offer {
 	if !u.step.spec.OneRack {
-		plan, _ := c.cheapestOf(u, rooms)
+		plan, _ := c.cheapestPlanOn(u, workers)
 		return plan
 	}
 	var best []offer
 	bestCost := 0.0
-	for _, members := range byRack(rooms) {
-		plan, cost := c.cheapestOf(u, members)
+	for _, members := range byRack(workers) {
+		plan, cost := c.cheapestPlanOn(u, members)
 		if plan != nil && (best == nil || cost < bestCost) {
 			best, bestCost = plan, cost
 		}
 	}
-	if best == nil && far {
-		best, _ = c.cheapestOf(u, rooms)
+	if best == nil && offRack {
+		best, _ = c.cheapestPlanOn(u, workers)
 	}
 	return best
 }
 
-// byRack groups workers by their racks, in the order of the racks' names.
-func byRack(rooms []*room) [][]*room {
-	racks := make(map[string][]*room)
-	for _, r := range rooms {
+// byRack groups workers by rack, sorted by rack name.
+func byRack(workers []*workerCapacity) [][]*workerCapacity {
+	racks := make(map[string][]*workerCapacity)
+	for _, r := range workers {
 		racks[r.Rack] = append(racks[r.Rack], r)
 	}
-	list := make([][]*room, 0, len(racks))
+	list := make([][]*workerCapacity, 0, len(racks))
 	for _, rack := range slices.Sorted(maps.Keys(racks)) {
 		list = append(list, racks[rack])
 	}
 	return list
 }
 
-func (c *Core) cheapestOf(u *pendingStep, rooms []*room) ([]offer, float64) {
+func (c *Core) cheapestPlanOn(u *pendingStep, workers []*workerCapacity) ([]offer, float64) {
 	var offers []offer
-	for _, r := range rooms {
+	for _, r := range workers {
 		offers = append(offers, c.offers(u, r)...)
 	}
 	slices.SortStableFunc(offers, func(a, b offer) int {
-		return cmp.Or(c.crashOrder(u, a.room, b.room), cmp.Compare(a.cost, b.cost), cmp.Compare(a.room.order, b.room.order))
+		return cmp.Or(c.crashOrder(u, a.capacity, b.capacity), cmp.Compare(a.cost, b.cost), cmp.Compare(a.capacity.order, b.capacity.order))
 	})
-	// Each offer is for one more slot of its worker and holds the victims of
-	// the ones before it, so the last one taken of a worker stands for all.
-	taken := make(map[*room]offer)
+	// Each offer adds one slot on its worker and includes the victims of the previous offers,
+	// so the last accepted offer of a worker covers all of them.
+	taken := make(map[*workerCapacity]offer)
 	left := int64(len(u.tasks))
 	for _, o := range offers {
 		if left == 0 {
 			break
 		}
-		if o.slots == taken[o.room].slots+1 {
-			taken[o.room] = o
+		if o.slots == taken[o.capacity].slots+1 {
+			taken[o.capacity] = o
 			left--
 		}
 	}
@@ -114,22 +115,22 @@
 	for _, o := range taken {
 		plan = append(plan, o)
 	}
-	slices.SortFunc(plan, func(a, b offer) int { return cmp.Compare(a.room.order, b.room.order) })
+	slices.SortFunc(plan, func(a, b offer) int { return cmp.Compare(a.capacity.order, b.capacity.order) })
 	for _, o := range plan {
 		cost += o.cost
 	}
 	return plan, cost
 }
 
-// offers lists what one, two, and more slots on a worker cost.
-func (c *Core) offers(u *pendingStep, r *room) []offer {
+// offers returns the cost of one, two, and more slots on a worker.
+func (c *Core) offers(u *pendingStep, r *workerCapacity) []offer {
 	victims := c.victims(u, r)
-	free := r.soon
+	free := r.freeSoon
 	var list []offer
 	cost := 0.0
 	next := 0
-	most := c.slots(u, r, r.Room)
-	for n := int64(1); n <= most; n++ {
+	maxSlots := c.slots(u, r, r.Room)
+	for n := int64(1); n <= maxSlots; n++ {
 		for c.slots(u, r, free) < n && next < len(victims) {
 			free = free.Add(victims[next].need)
 			cost += c.workLost(victims[next])
@@ -138,35 +139,35 @@
 		if c.slots(u, r, free) < n {
 			break
 		}
-		list = append(list, offer{room: r, slots: n, victims: victims[:next], cost: cost / float64(n)})
+		list = append(list, offer{capacity: r, slots: n, victims: victims[:next], cost: cost / float64(n)})
 	}
 	return list
 }
 
-// victims lists the runs on a worker that may be stopped for the step, those
-// that lose the least work first.
-func (c *Core) victims(u *pendingStep, r *room) []*run {
+// victims returns the runs on a worker that may be stopped for the step, in the order of the
+// victim policy.
+func (c *Core) victims(u *pendingStep, r *workerCapacity) []*run {
 	var list []*run
 	for _, run := range r.runs {
-		if !run.stopping() && c.yields(run, u) {
+		if !run.stopping() && c.mayPreempt(run, u) {
 			list = append(list, run)
 		}
 	}
 	slices.SortFunc(list, func(a, b *run) int {
-		if !c.has(MechCheapVictims) {
+		if !c.enabled(MechCheapVictims) {
 			return cmp.Or(cmp.Compare(a.attempt, b.attempt), cmp.Compare(a.task.index, b.task.index))
 		}
-		return cmp.Or(c.ways.victims(c, a, b), cmp.Compare(a.attempt, b.attempt), cmp.Compare(a.task.index, b.task.index))
+		return cmp.Or(c.policies.victims(c, a, b), cmp.Compare(a.attempt, b.attempt), cmp.Compare(a.task.index, b.task.index))
 	})
 	return list
 }
 
-// yields reports whether a run may be stopped for the step: lower priority for
-// urgent work, and anything outside a guarantee for work inside one.
-func (c *Core) yields(victim *run, u *pendingStep) bool {
+// mayPreempt reports whether a run may be stopped for the step: urgent work may preempt lower
+// priorities, and work inside a guarantee anything outside one.
+func (c *Core) mayPreempt(victim *run, u *pendingStep) bool {
 	s := victim.task.step
 	q := c.config.Queue(s.job.Queue)
-	if s.job.protected || q == nil {
+	if s.job.guaranteed || q == nil {
 		return false
 	}
 	if s.spec.Lasting && s.spec.MaxAway > 0 {
@@ -175,8 +176,8 @@
 	return u.rank.class == 0 || q.Priority > u.queue.Priority
 }
 
-// workLost is the work, in core-seconds, that stopping a run throws away; all
-// of a gang is thrown away with one member.
+// workLost returns the work, in core-seconds, that is lost if a run is stopped; stopping one
+// member loses the work of the whole gang.
 func (c *Core) workLost(r *run) float64 {
 	s := r.task.step
 	ran := c.now.Sub(r.since)
@@ -191,5 +192,6 @@
 	return lost
 }
 
-// checkpointLoss is what a task with checkpoints loses at a stop: it saves then.
+// checkpointLoss is the work that a task with checkpoints loses when it is stopped, since it
+// saves its state then.
 const checkpointLoss = 200 * time.Millisecond
--- a/internal/dispatch/watch_test.go
+++ b/internal/dispatch/watch_test.go
@@ -9,15 +9,15 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-func TestAHolderWhoseLeaseRanOutLearnsOfEndsAndExtendsNothing(t *testing.T) {
+func TestLeaderWithoutLeaseReceivesCompletionsAndExtendsNothing(t *testing.T) {
 	b := newBench(t, 2, false)
 	b.add(gangJob("ends", "batch", "other", 1, 8))
-	b.pass(time.Second)
+	b.advance(time.Second)
 	b.add(gangJob("waits", "batch", "other", 2, 8))
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	for _, w := range b.workers {
 		for key := range w.running {
-			b.end(w, key.task, key.attempt, workload.EndDone)
+			b.endRun(w, key.task, key.attempt, workload.EndDone)
 		}
 	}
 	starts := b.starts
@@ -26,7 +26,7 @@
 		for _, a := range b.core.Watch(b.now, b.wallMS) {
 			assert.Equal(t, a.Kind, ActPoll)
 			assert.Equal(t, a.Poll.UntilMS, int64(0))
-			b.carryOut(a)
+			b.execute(a)
 		}
 	}
 	assert.Equal(t, b.starts, starts)
@@ -34,6 +34,6 @@
 	assert.Equal(t, len(ended), 1)
 	assert.Equal(t, ended[0].Job, "ends")
 	assert.Equal(t, ended[0].Final, FinalCompleted)
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	assert.Equal(t, b.runningOf("waits"), 2, "the lease is back")
 }
--- a/internal/dispatch/window.go
+++ b/internal/dispatch/window.go
@@ -2,65 +2,67 @@
 
 import "time"
 
-// window bounds calls to workers that are under way, by how soon they are answered: it
-// grows as long as this instance keeps up and shrinks when it does not.
+// window limits the calls to workers in flight according to how fast they are answered: it
+// grows while this instance keeps up and shrinks when it does not.
 type window struct {
 	size     float64
 	shrunkAt time.Time
 }
 
 const (
-	windowLeast = 32
-	windowMost  = 256
-	// windowFirst is where an epoch begins.
-	windowFirst = 64
-	// windowFast is how soon an answer comes while this instance keeps up, and windowSlow
-	// when it does not; the time-out of a call is longer.
-	windowFast = 60 * time.Millisecond
-	windowSlow = 120 * time.Millisecond
-	// windowShrinks is how much of the window a late answer leaves, at most once in
-	// windowShrinkEvery: calls that were sent together are late together.
-	windowShrinks     = 0.6
-	windowShrinkEvery = 300 * time.Millisecond
+	minWindow = 32
+	maxWindow = 256
+	// initialWindow is the window size at the start of an epoch.
+	initialWindow = 64
+	// fastResponse is the response time while this instance keeps up, slowResponse that when it
+	// does not; call timeouts are longer.
+	fastResponse = 60 * time.Millisecond
+	slowResponse = 120 * time.Millisecond
+	// windowShrinkFactor is applied to the window after a late answer, at most once per
+	// windowShrinkInterval: calls sent together are late together.
+	windowShrinkFactor   = 0.6
+	windowShrinkInterval = 300 * time.Millisecond
 )
 
-// answerTime is how long workers that answer took lately, as this instance sees it: a
-// loaded instance sees late answers of workers that are well.
-type answerTime time.Duration
+// responseTime is the average recent response time of responsive workers as measured by this
+// instance: a loaded instance measures late answers of healthy workers.
+type responseTime time.Duration
 
-// answerTimeWeight is the weight of the newest answer in the average.
-const answerTimeWeight = 0.05
+// responseTimeWeight is the weight of the newest answer in the average.
+const responseTimeWeight = 0.05
 
-func (a *answerTime) note(after time.Duration) {
-	*a += answerTime(answerTimeWeight * float64(after-time.Duration(*a)))
+func (a *responseTime) record(took time.Duration) {
+	*a += responseTime(responseTimeWeight * float64(took-time.Duration(*a)))
 }
 
-// atLeast is a time that is meant for an instance with time to spare, or some times as
-// long as answers take if that is more.
-func (a answerTime) atLeast(d time.Duration) time.Duration {
-	return max(d, min(answerTimesLate*time.Duration(a), answerLateMost))
+// atLeast returns d, a time limit for an instance without load, or a multiple of the average
+// response time if that is longer.
+func (a responseTime) atLeast(d time.Duration) time.Duration {
+	return max(d, min(lateResponseFactor*time.Duration(a), maxLateResponse))
 }
 
 const (
-	// answerTimesLate times the average is late.
-	answerTimesLate = 3
-	// answerLateMost bounds it: calls time out soon after.
-	answerLateMost = 400 * time.Millisecond
+	// lateResponseFactor is the multiple of the average response time from which an answer is
+	// late.
+	lateResponseFactor = 3
+	// maxLateResponse limits that multiple: calls time out soon after.
+	maxLateResponse = 400 * time.Millisecond
 )
 
-func newWindow() window { return window{size: windowFirst} }
+func newWindow() window { return window{size: initialWindow} }
 
-// most is how many calls may be under way.
-func (w *window) most() int { return int(w.size) }
+// limit returns the number of calls that may be in flight.
+func (w *window) limit() int { return int(w.size) }
 
-// ended takes that a call was answered, or given up, after a time, with so many under way
-// until then. A window that is hardly used says nothing of a larger one.
-func (w *window) ended(after time.Duration, underWay int, now time.Time) {
+// callEnded records that a call was answered or timed out after the given time while inFlight
+// calls were in flight. An underused window is no evidence that a larger one would work, so it
+// does not grow.
+func (w *window) callEnded(took time.Duration, inFlight int, now time.Time) {
 	switch {
-	case after <= windowFast && 2*underWay >= w.most():
-		w.size = min(w.size+1, windowMost)
-	case after >= windowSlow && now.Sub(w.shrunkAt) >= windowShrinkEvery:
-		w.size = max(w.size*windowShrinks, windowLeast)
+	case took <= fastResponse && 2*inFlight >= w.limit():
+		w.size = min(w.size+1, maxWindow)
+	case took >= slowResponse && now.Sub(w.shrunkAt) >= windowShrinkInterval:
+		w.size = max(w.size*windowShrinkFactor, minWindow)
 		w.shrunkAt = now
 	}
 }
--- a/internal/dispatch/window_test.go
+++ b/internal/dispatch/window_test.go
@@ -11,89 +11,89 @@
 )
 
 const (
-	// callWork is the processor time of one call to a worker; pollPatience and
-	// orderPatience are how long polls and orders may take.
-	callWork      = 1500 * time.Microsecond
-	pollPatience  = 600 * time.Millisecond
-	orderPatience = 500 * time.Millisecond
-	processorTick = 5 * time.Millisecond
+	// callProcessorTime is the processor time of one call to a worker; pollTimeout and
+	// orderTimeout are the timeouts of polls and orders.
+	callProcessorTime = 1500 * time.Microsecond
+	pollTimeout       = 600 * time.Millisecond
+	orderTimeout      = 500 * time.Millisecond
+	processorTick     = 5 * time.Millisecond
 )
 
-// slowProcessor makes calls to workers on a processor that all of them share: what takes
-// longer than a call may is thrown away.
-type slowProcessor struct {
+// sharedProcessorBench makes calls to workers that share one processor; calls that exceed their
+// timeout are discarded.
+type sharedProcessorBench struct {
 	*bench
-	calls []*sharedCall
-	// answered and lost count the calls that ended either way, by their kind.
-	answered, lost map[ActionKind]int
+	calls []*workerCall
+	// answered and timedOut count the ended calls by kind.
+	answered, timedOut map[ActionKind]int
 }
 
-type sharedCall struct {
-	action Action
-	sent   time.Time
-	left   time.Duration
+type workerCall struct {
+	action    Action
+	sent      time.Time
+	remaining time.Duration
 }
 
-// patience is how long a call may take. A poll that waits at its worker needs no
-// processor while it does.
-func (s *sharedCall) patience() time.Duration {
+// timeout returns how long a call may take. A long poll needs no processor time while it waits.
+func (s *workerCall) timeout() time.Duration {
 	if s.action.Kind == ActPoll {
-		return pollPatience + s.action.Poll.Wait
+		return pollTimeout + s.action.Poll.Wait
 	}
-	return orderPatience
+	return orderTimeout
 }
 
-func (p *slowProcessor) pass(d time.Duration) {
+func (p *sharedProcessorBench) advance(d time.Duration) {
 	for until := p.now.Add(d); p.now.Before(until); {
 		p.now, p.wallMS = p.now.Add(processorTick), p.wallMS+processorTick.Milliseconds()
-		p.work(processorTick)
+		p.runCalls(processorTick)
 		if p.now.UnixMilli()%20 == 0 {
 			p.core.Stored(p.core.Unstored(len(p.workers)))
 			for _, a := range p.core.Decide(p.now, p.wallMS) {
-				p.take(a)
+				p.send(a)
 			}
 		}
 	}
 }
 
-func (p *slowProcessor) take(a Action) {
+func (p *sharedProcessorBench) send(a Action) {
 	if a.Kind == ActReason {
 		return
 	}
-	p.calls = append(p.calls, &sharedCall{a, p.now, callWork})
+	p.calls = append(p.calls, &workerCall{a, p.now, callProcessorTime})
 }
 
-// work shares a time of the processor among the calls that need it: those to silent
-// workers need none.
-func (p *slowProcessor) work(d time.Duration) {
-	var busy []*sharedCall
+// runCalls divides processor time among the calls that need it; calls to unresponsive workers
+// need none.
+func (p *sharedProcessorBench) runCalls(d time.Duration) {
+	var busy []*workerCall
 	for _, call := range p.calls {
 		waits := p.now.Sub(call.sent) < call.action.Poll.Wait
-		if !waits && !p.silent[call.action.Poll.Worker+call.action.Order.Worker] {
+		if !waits && !p.unresponsive[call.action.Poll.Worker+call.action.Order.Worker] {
 			busy = append(busy, call)
 		}
 	}
 	for _, call := range busy {
-		call.left -= d / time.Duration(len(busy))
+		call.remaining -= d / time.Duration(len(busy))
 	}
-	under := p.calls
+	pending := p.calls
 	p.calls = nil
-	for _, call := range under {
+	for _, call := range pending {
 		switch {
-		case call.left <= 0:
+		case call.remaining <= 0:
 			p.answered[call.action.Kind]++
-			p.carryOut(call.action)
-		case p.now.Sub(call.sent) >= call.patience():
-			p.lost[call.action.Kind]++
-			p.withoutAnswer(call.action, workload.VerdictUnknown)
+			p.execute(call.action)
+		case p.now.Sub(call.sent) >= call.timeout():
+			p.timedOut[call.action.Kind]++
+			p.answerWith(call.action, workload.VerdictUnknown)
 		default:
 			p.calls = append(p.calls, call)
 		}
 	}
 }
 
-// newSlowProcessor is a leader after a takeover, of two zones of ten racks each.
-func newSlowProcessor(t *testing.T) *slowProcessor {
+// newSharedProcessorBench returns the bench of a leader after a takeover, with two zones of ten
+// racks each.
+func newSharedProcessorBench(t *testing.T) *sharedProcessorBench {
 	b := newBench(t, 0, true)
 	b.zones = make(map[string]string)
 	for n := range 600 {
@@ -102,14 +102,14 @@
 		b.addWorker(id)
 	}
 	b.core.Stored(nil)
-	b.list()
-	return &slowProcessor{bench: b, answered: make(map[ActionKind]int), lost: make(map[ActionKind]int)}
+	b.listWorkers()
+	return &sharedProcessorBench{bench: b, answered: make(map[ActionKind]int), timedOut: make(map[ActionKind]int)}
 }
 
-func (p *slowProcessor) known() int {
+func (p *sharedProcessorBench) syncedWorkers() int {
 	count := 0
 	for _, w := range p.core.fleet {
-		if w.known {
+		if w.synced {
 			count++
 		}
 	}
@@ -117,99 +117,99 @@
 }
 
 func TestALeaderThatCannotHearAllAtOnceHearsThemInTurn(t *testing.T) {
-	p := newSlowProcessor(t)
-	p.pass(5 * time.Second) // twice what the polls take
-	assert.Equal(t, p.known(), 600)
-	p.pass(2 * time.Second)
+	p := newSharedProcessorBench(t)
+	p.advance(5 * time.Second) // twice the time the polls take
+	assert.Equal(t, p.syncedWorkers(), 600)
+	p.advance(2 * time.Second)
 	before := p.answered[ActPoll]
-	p.pass(2 * time.Second)
+	p.advance(2 * time.Second)
 	assert.Assert(t, p.answered[ActPoll]-before < 100, "%d polls of idle workers in two seconds", p.answered[ActPoll]-before)
-	assert.Assert(t, p.lost[ActPoll] < 100, "%d polls lost", p.lost[ActPoll])
+	assert.Assert(t, p.timedOut[ActPoll] < 100, "%d polls lost", p.timedOut[ActPoll])
 }
 
 func TestAZoneThatIsCutOffDoesNotKeepTheOthersFromBeingHeard(t *testing.T) {
-	p := newSlowProcessor(t)
+	p := newSharedProcessorBench(t)
 	for id := range p.workers {
 		if p.zones["r"+id[1:len(id)-1]] == "zone-1" {
-			p.silent[id] = true
+			p.unresponsive[id] = true
 		}
 	}
-	p.pass(4 * time.Second)
-	assert.Equal(t, p.known(), 300)
-	clear(p.silent)
-	p.pass(4 * time.Second)
-	assert.Equal(t, p.known(), 600)
+	p.advance(4 * time.Second)
+	assert.Equal(t, p.syncedWorkers(), 300)
+	clear(p.unresponsive)
+	p.advance(4 * time.Second)
+	assert.Equal(t, p.syncedWorkers(), 600)
 }
 
 func TestABacklogThatFitsAtOnceStartsAsFastAsAnswersCome(t *testing.T) {
-	p := newSlowProcessor(t)
-	p.pass(5 * time.Second)
+	p := newSharedProcessorBench(t)
+	p.advance(5 * time.Second)
 	for n := range 40 {
 		p.add(gangJob(fmt.Sprint("gang-", n), "batch", "other", 12, 8))
 	}
-	p.pass(2 * time.Second) // nearly three times what the starts take
+	p.advance(2 * time.Second) // nearly three times the time the starts take
 	assert.Equal(t, p.running(), 480)
-	assert.Assert(t, p.lost[ActStart] < 24, "%d starts without an answer", p.lost[ActStart])
-	p.pass(2 * time.Second)
-	assert.Equal(t, p.running(), 480, "no gang was broken")
+	assert.Assert(t, p.timedOut[ActStart] < 24, "%d starts without an answer", p.timedOut[ActStart])
+	p.advance(2 * time.Second)
+	assert.Equal(t, p.running(), 480, "no gang was interrupted")
 }
 
-func TestStartsOnAZoneThatFellSilentDoNotHoldUpTheOthers(t *testing.T) {
-	p := newSlowProcessor(t)
-	p.pass(5 * time.Second)
+func TestStartsInAnUnresponsiveZoneDoNotDelayOthers(t *testing.T) {
+	p := newSharedProcessorBench(t)
+	p.advance(5 * time.Second)
 	for id := range p.workers {
-		p.silent[id] = p.zones["r"+id[1:len(id)-1]] == "zone-0"
+		p.unresponsive[id] = p.zones["r"+id[1:len(id)-1]] == "zone-0"
 	}
 	for n := range 40 {
 		p.add(gangJob(fmt.Sprint("gang-", n), "batch", "other", 6, 8))
 	}
-	p.pass(3 * time.Second)
-	// What was ordered before the first silence was noticed is lost: one window.
-	assert.Assert(t, p.runningIn("zone-1") >= 40*6-windowFirst-6, "%d run", p.runningIn("zone-1"))
+	p.advance(3 * time.Second)
+	// Orders sent before the zone was suspect are lost: one window.
+	assert.Assert(t, p.runningIn("zone-1") >= 40*6-initialWindow-6, "%d run", p.runningIn("zone-1"))
 }
 
-func TestAWindowGrowsWhileItIsUsedAndShrinksWithLateAnswers(t *testing.T) {
-	w, now := newWindow(), epochStart
+func TestWindowGrowsWhileUsedAndShrinksWithLateAnswers(t *testing.T) {
+	w, now := newWindow(), testStart
 	for range 10_000 {
-		w.ended(windowFast, windowFirst/2-1, now)
+		w.callEnded(fastResponse, initialWindow/2-1, now)
 	}
-	assert.Equal(t, w.most(), windowFirst, "one that is hardly used says nothing of a larger one")
+	assert.Equal(t, w.limit(), initialWindow, "an underused window does not grow")
 	for range 10_000 {
-		w.ended(windowFast, w.most(), now)
+		w.callEnded(fastResponse, w.limit(), now)
 	}
-	assert.Equal(t, w.most(), windowMost)
+	assert.Equal(t, w.limit(), maxWindow)
 	for range 100 {
-		w.ended(windowSlow, w.most(), now)
+		w.callEnded(slowResponse, w.limit(), now)
 	}
-	assert.Equal(t, w.most(), windowMost*6/10, "what is late together shrinks it once")
+	assert.Equal(t, w.limit(), maxWindow*6/10, "simultaneous late answers shrink it once")
 	for range 100 {
-		now = now.Add(windowShrinkEvery)
-		w.ended(windowSlow, w.most(), now)
+		now = now.Add(windowShrinkInterval)
+		w.callEnded(slowResponse, w.limit(), now)
 	}
-	assert.Equal(t, w.most(), windowLeast)
+	assert.Equal(t, w.limit(), minWindow)
 }
 
-func TestPollsToWorkersThatLeftOneUnansweredHaveAWindowOfTheirOwn(t *testing.T) {
+func TestPollsToUnresponsiveWorkersHaveASeparateWindow(t *testing.T) {
 	w := newPollWindow()
-	w.underWay[laneMissed] = windowMissed
-	assert.Equal(t, w.free(laneMissed), 0)
-	assert.Equal(t, w.free(laneHealthy), windowFirst)
-	for range windowMissed {
-		w.ended(laneMissed, windowSlow, epochStart)
-	}
-	assert.Equal(t, w.free(laneMissed), windowMissed)
-	assert.Equal(t, w.free(laneHealthy), windowFirst)
+	w.inFlight[pollClassMissed] = maxMissedPolls
+	assert.Equal(t, w.available(pollClassMissed), 0)
+	assert.Equal(t, w.available(pollClassHealthy), initialWindow)
+	for range maxMissedPolls {
+		w.callEnded(pollClassMissed, slowResponse, testStart)
+	}
+	assert.Equal(t, w.available(pollClassMissed), maxMissedPolls)
+	assert.Equal(t, w.available(pollClassHealthy), initialWindow)
 }
 
-func TestALateAnswerIsJudgedByHowLateAnswersAre(t *testing.T) {
-	var a answerTime
+func TestTimeLimitsGrowWithTheAverageResponseTime(t *testing.T) {
+	var a responseTime
 	assert.Equal(t, a.atLeast(100*time.Millisecond), 100*time.Millisecond)
 	for range 200 {
-		a.note(80 * time.Millisecond)
+		a.record(80 * time.Millisecond)
 	}
 	assert.Assert(t, a.atLeast(100*time.Millisecond) > 200*time.Millisecond)
 	for range 200 {
-		a.note(time.Second)
+		a.record(time.Second)
 	}
-	assert.Equal(t, a.atLeast(100*time.Millisecond), answerLateMost)
+	assert.Equal(t, a.atLeast(100*time.Millisecond), maxLateResponse)
 }
