--- a/internal/workload/check.go
+++ b/internal/workload/check.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// The bounds of a job. They keep one caller from taking an instance's memory, and a
-// row that somebody else wrote from doing so.
+// Limits of a job. They prevent a single caller, or a row of another writer, from
+// using up an instance's memory.
 const (
 	maxSpecBytes   = 4000
 	maxSteps       = 256
@@ -13,7 +13,7 @@
 	maxOccurrences = 10_000
 )
 
-// Check says why something can be no job; nil if it can.
+// Check returns an error if the job is malformed or exceeds a limit.
 func (j *Job) Check() error {
 	switch {
 	case len(j.Spec) > maxSpecBytes:
@@ -43,9 +43,9 @@
 	if !s.Need.valid() || s.EstimateMS < 0 || s.MaxPerWorker < 0 || s.TargetMS < 0 || s.MaxAway < 0 {
 		return fmt.Errorf("step %d has a negative field", number)
 	}
-	for _, before := range s.After {
-		if before < 0 || before >= number {
-			return fmt.Errorf("step %d comes after step %d, which is no earlier one", number, before)
+	for _, dependency := range s.After {
+		if dependency < 0 || dependency >= number {
+			return fmt.Errorf("step %d comes after step %d, which is no earlier one", number, dependency)
 		}
 	}
 	return nil
@@ -53,17 +53,17 @@
 
 func (r Resources) valid() bool { return r.MilliCPU >= 0 && r.MemoryMB >= 0 && r.Accelerators >= 0 }
 
-// Check says why something names no worker that can be used; nil if it does.
+// Check returns an error if the entry does not describe a usable worker.
 func (w *Worker) Check() error {
 	switch {
 	case w.ID == "":
-		return fmt.Errorf("no id")
+		return fmt.Errorf("id is empty")
 	case w.Addr == "":
-		return fmt.Errorf("no address")
+		return fmt.Errorf("address is empty")
 	case w.Pool == "":
-		return fmt.Errorf("no pool")
+		return fmt.Errorf("pool is empty")
 	case !w.Room.valid() || w.LeavesInMS < 0:
-		return fmt.Errorf("a negative field")
+		return fmt.Errorf("a field is negative")
 	}
 	return nil
 }
--- a/internal/workload/ports.go
+++ b/internal/workload/ports.go
@@ -7,79 +7,84 @@
 	"time"
 )
 
-// Row is a row of the store. Version is zero where the row does not exist.
+// Row is a row of the store. Version is zero if the row does not exist.
 type Row struct {
 	Key     string
 	Value   []byte
 	Version int64
-	// Deleted marks, in a feed, a row that was dropped.
+	// Deleted marks a removed row in a feed.
 	Deleted bool
 }
 
-// Write is one transaction on the table of this product. It applies whole or
+// Write is a transaction on the product's own table. It is applied completely or
 // not at all.
 type Write struct {
-	// Part is the part of the table that all its rows lie in. The store carries out the
-	// transactions of one part one after the other, and parts beside each other.
+	// Part is the part of the table that contains all rows of the transaction. The
+	// store executes the transactions of one part sequentially, and those of
+	// different parts concurrently.
 	Part string
-	// Expect lists the versions that rows must have; zero: it must not exist.
+	// Expect lists the versions that rows must have. Zero means that the row must
+	// not exist.
 	Expect []Row
 	Put    []Row
 	Remove []string
 }
 
-// Written is the answer to a Write.
+// Written is the result of a Write.
 type Written struct {
-	// Version is the version that the put rows have now.
+	// Version is the new version of the rows that were put.
 	Version int64
-	// Conflict says that an expectation did not hold; Rows are the expected
-	// rows as they are. Nothing was written.
+	// Conflict reports that the version of a row in Expect did not match and nothing
+	// was written. Rows then contains the current state of the expected rows.
 	Conflict bool
 	Rows     []Row
 }
 
-// ErrUnknown marks a store call that may have been performed, or may still be.
+// ErrUnknown is wrapped by errors of store calls that may have been executed or
+// may still be.
 var ErrUnknown = errors.New("the store's answer is missing")
 
-// ErrNotDone marks a store call that was surely not performed.
+// ErrNotDone is wrapped by errors of store calls that were definitely not executed.
 var ErrNotDone = errors.New("the store did not perform the call")
 
-// ErrHistoryGone marks a feed whose history is no longer kept.
+// ErrHistoryGone is wrapped by errors of Follow calls for changes that the store no
+// longer retains.
 var ErrHistoryGone = errors.New("the store no longer keeps that history")
 
-// Source is a table that can be read and followed.
+// Source identifies a table that can be read and followed.
 type Source string
 
-// The sources that the product follows.
+// Tables that the product follows.
 const (
 	// SourceOwn is the product's own table.
 	SourceOwn Source = "own"
-	// SourceConfiguration is what operators write.
+	// SourceConfiguration is the table that operators write.
 	SourceConfiguration Source = "configuration"
-	// SourceWorkers is where workers register themselves.
+	// SourceWorkers is the table in which workers register themselves.
 	SourceWorkers Source = "workers"
 )
 
-// Page is a part of a table as of one moment, or changes to it.
+// Page is part of a consistent snapshot of a table, or part of its changes.
 type Page struct {
 	Rows []Row
-	// Version is the newest version of the store at that moment.
+	// Version is the newest version of the store at the time of the snapshot.
 	Version int64
-	// More says that rows follow after the last one.
+	// More reports whether further rows follow the last one.
 	More bool
 }
 
-// Store is the platform's table store. Errors wrap ErrUnknown, ErrNotDone or
+// Store is the platform's table store. All errors wrap ErrUnknown, ErrNotDone or
 // ErrHistoryGone.
 type Store interface {
 	Write(ctx context.Context, write Write) (Written, error)
-	// Read returns rows of a part with from <= key < to; an empty to is no bound.
+	// Read returns the rows of a part with from <= key < to. An empty to means no
+	// upper bound.
 	Read(ctx context.Context, source Source, part, from, to string) (Page, error)
-	// Follow waits for changes after a version, in all parts.
+	// Follow waits for changes after a version in all parts of a table.
 	Follow(ctx context.Context, source Source, after int64, wait time.Duration) (Page, error)
 }
 
-// Order is an instruction to a worker about one run of a task.
+// Order instructs a worker to start or stop one run of a task.
 type Order struct {
 	Worker string
 	Addr   string
@@ -87,53 +92,57 @@
 	Zone    string
 	Task    TaskID
 	Attempt int64
-	// Epoch fences: a worker does nothing for a lower one than it has seen.
+	// Epoch is the fencing token. A worker rejects orders with an epoch lower than
+	// the highest it has seen.
 	Epoch int64
-	// UntilMS bounds, on the worker's clock, when a start may happen.
+	// UntilMS is the latest time for a start, on the worker's clock.
 	UntilMS    int64
 	Spec       string
 	Checkpoint string
-	// Ticket is the advisor's word, if the queue asks for it.
+	// Ticket is the placement advisor's approval, if the queue requires one.
 	Ticket string
 }
 
-// Verdict is what became of an order.
+// Verdict is the outcome of an order.
 type Verdict int
 
-// The verdicts.
+// Outcomes of an order.
 const (
-	// VerdictDone means carried out, or found carried out already.
+	// VerdictDone means that the order was carried out, now or earlier.
 	VerdictDone Verdict = iota
-	// VerdictUnknown means no answer: it may be carried out yet.
+	// VerdictUnknown means that there was no usable answer. The order may have been
+	// carried out or may still be.
 	VerdictUnknown
 	// VerdictFenced means that the worker has seen a higher epoch.
 	VerdictFenced
-	// VerdictOld means that an equal or later attempt was ended there.
+	// VerdictOld means that the same or a later attempt already ended on the worker.
 	VerdictOld
-	// VerdictLate means that its time was over on the worker's clock.
+	// VerdictLate means that the latest start time had passed on the worker's clock.
 	VerdictLate
-	// VerdictNoRoom means that the worker has no room.
+	// VerdictNoRoom means that the worker does not have enough free capacity.
 	VerdictNoRoom
-	// VerdictNoTicket means that the advisor's word is missing or too old.
+	// VerdictNoTicket means that the advisor's ticket is missing or has expired.
 	VerdictNoTicket
-	// VerdictGone means that another life of the worker answered.
+	// VerdictGone means that another incarnation of the worker answered.
 	VerdictGone
-	// VerdictUnwell means that the worker refused and did nothing.
+	// VerdictUnwell means that the worker was overloaded or unavailable, refused the
+	// order and did nothing.
 	VerdictUnwell
-	// VerdictRejected means that the worker calls the order malformed.
+	// VerdictRejected means that the worker rejected the order as malformed.
 	VerdictRejected
-	// VerdictUnsent means that there was no connection: nothing was carried out.
+	// VerdictUnsent means that no connection could be opened and nothing was sent.
 	VerdictUnsent
-	// VerdictClosed means the same, because nobody listens at the address.
+	// VerdictClosed means that the connection was refused and nothing was sent.
 	VerdictClosed
 )
 
 var verdictNames = [...]string{"done", "unknown", "fenced", "old", "late", "no_room", "no_ticket", "gone", "unwell", "rejected", "unsent", "closed"}
 
-// String implements fmt.Stringer.
+// String returns the verdict's name in messages, metrics and log lines.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// ParseVerdict is the verdict of a name; VerdictUnknown where there is none.
+// ParseVerdict returns the verdict with the given name, or VerdictUnknown if there
+// is none.
 func ParseVerdict(name string) Verdict {
 	if n := slices.Index(verdictNames[:], name); n >= 0 {
 		return Verdict(n)
@@ -141,42 +150,42 @@
 	return VerdictUnknown
 }
 
-// Receipt is the answer to an order. ClockMS is the worker's clock, zero if it
-// did not say.
+// Receipt is the result of an order. ClockMS is the worker's clock, or zero if the
+// answer did not include it.
 type Receipt struct {
 	Verdict Verdict
 	ClockMS int64
 	Err     error
 }
 
-// Running is a run that a worker lists as under way.
+// Running is a run that a worker reports as in progress.
 type Running struct {
 	Task       TaskID
 	Attempt    int64
 	Checkpoint string
-	// Percent is how much of its work is done.
+	// Percent is the completed share of its work.
 	Percent int
 }
 
-// EndKind says how a run ended.
+// EndKind is the way in which a run ended.
 type EndKind string
 
-// The ways to end.
+// Kinds of completion.
 const (
 	EndDone    EndKind = "done"
 	EndFailed  EndKind = "failed"
 	EndStopped EndKind = "stopped"
-	// EndLapsed means that the worker's lease ran out.
+	// EndLapsed means that the worker's lease expired.
 	EndLapsed EndKind = "lapsed"
 	// EndBroken means that another member of the gang ended.
 	EndBroken EndKind = "broken"
-	// EndAlone means that the rest of the gang did not come in time.
+	// EndAlone means that the other members of the gang did not start in time.
 	EndAlone EndKind = "alone"
 )
 
-// Ended is a run that a worker lists as ended.
+// Ended is a run that a worker reports as ended.
 type Ended struct {
-	// Number rises by each end in one life of a worker.
+	// Number increases with each completion within one incarnation of a worker.
 	Number     int64
 	Task       TaskID
 	Attempt    int64
@@ -184,51 +193,52 @@
 	Checkpoint string
 }
 
-// Poll asks a worker what it runs, and extends its lease.
+// Poll requests a worker's running and ended runs and extends its lease.
 type Poll struct {
 	Worker, Addr string
 	// Zone is the worker's availability zone.
 	Zone  string
 	Epoch int64
-	// Noted is the number of the last end that was recorded.
+	// Acknowledged is the number of the last completion that was recorded.
 	Acknowledged int64
-	// UntilMS extends the lease, on the worker's clock; zero does not.
+	// UntilMS is the new end of the lease on the worker's clock. Zero does not extend
+	// the lease.
 	UntilMS int64
-	// Wait is how long the worker may wait for an end.
+	// Wait is how long the worker may delay its answer until a run ends.
 	Wait time.Duration
 }
 
-// Report is a worker's answer to a Look.
+// Report is a worker's answer to a Poll.
 type Report struct {
 	Verdict Verdict
 	ClockMS int64
 	Running []Running
 	Ended   []Ended
-	// Unread counts rows that could not be read: something runs there, or ended, that
-	// nobody here knows.
+	// Unread counts rows that could not be parsed. Each is a run, in progress or
+	// ended, that cannot be identified.
 	Unread int
 	Err    error
 }
 
-// Workers gives orders to workers.
+// Workers sends orders and polls to workers.
 type Workers interface {
 	Start(ctx context.Context, order Order) Receipt
 	Stop(ctx context.Context, order Order) Receipt
 	Poll(ctx context.Context, poll Poll) Report
-	// Forget closes what is kept for a worker that is gone.
+	// Forget releases the resources kept for a worker that is gone.
 	Forget(worker string)
 }
 
-// Question asks the placement advisor which workers may run a step.
+// Question is a request to the placement advisor: which workers may run a step.
 type Question struct {
-	// Step names the step; its Index says nothing.
+	// Step identifies the step. Its Index is not used.
 	Step    TaskID
 	Workers []string
-	// Within bounds the answer: the advisor takes a while for each worker.
+	// Within limits the time to answer, which grows with the number of workers.
 	Within time.Duration
 }
 
-// Ticket is the advisor's word that a worker may run a step.
+// Ticket is the advisor's approval for a worker to run a step.
 type Ticket struct {
 	Worker string
 	Ticket string
@@ -236,14 +246,14 @@
 
 // Counsel is the advisor's answer.
 type Counsel struct {
-	// Allowed are the workers named that may run the step.
+	// Allowed lists the workers of the question that may run the step.
 	Allowed []Ticket
-	// ValidFor is how long the tickets hold.
+	// ValidFor is how long the tickets are valid.
 	ValidFor time.Duration
 	Err      error
 }
 
-// Advisor answers which workers a queue's policy allows.
+// Advisor is the placement advisor, which decides which workers may run a step.
 type Advisor interface {
 	Advise(ctx context.Context, question Question) Counsel
 }
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,6 +1,7 @@
-// Package workload holds the nouns of deployment-wide scheduling: jobs of steps
-// of tasks, the workers that run them, and the configuration that governs both.
-// Nothing here decides or speaks to a network.
+// Package workload defines the data model of deployment-wide scheduling: jobs with
+// steps and tasks, workers, and the configuration that applies to both. It also
+// defines the interfaces to the store, the workers and the placement advisor. It
+// contains no scheduling decisions and no network code.
 package workload
 
 import (
@@ -8,13 +9,13 @@
 	"time"
 )
 
-// Resources are what one task occupies on a worker, or what a worker has.
+// Resources is the amount that a task occupies on a worker or that a worker has.
 type Resources struct {
 	// MilliCPU is in thousandths of a core.
 	MilliCPU int64 `json:"milli_cpu,omitempty"`
 	// MemoryMB is in megabytes.
 	MemoryMB int64 `json:"memory_mb,omitempty"`
-	// Accelerators is a count of whole devices.
+	// Accelerators is a number of whole devices.
 	Accelerators int64 `json:"accelerators,omitempty"`
 }
 
@@ -23,12 +24,12 @@
 	return Resources{r.MilliCPU + other.MilliCPU, r.MemoryMB + other.MemoryMB, r.Accelerators + other.Accelerators}
 }
 
-// Sub returns r less other; fields may become negative.
+// Sub returns r minus other. Fields may become negative.
 func (r Resources) Sub(other Resources) Resources {
 	return Resources{r.MilliCPU - other.MilliCPU, r.MemoryMB - other.MemoryMB, r.Accelerators - other.Accelerators}
 }
 
-// Times returns n times r.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int64) Resources {
 	return Resources{r.MilliCPU * n, r.MemoryMB * n, r.Accelerators * n}
 }
@@ -38,7 +39,7 @@
 	return need.MilliCPU <= r.MilliCPU && need.MemoryMB <= r.MemoryMB && need.Accelerators <= r.Accelerators
 }
 
-// Fits returns how many times need fits into r, at most limit.
+// Fits returns how many times need fits into r, limited to limit.
 func (r Resources) Fits(need Resources, limit int64) int64 {
 	n := limit
 	for _, pair := range [][2]int64{{r.MilliCPU, need.MilliCPU}, {r.MemoryMB, need.MemoryMB}, {r.Accelerators, need.Accelerators}} {
@@ -49,45 +50,50 @@
 	return n
 }
 
-// Step is a group of like tasks of a job.
+// Step is a group of identical tasks of a job.
 type Step struct {
 	// Count is the number of tasks.
 	Count int `json:"count"`
-	// Need is what each task occupies.
+	// Need is the resources that each task occupies.
 	Need Resources `json:"need"`
-	// EstimateMS is the declared run time of a task; it is often far off.
+	// EstimateMS is the declared run time of a task. It is often inaccurate.
 	EstimateMS int64 `json:"estimate_ms,omitempty"`
-	// After lists the steps of which every task must have ended done first.
+	// After lists the steps whose tasks must all have completed successfully first.
 	After []int `json:"after,omitempty"`
-	// Checkpoints says that a stopped task can go on where it was saved.
+	// Checkpoints reports whether a stopped task can resume from its checkpoint.
 	Checkpoints bool `json:"checkpoints,omitempty"`
-	// Gang says that the tasks work only together and end together.
+	// Gang reports whether the tasks must run at the same time and end together.
 	Gang bool `json:"gang,omitempty"`
-	// OneRack says that tasks on several racks are slower by the remote factor.
+	// OneRack reports whether tasks spread over several racks are slower by the
+	// remote factor.
 	OneRack bool `json:"one_rack,omitempty"`
-	// Label is one that the worker must carry, if set.
+	// Label is a label that the worker must have, if set.
 	Label string `json:"label,omitempty"`
-	// DataRack is where the data lies; elsewhere tasks are slower by the
+	// DataRack is the rack that holds the data. Tasks on other racks are slower by the
 	// remote factor.
 	DataRack string `json:"data_rack,omitempty"`
-	// MaxPerWorker bounds the tasks of the step on one worker; zero is no bound.
+	// MaxPerWorker limits the tasks of the step on one worker. Zero means no limit.
 	MaxPerWorker int `json:"max_per_worker,omitempty"`
-	// Copies allows several runs of one task at once; the first done counts.
+	// Copies allows speculative copies: several concurrent runs of one task, of which
+	// the first to complete counts.
 	Copies bool `json:"copies,omitempty"`
 	// Lasting tasks run until the job is cancelled.
 	Lasting bool `json:"lasting,omitempty"`
-	// Image names what the tasks run: tasks of one image behave alike.
+	// Image is the name of the program that the tasks run. Tasks of one image behave
+	// alike.
 	Image string `json:"image,omitempty"`
-	// TargetMS is the tail response time that a lasting task should keep.
+	// TargetMS is the tail response time objective of a long-running task.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// Scavenges says that the step's processor time is not counted on the
-	// worker: it gets what other tasks leave.
+	// Scavenges marks best-effort tasks, whose processor time is not counted against
+	// the worker's capacity: they use what other tasks leave.
 	Scavenges bool `json:"scavenges,omitempty"`
-	// MaxAway bounds the lasting tasks that may be away by our own doing.
+	// MaxAway limits the long-running tasks that the scheduler itself may make
+	// unavailable at the same time.
 	MaxAway int `json:"max_away,omitempty"`
 }
 
-// Counted is what a task of the step takes from a worker's room.
+// Counted returns the resources that a task of the step takes from a worker's
+// capacity.
 func (s *Step) Counted() Resources {
 	need := s.Need
 	if s.Scavenges {
@@ -96,30 +102,30 @@
 	return need
 }
 
-// Job is an accepted job. It does not change after it was accepted.
+// Job is an accepted job. It is immutable.
 type Job struct {
 	ID string `json:"id"`
-	// Queue is the name of the queue that took it.
+	// Queue is the name of the queue that the job was submitted to.
 	Queue string `json:"queue"`
-	// Account is the client account that sent it.
+	// Account is the client account that submitted the job.
 	Account string `json:"account,omitempty"`
-	// AcceptedMS is when it was accepted, by the accepting instance's clock, in
-	// milliseconds since 1970. It orders jobs and is no truth about time.
+	// AcceptedMS is the time of acceptance on the accepting instance's clock, in
+	// milliseconds since 1970. It is only used to order jobs, since clocks differ.
 	AcceptedMS int64  `json:"accepted_ms"`
 	Spec       string `json:"spec,omitempty"`
 	Steps      []Step `json:"steps"`
-	// Times is how often the steps run; zero is once, at once.
+	// Times is the number of occurrences. Zero means one, due immediately.
 	Times int `json:"times,omitempty"`
-	// FirstMS is when the first occurrence is due, in milliseconds since 1970.
+	// FirstMS is the due time of the first occurrence, in milliseconds since 1970.
 	FirstMS int64 `json:"first_ms,omitempty"`
-	// EveryMS is the time between occurrences.
+	// EveryMS is the interval between occurrences.
 	EveryMS int64 `json:"every_ms,omitempty"`
 }
 
-// Occurrences returns how often the steps run.
+// Occurrences returns the number of times that the steps run, at least 1.
 func (j *Job) Occurrences() int { return max(j.Times, 1) }
 
-// TaskID names one task of one occurrence.
+// TaskID identifies one task of one occurrence of a job.
 type TaskID struct {
 	Job        string
 	Occurrence int
@@ -127,30 +133,33 @@
 	Index      int
 }
 
-// Queue is where jobs of one kind are handed in.
+// Queue is a queue that jobs are submitted to, with the settings of its jobs.
 type Queue struct {
 	Name string
-	// Host and Prefix select the queue: the host and the start of the path.
+	// Host and Prefix select the queue by the host and the start of the path of a
+	// request.
 	Host, Prefix string
-	// Public queues need no key.
+	// Public queues require no key.
 	Public bool
-	// Pool names the workers that run the queue's tasks.
+	// Pool is the name of the worker pool that runs the queue's tasks.
 	Pool string
-	// Priority orders queues; 0 is the most urgent and may preempt others.
+	// Priority orders queues. 0 is the most urgent and may preempt others.
 	Priority int
-	// Attempts is how often a task, or a gang, may fail.
+	// Attempts is the number of times that a task or a gang may fail.
 	Attempts int
-	// Stretch and GraceMS make the latency objective of a job: Stretch times
-	// its longest chain of work, and GraceMS more.
+	// Stretch and GraceMS define the latency objective of a job: Stretch times the
+	// duration of its critical path, plus GraceMS.
 	Stretch float64
 	GraceMS int64
-	// TimeoutMS bounds a call.
+	// TimeoutMS limits the duration of a call.
 	TimeoutMS int64
-	// Advice says that a placement advisor allows each worker, or nil.
+	// Advice is set if the placement advisor must allow each worker, and nil
+	// otherwise.
 	Advice *Advice
 }
 
-// Advice is how long the placement advisor takes and how long its word holds.
+// Advice contains the decision time of the placement advisor, per question and per
+// item, and the validity of its tickets.
 type Advice struct {
 	DecisionMS, PerItemMS, ValidityMS int64
 }
@@ -159,24 +168,26 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Guaranteed is what belongs to the account's most urgent jobs at all times.
+	// Guaranteed is the capacity that the account's most urgent jobs are entitled to
+	// at all times.
 	Guaranteed Resources
 }
 
-// Configuration is one version of what operators decide.
+// Configuration is one version of the operators' configuration.
 type Configuration struct {
 	Version  int64
 	Queues   []Queue
 	Accounts []Account
-	// Pools are the pools of workers that there are. Workers of others are not used.
+	// Pools lists the worker pools. Workers of other pools are not used.
 	Pools []string
-	// MaxBodyBytes bounds a request body; zero is no bound of its own.
+	// MaxBodyBytes limits a request body. Zero means that the configuration sets no
+	// limit.
 	MaxBodyBytes int64
 	accountByKey map[string]string
 	queueByName  map[string]*Queue
 }
 
-// Index prepares look-ups. Call it once, before the configuration is shared.
+// Index builds the lookup tables. Call it once, before the configuration is shared.
 func (c *Configuration) Index() {
 	c.accountByKey = make(map[string]string)
 	for _, account := range c.Accounts {
@@ -190,21 +201,21 @@
 	}
 }
 
-// AccountOf returns the client account that a key belongs to.
+// AccountOf returns the name of the client account that a key belongs to.
 func (c *Configuration) AccountOf(key string) (string, bool) {
 	name, ok := c.accountByKey[key]
 	return name, ok
 }
 
-// HasPool reports whether there is a pool of a name: one of its own, or a queue's.
+// HasPool reports whether a pool is listed in Pools or used by a queue.
 func (c *Configuration) HasPool(name string) bool {
 	return slices.Contains(c.Pools, name) || slices.ContainsFunc(c.Queues, func(q Queue) bool { return q.Pool == name })
 }
 
-// Queue returns the queue of a name, or nil.
+// Queue returns the queue with the given name, or nil.
 func (c *Configuration) Queue(name string) *Queue { return c.queueByName[name] }
 
-// Guaranteed returns what is guaranteed to an account.
+// Guaranteed returns the capacity guaranteed to an account.
 func (c *Configuration) Guaranteed(account string) Resources {
 	for i := range c.Accounts {
 		if c.Accounts[i].Name == account {
@@ -214,24 +225,24 @@
 	return Resources{}
 }
 
-// Worker is one life of a machine that runs tasks, as the platform lists it.
+// Worker is one incarnation of a machine that runs tasks, as listed by the platform.
 type Worker struct {
-	// ID names this life; a restarted worker has another.
+	// ID identifies this incarnation. A restarted worker has a different one.
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
 	Pool string `json:"pool"`
 	Zone string `json:"zone,omitempty"`
-	// Rack is one of the labels; empty if the worker names none.
+	// Rack is one of the labels, or empty if the worker has none.
 	Rack   string    `json:"rack,omitempty"`
 	Labels []string  `json:"labels,omitempty"`
 	Room   Resources `json:"room"`
-	// Leaving workers get nothing new.
+	// Leaving workers get no new tasks.
 	Leaving bool `json:"leaving,omitempty"`
-	// LeavesInMS is the least time that is left, where the worker says so.
+	// LeavesInMS is the minimum time until the worker leaves, if the worker reports it.
 	LeavesInMS int64 `json:"leaves_in_ms,omitempty"`
 }
 
-// Has reports whether the worker carries a label; the empty one always.
+// Has reports whether the worker has a label. It returns true for the empty label.
 func (w *Worker) Has(label string) bool {
 	if label == "" {
 		return true
@@ -244,16 +255,16 @@
 	return false
 }
 
-// Bounds are the deployment's fixed times and factors.
+// Bounds contains the deployment's fixed times and factors.
 type Bounds struct {
-	// LongestLease is the longest lease that a worker grants.
+	// LongestLease is the maximum duration of a lease that a worker grants.
 	LongestLease time.Duration
-	// StopTime is how long a stop takes at most.
+	// StopTime is the maximum duration of a stop.
 	StopTime time.Duration
-	// Reclaim is the bound within which guaranteed capacity is there.
+	// Reclaim is the maximum time until guaranteed capacity is available.
 	Reclaim time.Duration
-	// StatusKept is how long the state of an ended job can be asked for.
+	// StatusKept is how long the state of an ended job can be queried.
 	StatusKept time.Duration
-	// RemoteFactor is how much longer a task takes away from its rack.
+	// RemoteFactor is the factor by which a task takes longer outside its rack.
 	RemoteFactor float64
 }
