--- a/internal/platform/breaker.go
+++ b/internal/platform/breaker.go
@@ -10,39 +10,40 @@
 	"github.com/corianderbank/corianderbank/internal/backoff"
 )
 
-// The breaker in front of the store.
+// Circuit breaker in front of the store.
 //
-// Load pattern: an outage of the store while keyed requests keep arriving.
+// Load pattern: a store outage while keyed requests keep arriving.
 //
-// Without it: each of them waits out a timeout and ends as unknown, because
-// its write may have arrived; the waiting calls pile up, and all of them reach
-// the store again in the moment it comes back.
+// Without it: each request waits for a timeout and ends as unknown, because its
+// write may have arrived. The waiting calls accumulate and all reach the store at
+// the moment it recovers.
 //
-// Thresholds: two failures in a row open it, since a single lost answer is no
-// outage. While it is open one probe at a time reads a row, more and more
-// seldom up to a bound, jittered so that instances that lost the store
-// together do not return together; one answer closes it. Leases and the
-// configuration always pass: they are few, and they are how a zone recovers.
+// Thresholds: two consecutive failures open the breaker, since a single lost
+// answer is not an outage. While it is open, one probe at a time reads a row, with
+// exponential backoff up to a limit and with jitter, so that instances that lost
+// the store at the same time do not return at the same time. One answer closes the
+// breaker. Lease and configuration calls always pass: they are few, and an
+// availability zone needs them to recover.
 
 const (
 	failuresToOpen = 2
-	probeFirst     = 250 * time.Millisecond
-	probeMost      = 2 * time.Second
+	probeBaseDelay = 250 * time.Millisecond
+	probeMaxDelay  = 2 * time.Second
 )
 
-// probeRef names the row that a probe reads; it need not exist.
+// probeRef is the row that a probe reads. It need not exist.
 var probeRef = api.Ref{Table: "config", Key: "head"}
 
-// Breaker refuses calls at once while the store does not answer, so that what
-// needs the store is refused as not done in place of unknown.
+// Breaker rejects calls immediately while the store does not answer, so that they
+// end as not done instead of unknown.
 type Breaker struct {
-	tables  Tables
-	running context.Context
-	// stop is called with mu held, so that no probe starts after it.
-	stop   context.CancelFunc
+	tables Tables
+	ctx    context.Context
+	// cancel is called with mu held, so that no probe starts afterwards.
+	cancel context.CancelFunc
 	probes sync.WaitGroup
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	failures int
 	open     bool
 	refused  int64
@@ -50,21 +51,21 @@
 
 var _ Tables = (*Breaker)(nil)
 
-// NewBreaker returns a closed breaker. Close ends its probe.
+// NewBreaker returns a closed breaker over tables. Close stops its probe.
 func NewBreaker(tables Tables) *Breaker {
-	running, stop := context.WithCancel(context.Background())
-	return &Breaker{tables: tables, running: running, stop: stop}
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Breaker{tables: tables, ctx: ctx, cancel: cancel}
 }
 
-// Close ends the probe, if one is running, and waits for it.
+// Close stops the probe, if one is running, and waits for it.
 func (b *Breaker) Close() {
 	b.mu.Lock()
-	b.stop()
+	b.cancel()
 	b.mu.Unlock()
 	b.probes.Wait()
 }
 
-// Reachable reports whether the store answers, as far as this instance knows.
+// Reachable reports whether the breaker is closed.
 func (b *Breaker) Reachable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,7 +78,8 @@
 	return b.refused
 }
 
-// allow refuses a call while the breaker is open.
+// allow returns an error while the breaker is open, except for lease and
+// configuration calls.
 func (b *Breaker) allow(purpose Purpose) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,8 +90,8 @@
 	return api.NewError(api.KindStoreUnavailable, "the store does not answer")
 }
 
-// note records whether a call was answered, and opens or closes the breaker.
-func (b *Breaker) note(ok bool) {
+// record counts an answered or failed call and opens or closes the breaker.
+func (b *Breaker) record(ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ok {
@@ -98,33 +100,35 @@
 		return
 	}
 	b.failures++
-	if b.open || b.failures < failuresToOpen || b.running.Err() != nil {
+	if b.open || b.failures < failuresToOpen || b.ctx.Err() != nil {
 		return
 	}
 	b.open = true
 	b.probes.Go(b.probe)
 }
 
-// probe reads a row until one answer comes, then ends.
+// probe reads a row repeatedly until the store answers or the breaker is closed
+// by another call or by Close.
 func (b *Breaker) probe() {
-	retry := backoff.Backoff{Base: probeFirst, Max: probeMost}
-	for !b.Reachable() && pause(b.running, retry.Failed(rand.Float64())) {
-		ctx, cancel := context.WithTimeout(b.running, callTimeout)
+	retry := backoff.Backoff{Base: probeBaseDelay, Max: probeMaxDelay}
+	for !b.Reachable() && sleep(b.ctx, retry.Failed(rand.Float64())) {
+		ctx, cancel := context.WithTimeout(b.ctx, callTimeout)
 		_, err := b.tables.Read(ctx, PurposeConfig, probeRef)
 		cancel()
-		if b.running.Err() == nil {
-			b.note(answered(err))
+		if b.ctx.Err() == nil {
+			b.record(answered(err))
 		}
 	}
 }
 
-// answered reports whether a call with this error was answered by the store.
+// answered reports whether err is not KindStoreUnavailable, that is, whether the
+// store answered the call.
 func answered(err error) bool { return !api.IsKind(err, api.KindStoreUnavailable) }
 
-// noteCall records the end of a call, unless its caller gave it up.
-func (b *Breaker) noteCall(ctx context.Context, ok bool) {
+// recordCall records the result of a call, except for failures after ctx ended.
+func (b *Breaker) recordCall(ctx context.Context, ok bool) {
 	if ok || ctx.Err() == nil {
-		b.note(ok)
+		b.record(ok)
 	}
 }
 
@@ -134,7 +138,7 @@
 		return CommitResult{State: CommitNotDone, Err: err}
 	}
 	result := b.tables.Commit(ctx, purpose, tx)
-	b.noteCall(ctx, answered(result.Err))
+	b.recordCall(ctx, answered(result.Err))
 	return result
 }
 
@@ -144,7 +148,7 @@
 		return api.Rows{}, err
 	}
 	rows, err := b.tables.Read(ctx, purpose, refs...)
-	b.noteCall(ctx, answered(err))
+	b.recordCall(ctx, answered(err))
 	return rows, err
 }
 
@@ -154,6 +158,6 @@
 		return api.Rows{}, err
 	}
 	rows, err := b.tables.Scan(ctx, purpose, query)
-	b.noteCall(ctx, answered(err))
+	b.recordCall(ctx, answered(err))
 	return rows, err
 }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -16,20 +16,21 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// The bounds of the connections to the platform.
+// Limits of calls and connections to the platform.
 const (
-	// callTimeout bounds one attempt; the store answers within milliseconds.
+	// callTimeout limits one attempt. The store normally answers within
+	// milliseconds.
 	callTimeout = 2 * time.Second
-	// dialTimeout bounds the time to open a connection.
+	// dialTimeout limits the time to open a connection.
 	dialTimeout = 500 * time.Millisecond
-	// maxConnections bounds the connections of one instance to the platform.
+	// maxConnections limits the connections of one instance to the platform.
 	maxConnections = 16
-	// maxAnswerBytes bounds the body of one answer.
-	maxAnswerBytes = 32 << 20
+	// maxResponseBytes limits the size of a response body.
+	maxResponseBytes = 32 << 20
 )
 
-// HTTP speaks the platform's protocol over HTTP, one attempt a call. It is safe
-// for concurrent use.
+// HTTP implements Tables, Objects and InstanceLister over the platform's HTTP
+// protocol. Each call makes one attempt. It is safe for concurrent use.
 type HTTP struct {
 	client    *resty.Client
 	reachable atomic.Bool
@@ -41,7 +42,7 @@
 	_ InstanceLister = (*HTTP)(nil)
 )
 
-// NewHTTP returns an adapter to the platform at addr, an IP number and port.
+// NewHTTP returns a client of the platform at addr, an IP address and port.
 func NewHTTP(addr string) *HTTP {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -50,25 +51,26 @@
 		IdleConnTimeout:     time.Minute,
 	}
 	client := resty.New().SetBaseURL("http://" + addr).SetTransport(transport)
-	client.SetTimeout(callTimeout).SetResponseBodyLimit(maxAnswerBytes)
+	client.SetTimeout(callTimeout).SetResponseBodyLimit(maxResponseBytes)
 	adapter := &HTTP{client: client}
 	adapter.reachable.Store(true)
 	return adapter
 }
 
-// Reachable reports whether the last call was answered by the platform.
+// Reachable reports whether the platform answered the last call. Calls canceled
+// by the caller are not counted.
 func (h *HTTP) Reachable() bool { return h.reachable.Load() }
 
-// Close closes the idle connections.
+// Close closes idle connections.
 func (h *HTTP) Close() { h.client.GetClient().CloseIdleConnections() }
 
-// Commit implements Tables with one attempt. An attempt that may have reached
-// the store and was not answered is CommitUnknown.
+// Commit implements Tables with one attempt. The result is CommitUnknown if the
+// attempt may have reached the store but was not answered.
 func (h *HTTP) Commit(ctx context.Context, _ Purpose, tx api.Tx) CommitResult {
 	var answer api.TxAnswer
 	sent, err := h.post(ctx, "/v1/tables/commit", tx, &answer)
 	if err == nil {
-		return resultOf(answer)
+		return commitResult(answer)
 	}
 	if !sent || notWritten(err) {
 		return CommitResult{State: CommitNotDone, Err: err}
@@ -76,16 +78,17 @@
 	return CommitResult{State: CommitUnknown, Err: err}
 }
 
-func resultOf(answer api.TxAnswer) CommitResult {
+func commitResult(answer api.TxAnswer) CommitResult {
 	if answer.Done {
 		return CommitResult{State: CommitDone, Now: answer.Now}
 	}
 	return CommitResult{State: CommitNotDone, Conflicts: answer.Conflicts, Now: answer.Now}
 }
 
-// notWritten reports whether the platform itself said that it wrote nothing.
+// notWritten reports whether the platform's response implies that nothing was
+// written.
 func notWritten(err error) bool {
-	var refused *refusedError
+	var refused *responseError
 	return errors.As(err, &refused) && refused.definite
 }
 
@@ -133,8 +136,8 @@
 
 func objectPath(name string) string { return "/v1/objects/" + url.PathEscape(name) }
 
-// post sends query as JSON and decodes the answer. sent says whether a byte may
-// have left.
+// post sends query as JSON and decodes the response into answer. sent reports
+// whether any byte of the request may have been sent.
 func (h *HTTP) post(ctx context.Context, path string, query, answer any) (sent bool, err error) {
 	data, err := json.Marshal(query)
 	if err != nil {
@@ -150,7 +153,8 @@
 	return sent, nil
 }
 
-// call makes one HTTP call and returns the body of a success.
+// call makes one HTTP request and returns the body of a successful response. The
+// boolean reports whether any byte of the request may have been sent.
 func (h *HTTP) call(ctx context.Context, method, path, contentType string, data []byte) (bool, []byte, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -160,45 +164,45 @@
 	}
 	response, err := request.Execute(method, path)
 	if err != nil {
-		h.noteFailure(ctx)
+		h.recordFailure(ctx)
 		return connected.Load(), nil, api.NewError(api.KindStoreUnavailable, "%s %s: %v", method, path, err)
 	}
 	if response.IsSuccess() {
 		h.reachable.Store(true)
 		return true, response.Body(), nil
 	}
-	refused := refusalOf(response.StatusCode(), response.Body())
+	refused := errorOfResponse(response.StatusCode(), response.Body())
 	h.reachable.Store(api.KindOf(refused) != api.KindStoreUnavailable)
 	return true, nil, refused
 }
 
-// noteFailure marks the platform unreachable, unless the caller gave up itself.
-func (h *HTTP) noteFailure(ctx context.Context) {
+// recordFailure marks the platform unreachable unless the caller canceled ctx.
+func (h *HTTP) recordFailure(ctx context.Context) {
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		h.reachable.Store(false)
 	}
 }
 
-// refusedError is an answer of the platform that is not a success.
-type refusedError struct {
+// responseError is a response of the platform with a non-success status.
+type responseError struct {
 	status   int
 	definite bool
 	message  string
 }
 
 // Error implements error.
-func (e *refusedError) Error() string {
+func (e *responseError) Error() string {
 	return http.StatusText(e.status) + ": " + e.message
 }
 
-// refusalOf turns a refusal into an error of a kind. It is definite, that is
-// nothing was written, if the platform refused the call itself (4xx) or named
-// a kind. Any other answer may come from something in between.
-func refusalOf(status int, body []byte) error {
+// errorOfResponse converts a non-success response to an error with a kind. The
+// error is definite, meaning that nothing was written, if the status is 4xx or
+// the body has an error kind. Any other response may come from an intermediary.
+func errorOfResponse(status int, body []byte) error {
 	var parsed api.ErrorBody
 	named := json.Unmarshal(body, &parsed) == nil && parsed.Kind != ""
 	definite := named || (status >= http.StatusBadRequest && status < http.StatusInternalServerError)
-	refused := &refusedError{status: status, definite: definite, message: parsed.Message}
+	refused := &responseError{status: status, definite: definite, message: parsed.Message}
 	switch {
 	case status == http.StatusNotFound:
 		return withKind(api.KindNotFound, refused)
--- a/internal/platform/contract_test.go
+++ b/internal/platform/contract_test.go
@@ -16,16 +16,16 @@
 	"github.com/corianderbank/corianderbank/internal/standin"
 )
 
-// ports are the three interfaces of the platform under one contract.
+// ports combines the platform interfaces that the contract tests cover.
 type ports interface {
 	platform.Tables
 	platform.Objects
 	platform.InstanceLister
 }
 
-// contracts runs check against the fake and against the HTTP adapter that
-// speaks to a server over the fake.
-func contracts(t *testing.T, check func(t *testing.T, service *fake.Platform, port ports)) {
+// runContract runs check against the fake and against the HTTP client with a
+// server backed by the fake.
+func runContract(t *testing.T, check func(t *testing.T, service *fake.Platform, port ports)) {
 	t.Helper()
 	t.Run("fake", func(t *testing.T) {
 		service := fake.New()
@@ -41,11 +41,11 @@
 	})
 }
 
-// plainContracts is contracts without faults, and runs check against the HTTP
-// adapter that speaks to the stand-in platform too.
-func plainContracts(t *testing.T, check func(t *testing.T, service *fake.Platform, port ports)) {
+// runFaultFreeContract runs check as runContract does and also against the HTTP
+// client with the stand-in platform, which injects no faults: service is nil there.
+func runFaultFreeContract(t *testing.T, check func(t *testing.T, service *fake.Platform, port ports)) {
 	t.Helper()
-	contracts(t, check)
+	runContract(t, check)
 	t.Run("stand-in", func(t *testing.T) {
 		server := httptest.NewServer(standin.NewPlatform(standin.DefaultListTTL).Handler())
 		defer server.Close()
@@ -76,7 +76,7 @@
 
 func TestTablesContract(t *testing.T) {
 	cases := map[string]func(t *testing.T, service *fake.Platform, port ports){
-		"a row that is absent has version 0": func(t *testing.T, _ *fake.Platform, port ports) {
+		"an absent row has version 0": func(t *testing.T, _ *fake.Platform, port ports) {
 			assert.Equal(t, readOne(t, port, "a").Version, int64(0))
 		},
 		"an insertion is read back with its write id": func(t *testing.T, _ *fake.Platform, port ports) {
@@ -88,7 +88,7 @@
 			assert.Equal(t, row.WriteID, "w1")
 			assert.Equal(t, string(row.Value), `{"n":1}`)
 		},
-		"another version conflicts and names the present row": func(t *testing.T, _ *fake.Platform, port ports) {
+		"a version mismatch conflicts and returns the current row": func(t *testing.T, _ *fake.Platform, port ports) {
 			commit(t, port, put("w1", "a", 0, `1`))
 			result := commit(t, port, put("w2", "a", 0, `2`))
 			assert.Equal(t, result.State, platform.CommitNotDone)
@@ -97,7 +97,7 @@
 			assert.Equal(t, result.Conflicts[0].Ref, ref("a"))
 			assert.Equal(t, string(result.Conflicts[0].Value), `1`)
 		},
-		"a conflict in one operation undoes all of them": func(t *testing.T, _ *fake.Platform, port ports) {
+		"a conflict in one operation rejects the whole transaction": func(t *testing.T, _ *fake.Platform, port ports) {
 			commit(t, port, put("w1", "a", 0, `1`))
 			both := put("w2", "b", 0, `2`)
 			both.Ops = append(both.Ops, put("", "a", 0, `2`).Ops...)
@@ -111,7 +111,7 @@
 			assert.Equal(t, commit(t, port, put("w1", "a", 0, `1`)).State, platform.CommitDone)
 			assert.Equal(t, string(readOne(t, port, "a").Value), `2`)
 		},
-		"a deleted row never gets an old version back": func(t *testing.T, _ *fake.Platform, port ports) {
+		"a reinserted row gets a higher version than the deleted one": func(t *testing.T, _ *fake.Platform, port ports) {
 			commit(t, port, put("w1", "a", 0, `1`))
 			first := readOne(t, port, "a")
 			removal := api.Tx{WriteID: "w2", Ops: []api.Op{{Ref: ref("a"), IfVersion: first.Version, Delete: true}}}
@@ -126,7 +126,7 @@
 			assert.Equal(t, commit(t, port, check).State, platform.CommitDone)
 			assert.Equal(t, readOne(t, port, "a").Version, int64(0))
 		},
-		"a scan pages in the order of keys": func(t *testing.T, _ *fake.Platform, port ports) {
+		"a scan returns pages in key order": func(t *testing.T, _ *fake.Platform, port ports) {
 			for _, key := range []string{"p/2", "q/1", "p/1", "p/3"} {
 				commit(t, port, put("w"+key, key, 0, `1`))
 			}
@@ -143,25 +143,25 @@
 		},
 	}
 	for name, check := range cases {
-		t.Run(name, func(t *testing.T) { plainContracts(t, check) })
+		t.Run(name, func(t *testing.T) { runFaultFreeContract(t, check) })
 	}
 }
 
 func TestTablesContractUnderFaults(t *testing.T) {
 	cases := map[string]func(t *testing.T, service *fake.Platform, port ports){
-		"an answer lost after the write is unknown, and the write holds": func(t *testing.T, service *fake.Platform, port ports) {
+		"an answer lost after the write is unknown and the row is written": func(t *testing.T, service *fake.Platform, port ports) {
 			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LostAfter: true} })
 			assert.Equal(t, commit(t, port, put("w1", "a", 0, `1`)).State, platform.CommitUnknown)
 			service.SetFault(nil)
 			assert.Equal(t, readOne(t, port, "a").WriteID, "w1")
 		},
-		"an answer lost before the write is unknown, and nothing is written": func(t *testing.T, service *fake.Platform, port ports) {
+		"an answer lost before the write is unknown and nothing is written": func(t *testing.T, service *fake.Platform, port ports) {
 			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LostBefore: true} })
 			assert.Equal(t, commit(t, port, put("w1", "a", 0, `1`)).State, platform.CommitUnknown)
 			service.SetFault(nil)
 			assert.Equal(t, readOne(t, port, "a").Version, int64(0))
 		},
-		"a platform that is down is a definite failure": func(t *testing.T, service *fake.Platform, port ports) {
+		"an unreachable platform is a definite failure": func(t *testing.T, service *fake.Platform, port ports) {
 			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{Down: true} })
 			result := commit(t, port, put("w1", "a", 0, `1`))
 			assert.Equal(t, result.State, platform.CommitNotDone)
@@ -171,7 +171,7 @@
 			_, err = port.Scan(t.Context(), platform.PurposeOther, api.ScanQuery{Table: "t"})
 			assert.Assert(t, api.IsKind(err, api.KindStoreUnavailable))
 		},
-		"a context that has ended sends nothing": func(t *testing.T, _ *fake.Platform, port ports) {
+		"an ended context sends nothing": func(t *testing.T, _ *fake.Platform, port ports) {
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
 			assert.Equal(t, port.Commit(ctx, platform.PurposeOther, put("w1", "a", 0, `1`)).State, platform.CommitNotDone)
@@ -179,12 +179,12 @@
 		},
 	}
 	for name, check := range cases {
-		t.Run(name, func(t *testing.T) { contracts(t, check) })
+		t.Run(name, func(t *testing.T) { runContract(t, check) })
 	}
 }
 
 func TestObjectsContract(t *testing.T) {
-	plainContracts(t, func(t *testing.T, _ *fake.Platform, port ports) {
+	runFaultFreeContract(t, func(t *testing.T, _ *fake.Platform, port ports) {
 		_, err := port.Get(t.Context(), "a")
 		assert.Assert(t, api.IsKind(err, api.KindNotFound), "%v", err)
 		data := bytes.Repeat([]byte{0, 1, 255}, 1000)
@@ -196,7 +196,7 @@
 		assert.NilError(t, err)
 		assert.Assert(t, bytes.Equal(got, data))
 	})
-	contracts(t, func(t *testing.T, service *fake.Platform, port ports) {
+	runContract(t, func(t *testing.T, service *fake.Platform, port ports) {
 		service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{Down: true} })
 		_, err := port.Get(t.Context(), "a")
 		assert.Assert(t, api.IsKind(err, api.KindStoreUnavailable), "%v", err)
@@ -205,7 +205,7 @@
 }
 
 func TestInstanceListerContract(t *testing.T) {
-	contracts(t, func(t *testing.T, service *fake.Platform, port ports) {
+	runContract(t, func(t *testing.T, service *fake.Platform, port ports) {
 		list, err := port.List(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, len(list.Instances), 0)
@@ -230,7 +230,7 @@
 	assert.Assert(t, !client.Reachable())
 }
 
-func TestInstanceListerOfTheStandIn(t *testing.T) {
+func TestInstanceListerOfStandIn(t *testing.T) {
 	server := httptest.NewServer(standin.NewPlatform(standin.DefaultListTTL).Handler())
 	defer server.Close()
 	client := platform.NewHTTP(server.Listener.Addr().String())
--- a/internal/platform/group.go
+++ b/internal/platform/group.go
@@ -12,103 +12,107 @@
 	"github.com/corianderbank/corianderbank/internal/ring"
 )
 
-// The bounds of grouped writes.
+// Limits of grouped writes.
 const (
-	// groupWindow is how long the first transaction waits for company.
-	groupWindow = 3 * time.Millisecond
-	// maxGroupOps bounds the operations of one group.
+	// groupDelay is how long the first transaction of a group waits for others.
+	groupDelay = 3 * time.Millisecond
+	// maxGroupOps limits the operations of one group.
 	maxGroupOps = 100
-	// maxGroupsInFlight bounds the groups on their way. While all are, the
-	// next group grows, so that a slow store gets fewer and larger commits.
-	// More than two only wait for the budget in each other's way; one alone
-	// would let a lost answer hold up everybody while it is read back.
+	// maxGroupsInFlight limits the groups being committed. While the limit is
+	// reached the next group grows, so that a slow store gets fewer and larger
+	// commits. More than two would only compete for the budget; with one, a lost
+	// answer would block all other transactions while it is resolved.
 	maxGroupsInFlight = 2
-	// groupTimeout bounds a group's commit with its read-back.
+	// groupTimeout limits a group's commit, including the resolution of lost
+	// answers.
 	groupTimeout = 6 * time.Second
-	// groupQueue bounds the waiting transactions; a full queue refuses.
-	groupQueue = 4096
+	// groupQueueSize limits the queued transactions. A full queue rejects new ones.
+	groupQueueSize = 4096
 )
 
-// The states of a queued transaction.
+// States of a queued transaction.
 const (
-	entryQueued int32 = iota
-	entrySent
-	entryWithdrawn
+	txQueued int32 = iota
+	txSent
+	txWithdrawn
 )
 
-// entry is one transaction on its way into a group.
-type entry struct {
+// queuedTx is a transaction that waits to be committed as part of a group.
+type queuedTx struct {
 	purpose Purpose
 	tx      api.Tx
 	state   atomic.Int32
 	result  chan CommitResult // capacity 1
 }
 
-// Grouping commits the transactions of a few milliseconds together. When some
-// of a group conflict, they get their conflict, and the others are committed
-// without them. Leases and the configuration go alone and at once.
-type Grouping struct {
+// GroupingTables commits transactions that arrive within a few milliseconds as one.
+// If some transactions of a group conflict, they get their conflicts and the others
+// are committed without them. Lease and configuration writes are not grouped and
+// not delayed.
+type GroupingTables struct {
 	Tables
-	queue *ring.Refusing[*entry]
-	pool  pond.Pool
-	slots chan struct{} // one token for each group that may be in flight
-	stop  chan struct{}
-	done  sync.WaitGroup
+	queue     *ring.Refusing[*queuedTx]
+	pool      pond.Pool
+	slots     chan struct{} // holds one token per group in flight
+	stop      chan struct{}
+	collector sync.WaitGroup
 
 	groups  atomic.Int64
 	grouped atomic.Int64
 }
 
-// NewGrouping returns tables whose Commit groups. Close ends its duty.
-func NewGrouping(tables Tables) *Grouping {
-	g := &Grouping{
+// NewGroupingTables returns tables whose Commit groups transactions. Close stops
+// its background goroutine.
+func NewGroupingTables(tables Tables) *GroupingTables {
+	g := &GroupingTables{
 		Tables: tables,
-		queue:  ring.NewRefusing[*entry](groupQueue),
+		queue:  ring.NewRefusing[*queuedTx](groupQueueSize),
 		pool:   pond.NewPool(maxGroupsInFlight),
 		slots:  make(chan struct{}, maxGroupsInFlight),
 		stop:   make(chan struct{}),
 	}
-	g.done.Go(g.collect)
+	g.collector.Go(g.collect)
 	return g
 }
 
-// Close refuses what is queued and waits for the groups in flight: it takes all
-// their slots for good. The pool's workers end by themselves when idle.
-func (g *Grouping) Close() {
+// Close rejects queued transactions and waits for the groups in flight by taking
+// all slots, which it does not release. The pool's goroutines end when idle.
+func (g *GroupingTables) Close() {
 	close(g.stop)
-	g.done.Wait()
+	g.collector.Wait()
 	for range maxGroupsInFlight {
 		g.slots <- struct{}{}
 	}
 }
 
-// Commit implements Tables. A caller that gives up gets CommitNotDone if its
-// transaction had not left, else CommitUnknown.
-func (g *Grouping) Commit(ctx context.Context, purpose Purpose, tx api.Tx) CommitResult {
+// Commit implements Tables. If ctx ends first, the result is CommitNotDone if the
+// transaction was not sent yet, and CommitUnknown otherwise.
+func (g *GroupingTables) Commit(ctx context.Context, purpose Purpose, tx api.Tx) CommitResult {
 	if purpose <= PurposeConfig {
 		return g.Tables.Commit(ctx, purpose, tx)
 	}
-	waiting := &entry{purpose: purpose, tx: tx, result: make(chan CommitResult, 1)}
-	if !g.queue.Offer(waiting) {
+	queued := &queuedTx{purpose: purpose, tx: tx, result: make(chan CommitResult, 1)}
+	if !g.queue.Offer(queued) {
 		return notSent("the queue of writes is full")
 	}
 	select {
-	case result := <-waiting.result:
+	case result := <-queued.result:
 		return result
 	case <-ctx.Done():
-		return waiting.withdraw("the caller gave up")
+		return queued.withdraw("the caller gave up")
 	case <-g.stop:
-		return waiting.withdraw("the instance stops")
+		return queued.withdraw("the instance stops")
 	}
 }
 
-// withdraw ends the wait of a transaction.
-func (e *entry) withdraw(reason string) CommitResult {
-	if e.state.CompareAndSwap(entryQueued, entryWithdrawn) {
+// withdraw returns the result of a transaction whose caller no longer waits: not
+// done if it was still queued, its result if it has one, and unknown otherwise.
+func (q *queuedTx) withdraw(reason string) CommitResult {
+	if q.state.CompareAndSwap(txQueued, txWithdrawn) {
 		return notSent(reason)
 	}
 	select {
-	case result := <-e.result:
+	case result := <-q.result:
 		return result
 	default:
 		return CommitResult{State: CommitUnknown, Err: api.NewError(api.KindStoreUnavailable, "%s", reason)}
@@ -119,12 +123,12 @@
 	return CommitResult{State: CommitNotDone, Err: api.NewError(api.KindStoreUnavailable, "%s", reason)}
 }
 
-// collect is the duty that forms groups and hands them on.
-func (g *Grouping) collect() {
+// collect forms groups and sends them until Close.
+func (g *GroupingTables) collect() {
 	var group *group
 	for {
 		if group == nil {
-			group = g.first()
+			group = g.nextGroup()
 		}
 		if group == nil {
 			return
@@ -138,27 +142,29 @@
 	}
 }
 
-// first waits for the transaction that begins a group; nil means stop.
-func (g *Grouping) first() *group {
+// nextGroup waits for a transaction and returns a group with it, or nil after
+// Close.
+func (g *GroupingTables) nextGroup() *group {
 	select {
-	case waiting := <-g.queue.C():
-		return newGroup(waiting)
+	case queued := <-g.queue.C():
+		return newGroup(queued)
 	case <-g.stop:
 		return nil
 	}
 }
 
-// fill adds transactions until the window is over and a slot is free. It
-// returns the group begun by a transaction that does not fit, if there is one.
-func (g *Grouping) fill(open *group) (next *group, ok bool) {
-	timer := time.NewTimer(groupWindow)
+// fill adds transactions to current until the delay has passed and a slot is free.
+// If a transaction does not fit, fill returns a new group with it as next. ok is
+// false after Close.
+func (g *GroupingTables) fill(current *group) (next *group, ok bool) {
+	timer := time.NewTimer(groupDelay)
 	defer timer.Stop()
 	queue, slots := g.queue.C(), (chan struct{})(nil)
 	for {
 		select {
-		case waiting := <-queue:
-			if !open.add(waiting) {
-				next, queue, slots = newGroup(waiting), nil, g.slots
+		case queued := <-queue:
+			if !current.tryAppend(queued) {
+				next, queue, slots = newGroup(queued), nil, g.slots
 			}
 		case <-timer.C:
 			slots = g.slots
@@ -170,95 +176,96 @@
 	}
 }
 
-// send commits the group in the pool; the slot is held until it is done.
-func (g *Grouping) send(full *group) {
+// send commits the group in the pool and releases its slot when done.
+func (g *GroupingTables) send(current *group) {
 	g.pool.Submit(func() {
 		defer func() { <-g.slots }()
 		ctx, cancel := context.WithTimeout(context.Background(), groupTimeout)
 		defer cancel()
-		for rest := full.sent(); len(rest.entries) > 0; {
+		for rest := current.markSent(); len(rest.members) > 0; {
 			g.groups.Add(1)
-			g.grouped.Add(int64(len(rest.entries)))
+			g.grouped.Add(int64(len(rest.members)))
 			result := g.Tables.Commit(ctx, rest.purpose, rest.tx())
-			rest = rest.answer(result)
+			rest = rest.deliver(result)
 		}
 	})
 }
 
-// group is a set of transactions without a common row.
+// group is a set of transactions that have no row in common.
 type group struct {
 	purpose Purpose
-	entries []*entry
+	members []*queuedTx
 	refs    map[api.Ref]bool
 }
 
-func newGroup(first *entry) *group {
+func newGroup(first *queuedTx) *group {
 	g := &group{purpose: first.purpose, refs: make(map[api.Ref]bool)}
-	g.put(first)
+	g.appendTx(first)
 	return g
 }
 
-func (g *group) put(e *entry) {
-	g.entries = append(g.entries, e)
-	g.purpose = min(g.purpose, e.purpose)
-	for _, op := range e.tx.Ops {
+func (g *group) appendTx(q *queuedTx) {
+	g.members = append(g.members, q)
+	g.purpose = min(g.purpose, q.purpose)
+	for _, op := range q.tx.Ops {
 		g.refs[op.Ref] = true
 	}
 }
 
-// add puts e into the group, or reports that it does not fit.
-func (g *group) add(e *entry) bool {
-	if len(g.refs)+len(e.tx.Ops) > maxGroupOps {
+// tryAppend adds q to the group. It returns false if q does not fit.
+func (g *group) tryAppend(q *queuedTx) bool {
+	if len(g.refs)+len(q.tx.Ops) > maxGroupOps {
 		return false
 	}
-	for _, op := range e.tx.Ops {
+	for _, op := range q.tx.Ops {
 		if g.refs[op.Ref] {
 			return false
 		}
 	}
-	g.put(e)
+	g.appendTx(q)
 	return true
 }
 
-// sent returns the group without the transactions that were withdrawn.
-func (g *group) sent() *group {
+// markSent marks the queued transactions as sent and returns a group of them,
+// without those that were withdrawn.
+func (g *group) markSent() *group {
 	rest := &group{purpose: g.purpose}
-	for _, e := range g.entries {
-		if e.state.CompareAndSwap(entryQueued, entrySent) {
-			rest.entries = append(rest.entries, e)
+	for _, q := range g.members {
+		if q.state.CompareAndSwap(txQueued, txSent) {
+			rest.members = append(rest.members, q)
 		}
 	}
 	return rest
 }
 
-// tx returns the group's transaction. A group of one keeps its write id.
+// tx returns the merged transaction. A group of one keeps its write id.
 func (g *group) tx() api.Tx {
-	if len(g.entries) == 1 {
-		return g.entries[0].tx
+	if len(g.members) == 1 {
+		return g.members[0].tx
 	}
 	merged := api.Tx{WriteID: NewWriteID()}
-	for _, e := range g.entries {
-		merged.Ops = append(merged.Ops, e.tx.Ops...)
+	for _, q := range g.members {
+		merged.Ops = append(merged.Ops, q.tx.Ops...)
 	}
 	return merged
 }
 
-// answer gives each transaction its part of the result. It returns those that
-// did not conflict themselves while others did: they are still to be committed.
-func (g *group) answer(result CommitResult) *group {
+// deliver sends each transaction its part of the result. If some transactions
+// conflicted, it returns a group of the others, which are still to be committed.
+func (g *group) deliver(result CommitResult) *group {
 	rest := &group{purpose: g.purpose}
 	conflicts := make(map[api.Ref]api.Row, len(result.Conflicts))
 	for _, row := range result.Conflicts {
 		conflicts[row.Ref] = row
 	}
-	for _, e := range g.entries {
+	for _, q := range g.members {
 		own := result
-		own.Conflicts = conflictsOf(e.tx, conflicts)
+		own.Conflicts = conflictsOf(q.tx, conflicts)
 		if len(conflicts) > 0 && len(own.Conflicts) == 0 {
-			rest.entries = append(rest.entries, e)
+			rest.members = append(rest.members, q)
 			continue
 		}
-		e.result <- own
+		q.result <- own
 	}
 	return rest
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -11,30 +11,31 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// Stack is Tables with everything between a caller and one attempt at the
-// store: grouped writes, read-back of lost answers, the store budget and the
-// breaker, in this order from the caller. The breaker is asked first as well, so
-// that an outage costs callers neither the budget's wait nor the group's.
+// Stack implements Tables by layering, from the caller inwards, grouped writes,
+// resolution of lost answers, the store budget and the circuit breaker over a
+// client that makes one attempt per call. Stack checks the breaker before the
+// other layers as well, so that during an outage callers wait neither for the
+// budget nor for a group.
 type Stack struct {
 	Tables
-	grouping *Grouping
-	budget   *Budgeted
+	grouping *GroupingTables
+	budget   *BudgetedTables
 	breaker  *Breaker
 	metrics  *metrics.Set
 }
 
-// NewStack returns a stack over tables, whose Commit makes one attempt. Close
-// ends its duties.
+// NewStack returns a stack over tables, whose Commit must make a single attempt.
+// Close stops its background goroutines.
 func NewStack(tables Tables) *Stack {
 	s := &Stack{breaker: NewBreaker(tables), metrics: metrics.NewSet()}
-	s.budget = NewBudgeted(s.breaker)
-	s.grouping = NewGrouping(NewResolving(s.budget))
+	s.budget = NewBudgetedTables(s.breaker)
+	s.grouping = NewGroupingTables(NewResolving(s.budget))
 	s.Tables = s.grouping
 	s.register()
 	return s
 }
 
-// Commit implements Tables. What the breaker refuses waits for nothing.
+// Commit implements Tables. Calls that the breaker rejects fail immediately.
 func (s *Stack) Commit(ctx context.Context, purpose Purpose, tx api.Tx) CommitResult {
 	if err := s.breaker.allow(purpose); err != nil {
 		return CommitResult{State: CommitNotDone, Err: err}
@@ -42,7 +43,7 @@
 	return s.Tables.Commit(ctx, purpose, tx)
 }
 
-// Read implements Tables. What the breaker refuses waits for nothing.
+// Read implements Tables. Calls that the breaker rejects fail immediately.
 func (s *Stack) Read(ctx context.Context, purpose Purpose, refs ...api.Ref) (api.Rows, error) {
 	if err := s.breaker.allow(purpose); err != nil {
 		return api.Rows{}, err
@@ -50,16 +51,17 @@
 	return s.Tables.Read(ctx, purpose, refs...)
 }
 
-// Reachable reports whether the store answers, as far as this instance knows.
+// Reachable reports whether the breaker is closed, that is, whether this instance
+// considers the store reachable.
 func (s *Stack) Reachable() bool { return s.breaker.Reachable() }
 
-// SetInstances says how many instances share the store.
+// SetInstances sets the number of instances that share the store budget.
 func (s *Stack) SetInstances(instances int) { s.budget.SetInstances(instances) }
 
-// WriteMetrics writes the metrics of the store's use in Prometheus' format.
+// WriteMetrics writes the store metrics in the Prometheus text format.
 func (s *Stack) WriteMetrics(w io.Writer) { s.metrics.WritePrometheus(w) }
 
-// Close refuses what is queued and ends the duties.
+// Close rejects queued transactions and stops the background goroutines.
 func (s *Stack) Close() {
 	s.grouping.Close()
 	s.breaker.Close()
@@ -69,10 +71,10 @@
 	gauge := func(name string, value func() int64) {
 		s.metrics.NewGauge(name, func() float64 { return float64(value()) })
 	}
-	for kind, share := range map[string]*bucket{"write": s.budget.writes, "read": s.budget.reads} {
-		gauge(fmt.Sprintf(`corianderbank_store_calls_total{kind=%q}`, kind), share.taken.Load)
-		gauge(fmt.Sprintf(`corianderbank_store_budget_refused_total{kind=%q}`, kind), share.refused.Load)
-		gauge(fmt.Sprintf(`corianderbank_store_budget_waiting{kind=%q}`, kind), share.waiting.Load)
+	for kind, b := range map[string]*bucket{"write": s.budget.writes, "read": s.budget.reads} {
+		gauge(fmt.Sprintf(`corianderbank_store_calls_total{kind=%q}`, kind), b.taken.Load)
+		gauge(fmt.Sprintf(`corianderbank_store_budget_refused_total{kind=%q}`, kind), b.refused.Load)
+		gauge(fmt.Sprintf(`corianderbank_store_budget_waiting{kind=%q}`, kind), b.waiting.Load)
 	}
 	gauge("corianderbank_store_groups_total", s.grouping.groups.Load)
 	gauge("corianderbank_store_grouped_transactions_total", s.grouping.grouped.Load)
@@ -86,7 +88,8 @@
 	})
 }
 
-// Client is an instance's way to the platform. It is safe for concurrent use.
+// Client gives an instance access to the platform's services. It is safe for
+// concurrent use.
 type Client struct {
 	*Stack
 	Objects
@@ -94,9 +97,9 @@
 	http *HTTP
 }
 
-// NewClient returns a client of the platform at addr, an IP number and port.
-// Its metrics are among those of the process. Close ends its duties and
-// connections.
+// NewClient returns a client of the platform at addr, an IP address and port.
+// Its metrics are registered with those of the process. Close unregisters them,
+// stops the background goroutines and closes idle connections.
 func NewClient(addr string) *Client {
 	adapter := NewHTTP(addr)
 	client := &Client{Stack: NewStack(adapter), Objects: adapter, InstanceLister: adapter, http: adapter}
@@ -104,19 +107,20 @@
 	return client
 }
 
-// Close ends the duties and closes the connections to the platform.
+// Close unregisters the metrics, stops the background goroutines and closes the
+// idle connections to the platform.
 func (c *Client) Close() {
 	metrics.UnregisterSet(c.metrics, true)
 	c.Stack.Close()
 	c.http.Close()
 }
 
-// NewWriteID returns an id for one transaction.
+// NewWriteID returns a random id that identifies one transaction.
 func NewWriteID() string { return rand.Text() }
 
-// ErrorOf returns the error of a commit that did not take effect: nil for
-// CommitDone, KindConflict for a plain conflict, KindStoreUnavailable if it
-// never reached the store, KindResultUnknown for CommitUnknown.
+// ErrorOf converts a commit result to an error: nil for CommitDone, KindConflict
+// for a version conflict, KindStoreUnavailable if the transaction never reached
+// the store, and KindResultUnknown for CommitUnknown.
 func ErrorOf(result CommitResult) error {
 	switch {
 	case result.State == CommitDone:
--- a/internal/platform/ports.go
+++ b/internal/platform/ports.go
@@ -1,5 +1,5 @@
-// Package platform holds the ports to the platform's services (tables,
-// objects, instance list) and their HTTP adapters.
+// Package platform defines interfaces to the platform's services (tables,
+// objects, instance list) and implements them over HTTP.
 package platform
 
 import (
@@ -9,35 +9,38 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// CommitState says what is known of a transaction.
+// CommitState is the known outcome of a transaction.
 type CommitState int
 
-// The three results of a transaction.
+// Outcomes of a transaction.
 const (
-	// CommitDone means that it took effect.
+	// CommitDone means that the transaction took effect.
 	CommitDone CommitState = iota + 1
-	// CommitNotDone means that it did not and will not take effect.
+	// CommitNotDone means that the transaction did not and will not take effect.
 	CommitNotDone
-	// CommitUnknown means that it may have taken effect or may yet do so.
+	// CommitUnknown means that the transaction may have taken effect or may still
+	// do so.
 	CommitUnknown
 )
 
 // CommitResult is the result of a transaction.
 type CommitResult struct {
 	State CommitState
-	// Conflicts lists the rows whose version differed, for CommitNotDone.
+	// Conflicts lists the current rows whose versions did not match, for
+	// CommitNotDone.
 	Conflicts []api.Row
-	// Now is the store's clock; zero for CommitUnknown.
+	// Now is the store's time; zero for CommitUnknown.
 	Now time.Time
-	// Err is the cause of CommitUnknown, or of a CommitNotDone that never
-	// reached the store. Nil for a plain conflict.
+	// Err is the cause of CommitUnknown, or of CommitNotDone if the transaction
+	// never reached the store. It is nil for a version conflict.
 	Err error
 }
 
-// Purpose names who spends the store's budget. A lower value goes first.
+// Purpose classifies a store call for the store budget. Lower values take
+// precedence.
 type Purpose int
 
-// The purposes, in order of precedence.
+// Purposes in order of precedence, highest first.
 const (
 	PurposeLease Purpose = iota
 	PurposeConfig
@@ -48,25 +51,27 @@
 )
 
 // Tables is the transactional table service. Implementations are safe for
-// concurrent use. Every error carries a kind of package api.
+// concurrent use. Every error has an api.Kind.
 type Tables interface {
-	// Commit applies all operations of tx, or none.
+	// Commit applies all operations of tx or none.
 	Commit(ctx context.Context, purpose Purpose, tx api.Tx) CommitResult
-	// Read returns one row for each ref, in order; Version 0 where none is.
+	// Read returns one row per ref, in the same order. Rows that do not exist have
+	// version 0.
 	Read(ctx context.Context, purpose Purpose, refs ...api.Ref) (api.Rows, error)
-	// Scan returns a page of rows in the order of their keys.
+	// Scan returns a page of rows in key order.
 	Scan(ctx context.Context, purpose Purpose, query api.ScanQuery) (api.Rows, error)
 }
 
 // Objects is the object store. Objects are immutable: putting the same bytes
-// under a name again succeeds, other bytes are a KindConflict.
+// under an existing name succeeds, putting other bytes fails with KindConflict.
 type Objects interface {
 	Put(ctx context.Context, name string, data []byte) error
-	// Get returns KindNotFound if there is no such object.
+	// Get fails with KindNotFound if there is no such object.
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
-// InstanceLister reads the platform's instance list, which lags.
+// InstanceLister reads the platform's instance list, which lags behind the
+// actual state.
 type InstanceLister interface {
 	List(ctx context.Context) (api.InstanceList, error)
 }
--- a/internal/platform/resolve.go
+++ b/internal/platform/resolve.go
@@ -9,57 +9,57 @@
 	"github.com/corianderbank/corianderbank/internal/backoff"
 )
 
-// The bounds of the attempts to learn what became of an unanswered commit.
+// Limits of the attempts to resolve an unanswered commit.
 const (
-	resolveAttempts = 6
-	resolveFirst    = 20 * time.Millisecond
-	resolveMost     = time.Second
+	resolveAttempts  = 6
+	resolveBaseDelay = 20 * time.Millisecond
+	resolveMaxDelay  = time.Second
 )
 
-// Resolving settles commits whose answer was lost by repeating them under the
-// same write id. The store applies an id once, so the repeat is the read-back
-// and the fence in one: either it takes effect now (and the delayed original
-// is void), or it is told that the original did, or it conflicts. A conflict
-// is final, because versions only rise: the expected version cannot come back.
-// The one exception is a deleted row, which an insert would match again; so a
-// row whose insertion carries a right (claims, jobs, leases, the configuration
-// head) is never deleted.
+// Resolving resolves commits whose answer was lost by repeating them with the
+// same write id. The store applies each id at most once, so the repeat both reads
+// back the result and fences the original: it takes effect now (and a delayed
+// original no longer can), it returns that the original took effect, or it
+// conflicts. A conflict is final because versions only increase: the expected
+// version cannot reappear. The exception is a deleted row, which an insert would
+// match again. Rows whose insertion grants a right (claims, jobs, leases, the
+// configuration head) are therefore never deleted.
 type Resolving struct {
 	Tables
 }
 
-// NewResolving returns tables whose Commit is CommitUnknown only if the store
-// stays silent until the context or the attempts end.
+// NewResolving returns tables whose Commit returns CommitUnknown only if the
+// store does not answer before the context ends or the attempts are used up.
 func NewResolving(tables Tables) *Resolving { return &Resolving{Tables: tables} }
 
 // Commit implements Tables.
 func (r *Resolving) Commit(ctx context.Context, purpose Purpose, tx api.Tx) CommitResult {
 	result := r.Tables.Commit(ctx, purpose, tx)
-	retry := backoff.Backoff{Base: resolveFirst, Max: resolveMost}
+	retry := backoff.Backoff{Base: resolveBaseDelay, Max: resolveMaxDelay}
 	for attempt := 1; result.State == CommitUnknown && attempt < resolveAttempts; attempt++ {
-		if !pause(ctx, retry.Failed(rand.Float64())) {
+		if !sleep(ctx, retry.Failed(rand.Float64())) {
 			return result
 		}
-		result = resolved(result, r.Tables.Commit(ctx, purpose, tx), tx.WriteID)
+		result = mergeRepeat(result, r.Tables.Commit(ctx, purpose, tx), tx.WriteID)
 	}
 	return result
 }
 
-// resolved combines an unknown result with that of the repeat.
-func resolved(unknown, repeat CommitResult, writeID string) CommitResult {
+// mergeRepeat combines an unknown result with the result of the repeat.
+func mergeRepeat(unknown, repeat CommitResult, writeID string) CommitResult {
 	switch {
 	case repeat.State == CommitDone:
 		return repeat
 	case repeat.State == CommitNotDone && repeat.Err == nil:
-		return unlessWritten(repeat, writeID)
+		return doneIfOwnWrite(repeat, writeID)
 	default:
 		return unknown
 	}
 }
 
-// unlessWritten turns a conflict into a success if a conflicting row was
+// doneIfOwnWrite converts a conflict to CommitDone if a conflicting row was
 // written by the transaction itself.
-func unlessWritten(conflict CommitResult, writeID string) CommitResult {
+func doneIfOwnWrite(conflict CommitResult, writeID string) CommitResult {
 	for _, row := range conflict.Conflicts {
 		if row.WriteID == writeID {
 			return CommitResult{State: CommitDone, Now: conflict.Now}
@@ -68,8 +68,8 @@
 	return conflict
 }
 
-// pause waits for d and reports whether ctx is still live.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/platform/stack_test.go
+++ b/internal/platform/stack_test.go
@@ -16,8 +16,8 @@
 	"github.com/corianderbank/corianderbank/internal/platform/fake"
 )
 
-// first returns a choice of faults that plays fault for the first n commits.
-func first(n int, fault fake.Fault) func(fake.Call) fake.Fault {
+// faultFirst returns a fault function that injects fault into the first n commits.
+func faultFirst(n int, fault fake.Fault) func(fake.Call) fake.Fault {
 	return func(call fake.Call) fake.Fault {
 		if call.Op != "commit" || n == 0 {
 			return fake.Fault{}
@@ -33,14 +33,14 @@
 		occupied bool
 		want     platform.CommitState
 	}{
-		"lost before the write: the repeat writes":       {first(1, fake.Fault{LostBefore: true}), false, platform.CommitDone},
-		"lost after the write: the repeat learns of it":  {first(1, fake.Fault{LostAfter: true}), false, platform.CommitDone},
-		"lost twice after the write":                     {first(2, fake.Fault{LostAfter: true}), false, platform.CommitDone},
-		"a delayed write: the repeat overtakes it":       {first(1, fake.Fault{AppliesAfter: time.Minute}), false, platform.CommitDone},
-		"a conflict after a lost answer is not done":     {first(1, fake.Fault{LostBefore: true}), true, platform.CommitNotDone},
-		"lost without end: unknown":                      {first(1000, fake.Fault{LostBefore: true}), false, platform.CommitUnknown},
-		"down from the start: not done":                  {first(1000, fake.Fault{Down: true}), false, platform.CommitNotDone},
-		"lost, then down: unknown, for it may have been": {lostThenDown(), false, platform.CommitUnknown},
+		"lost before the write: the repeat writes":     {faultFirst(1, fake.Fault{LostBefore: true}), false, platform.CommitDone},
+		"lost after the write: the repeat reads back":  {faultFirst(1, fake.Fault{LostAfter: true}), false, platform.CommitDone},
+		"lost twice after the write":                   {faultFirst(2, fake.Fault{LostAfter: true}), false, platform.CommitDone},
+		"a delayed write: the repeat is applied first": {faultFirst(1, fake.Fault{AppliesAfter: time.Minute}), false, platform.CommitDone},
+		"a conflict after a lost answer is not done":   {faultFirst(1, fake.Fault{LostBefore: true}), true, platform.CommitNotDone},
+		"always lost: unknown":                         {faultFirst(1000, fake.Fault{LostBefore: true}), false, platform.CommitUnknown},
+		"down from the start: not done":                {faultFirst(1000, fake.Fault{Down: true}), false, platform.CommitNotDone},
+		"lost, then down: unknown, may be written":     {lostThenDown(), false, platform.CommitUnknown},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -79,15 +79,16 @@
 	}
 }
 
-// TestReadBackFromAStoreThatForgets has a store that keeps no write ids: the
-// row itself tells who wrote it, for single and for grouped transactions.
-func TestReadBackFromAStoreThatForgets(t *testing.T) {
+// TestReadBackFromAStoreWithoutWriteIDs uses a store that keeps no write ids. A lost
+// answer must be resolved by the write id of the row, for single and for grouped
+// transactions.
+func TestReadBackFromAStoreWithoutWriteIDs(t *testing.T) {
 	for name, transactions := range map[string]int{"alone": 1, "in a group": 5} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := fake.New()
 				service.SetForgetful(true)
-				service.SetFault(first(1, fake.Fault{LostAfter: true}))
+				service.SetFault(faultFirst(1, fake.Fault{LostAfter: true}))
 				stack := platform.NewStack(service)
 				defer stack.Close()
 				states := make([]platform.CommitState, transactions)
@@ -107,7 +108,7 @@
 	}
 }
 
-func TestGroupedWritesSpareTheStoreAndStrangers(t *testing.T) {
+func TestGroupedWritesIsolateConflicts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := fake.New()
 		service.Commit(t.Context(), platform.PurposeClaim, put("taken", "k7", 0, `0`))
@@ -134,15 +135,15 @@
 	})
 }
 
-func TestBudgetKeepsOrderOfPurposes(t *testing.T) {
+func TestBudgetServesPurposesByPrecedence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := fake.New()
-		budget := platform.NewBudgeted(service)
+		budget := platform.NewBudgetedTables(service)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		var flood sync.WaitGroup
+		var submissions sync.WaitGroup
 		for i := range 50 {
-			flood.Go(func() {
+			submissions.Go(func() {
 				for n := 0; ctx.Err() == nil; n++ {
 					time.Sleep(time.Millisecond)
 					budget.Commit(ctx, platform.PurposeSubmission, put(fmt.Sprintf("f%d-%d", i, n), fmt.Sprintf("f%d", i), 0, `1`))
@@ -154,11 +155,11 @@
 			began := time.Now()
 			result := budget.Commit(ctx, platform.PurposeLease, put(fmt.Sprintf("l%d", i), fmt.Sprintf("l%d", i), 0, `1`))
 			assert.Equal(t, result.State, platform.CommitDone)
-			assert.Assert(t, time.Since(began) == 0, "a lease waited %v behind submissions", time.Since(began))
+			assert.Assert(t, time.Since(began) == 0, "a lease write waited %v behind submissions", time.Since(began))
 		}
-		flood.Wait()
-		most := 11 * platform.StoreWrites / 8
-		assert.Assert(t, service.Calls("commit") <= most, "%d commits, at most %d", service.Calls("commit"), most)
+		submissions.Wait()
+		limit := 11 * platform.StoreWrites / 8
+		assert.Assert(t, service.Calls("commit") <= limit, "%d commits, at most %d", service.Calls("commit"), limit)
 	})
 }
 
@@ -168,7 +169,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := fake.New()
-				budget := platform.NewBudgeted(service)
+				budget := platform.NewBudgetedTables(service)
 				budget.SetInstances(instances)
 				ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 				defer cancel()
@@ -184,7 +185,7 @@
 	}
 }
 
-func TestOutageIsRefusedAtOnceAndReturnIsSpread(t *testing.T) {
+func TestBreakerFailsFastAndSpreadsProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := fake.New()
 		stacks := make([]*platform.Stack, 8)
@@ -216,7 +217,7 @@
 	})
 }
 
-func TestStackMetricsNameTheUse(t *testing.T) {
+func TestStackMetricsCountStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stack := platform.NewStack(fake.New())
 		defer stack.Close()
@@ -228,8 +229,8 @@
 	})
 }
 
-// TestStackUnderRandomFaults checks that no result of the stack is a lie: done
-// is in the table, not done never appears there, under any mix of faults.
+// TestStackUnderRandomFaults checks under random faults that transactions reported
+// as done are in the table and that those reported as not done never appear there.
 func TestStackUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
@@ -259,16 +260,16 @@
 				written[string(readOne(t, service, fmt.Sprintf("k%d", i)).Value)] = true
 			}
 			for i, state := range states {
-				here := written[fmt.Sprint(i)]
-				assert.Assert(t, state != platform.CommitDone || here, "seed %d: %d was done and is not there", seed, i)
-				assert.Assert(t, state != platform.CommitNotDone || !here, "seed %d: %d was not done and is there", seed, i)
+				present := written[fmt.Sprint(i)]
+				assert.Assert(t, state != platform.CommitDone || present, "seed %d: transaction %d was done but is absent", seed, i)
+				assert.Assert(t, state != platform.CommitNotDone || !present, "seed %d: transaction %d was not done but is present", seed, i)
 			}
 		})
 	}
 }
 
-// TestReturnAfterOutageStaysInsideTheBudget has eight instances with much to
-// write when the store comes back, and counts what reaches it each second.
+// TestReturnAfterOutageStaysInsideTheBudget has eight instances with many pending
+// writes when the store recovers, and counts the commits that reach it each second.
 func TestReturnAfterOutageStaysInsideTheBudget(t *testing.T) {
 	const writers = 60
 	synctest.Test(t, func(t *testing.T) {
