--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -1,5 +1,5 @@
-// Package backend sends requests to backend servers and accepts only whole
-// answers to the very request that was sent.
+// Package backend sends requests to backend servers. It accepts only whole
+// answers, that is complete ones that carry the id of the request sent.
 package backend
 
 import (
@@ -16,23 +16,26 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// dialTimeout bounds a connection attempt, to another availability zone as well.
+// dialTimeout bounds a connection attempt, including one to another
+// availability zone.
 const dialTimeout = time.Second
 
-// maxAnswerBytes bounds a backend server's answer.
+// maxAnswerBytes bounds the size of a backend server's answer.
 const maxAnswerBytes = 8 << 20
 
-// Observer is told what a backend server says of itself with each answer.
+// Observer receives the state that a backend server reports with each answer:
+// its id, its incarnation and whether it is leaving.
 type Observer func(id string, incarnation int64, leaving bool)
 
-// Client is safe for concurrent use.
+// Client calls backend servers over HTTP. It is safe for concurrent use.
 type Client struct {
 	client  *resty.Client
 	observe Observer
 }
 
-// NewClient returns a client that opens at most connections to each server. It
-// follows no redirect: a second dispatch may be a second run.
+// NewClient returns a client that opens at most the given number of connections
+// to each server. It does not follow redirects, because a redirected request
+// could run twice.
 func NewClient(connections int, observe Observer) *Client {
 	transport := &http.Transport{
 		MaxConnsPerHost:     connections,
@@ -61,10 +64,10 @@
 	if answer.ID != call.ID || response.Header().Get(api.HeaderRequestID) != call.ID {
 		return answer, api.NewError(api.KindAnswerNotWhole, "backend server %s answered request %q", server.ID, answer.ID)
 	}
-	return answer, verdict(server, response.StatusCode(), answer)
+	return answer, answerError(server, response.StatusCode(), answer)
 }
 
-func verdict(server model.BackendServer, status int, answer api.ExecuteAnswer) error {
+func answerError(server model.BackendServer, status int, answer api.ExecuteAnswer) error {
 	switch {
 	case answer.NotRun:
 		return api.NewError(api.KindNoBackendServer, "backend server %s did not run it: %s", server.ID, answer.Message)
@@ -74,10 +77,11 @@
 	return nil
 }
 
-// transportError tells a call that never left from one that may have arrived.
+// transportError distinguishes a call that was never sent, because the dial
+// failed, from one that may have reached the server.
 func transportError(ctx context.Context, server model.BackendServer, err error) error {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+	var opError *net.OpError
+	if errors.As(err, &opError) && opError.Op == "dial" {
 		return api.NewError(api.KindNotReady, "backend server %s: %v", server.ID, err)
 	}
 	if ctx.Err() != nil {
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,40 +1,42 @@
-// Package backoff says how long to wait before trying again.
+// Package backoff computes the wait before a retry: exponential backoff with
+// jitter.
 //
-// It answers the pattern in which many instances lose the same server at the
-// same moment: the platform comes back after an outage, or eight instances
-// start together. Without it they all call at once, again and again, in step,
-// and the server that just came back goes down again. The wait doubles, so that
-// a long outage costs little, and half of it is random, so that instances drift
-// apart within a few tries. It is never random down to zero, because a caller
-// that is unlucky twice would call at once both times.
+// It handles many instances that lose the same server at the same moment: the
+// platform recovers from an outage, or eight instances start together. Without
+// backoff they all call repeatedly at the same times, and the server that has
+// just recovered fails again. The wait doubles, so a long outage causes few
+// calls, and half of it is random, so the instances spread out within a few
+// tries. The random part never reduces the wait to zero: a caller could
+// otherwise draw zero twice and retry immediately both times.
 package backoff
 
 import "time"
 
-// Backoff counts the failures in a row of one caller. It is plain data and not
-// safe for concurrent use.
+// Backoff counts the consecutive failures of one caller. It is not safe for
+// concurrent use.
 type Backoff struct {
-	// Base is the longest wait after the first failure, Max after any.
+	// Base is the longest wait after the first failure, Max the longest after
+	// any number of failures.
 	Base, Max time.Duration
 	failures  int
 }
 
-// Failed counts a failure and returns the wait before the next try: a part
-// between one half and the whole of Base doubled for each earlier failure. The
-// fraction, from 0 to 1, chooses the part and comes from the caller's random
-// source.
+// Failed records a failure and returns the wait before the next try. The longest
+// wait is Base, doubled for each earlier failure, up to Max; the result lies
+// between half of it and all of it, as chosen by fraction, a number from 0 to 1
+// from the caller's random source.
 func (b *Backoff) Failed(fraction float64) time.Duration {
 	b.failures++
-	return Spread(b.ceiling(), fraction)
+	return Spread(b.maxWait(), fraction)
 }
 
-// Succeeded forgets the failures.
+// Succeeded resets the count of failures.
 func (b *Backoff) Succeeded() { b.failures = 0 }
 
-// Failures returns the failures in a row.
+// Failures returns the number of consecutive failures.
 func (b *Backoff) Failures() int { return b.failures }
 
-func (b *Backoff) ceiling() time.Duration {
+func (b *Backoff) maxWait() time.Duration {
 	wait := b.Base
 	for i := 1; i < b.failures && wait < b.Max; i++ {
 		wait *= 2
@@ -42,8 +44,7 @@
 	return min(wait, b.Max)
 }
 
-// Spread returns the part of d between one half and the whole that fraction,
-// from 0 to 1, chooses.
+// Spread maps fraction, from 0 to 1, to a duration from d/2 to d.
 func Spread(d time.Duration, fraction float64) time.Duration {
 	half := float64(d) / 2
 	return time.Duration(half + half*fraction)
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -10,7 +10,7 @@
 	"github.com/corianderbank/corianderbank/internal/backoff"
 )
 
-func TestWaitDoublesUpToItsMaximum(t *testing.T) {
+func TestWaitDoublesUpToMax(t *testing.T) {
 	b := backoff.Backoff{Base: 100 * time.Millisecond, Max: time.Second}
 	want := []time.Duration{100, 200, 400, 800, 1000, 1000}
 	for i, ms := range want {
@@ -21,31 +21,32 @@
 	assert.Equal(t, b.Failures(), 1)
 }
 
-// TestInstancesThatReturnTogetherDriftApart plays eight instances that lose a
-// server at the same moment and try again until it is back after a minute.
+// TestInstancesThatReturnTogetherDriftApart simulates eight instances that lose
+// a server at the same moment and retry until it is back after a minute. Without
+// jitter their tries would stay synchronized and overload the server.
 func TestInstancesThatReturnTogetherDriftApart(t *testing.T) {
 	const (
-		instances = 8
-		outage    = time.Minute
-		// bound is 1% of the platform's 2,000 reads a second.
-		bound = 20
+		instances      = 8
+		outageDuration = time.Minute
+		// maxTriesPerSecond is 1% of the platform's 2,000 reads a second.
+		maxTriesPerSecond = 20
 	)
 	random := rand.New(rand.NewPCG(1, 2))
-	perSecond := make(map[time.Duration]int)
+	triesPerSecond := make(map[time.Duration]int)
 	for range instances {
 		b := backoff.Backoff{Base: 200 * time.Millisecond, Max: 5 * time.Second}
-		for at := time.Duration(0); at < outage; at += b.Failed(random.Float64()) {
-			perSecond[at.Truncate(time.Second)]++
+		for at := time.Duration(0); at < outageDuration; at += b.Failed(random.Float64()) {
+			triesPerSecond[at.Truncate(time.Second)]++
 		}
 	}
-	for second, tries := range perSecond {
+	for second, tries := range triesPerSecond {
 		if second > 0 {
-			assert.Assert(t, tries <= bound, "%d tries in second %v", tries, second)
+			assert.Assert(t, tries <= maxTriesPerSecond, "%d tries in second %v", tries, second)
 		}
 	}
-	last := 0
-	for second := outage - 10*time.Second; second < outage; second += time.Second {
-		last += perSecond[second]
+	lastTries := 0
+	for second := outageDuration - 10*time.Second; second < outageDuration; second += time.Second {
+		lastTries += triesPerSecond[second]
 	}
-	assert.Assert(t, last <= 4*instances, "%d tries in the last ten seconds", last)
+	assert.Assert(t, lastTries <= 4*instances, "%d tries in the last ten seconds", lastTries)
 }
--- a/internal/entry/bodies_test.go
+++ b/internal/entry/bodies_test.go
@@ -16,36 +16,36 @@
 	"github.com/corianderbank/corianderbank/internal/settings"
 )
 
-// acceptsAll takes every request and job that passes the checks of the server.
-type acceptsAll struct{}
+// acceptAll accepts every request and job that passes the server's validation.
+type acceptAll struct{}
 
-func (acceptsAll) Execute(_ context.Context, id string, _ api.RequestSubmission) api.RequestAnswer {
+func (acceptAll) Execute(_ context.Context, id string, _ api.RequestSubmission) api.RequestAnswer {
 	return api.RequestAnswer{ID: id, Outcome: api.OutcomeDone}
 }
 
-func (acceptsAll) Submit(context.Context, api.JobSubmission) (api.JobAnswer, error) {
+func (acceptAll) Submit(context.Context, api.JobSubmission) (api.JobAnswer, error) {
 	return api.JobAnswer{ID: "j", Outcome: api.OutcomeAccepted}, nil
 }
 
-func (acceptsAll) Get(context.Context, string, time.Duration) (api.JobAnswer, error) {
+func (acceptAll) Get(context.Context, string, time.Duration) (api.JobAnswer, error) {
 	return api.JobAnswer{ID: "j", Outcome: api.OutcomeAccepted}, nil
 }
 
-func (acceptsAll) Cancel(context.Context, string) (api.JobAnswer, error) {
+func (acceptAll) Cancel(context.Context, string) (api.JobAnswer, error) {
 	return api.JobAnswer{ID: "j", Outcome: api.OutcomeNotRun}, nil
 }
 
-func (acceptsAll) List(context.Context, string, int) ([]api.JobAnswer, error) { return nil, nil }
+func (acceptAll) List(context.Context, string, int) ([]api.JobAnswer, error) { return nil, nil }
 
-func checkedServer() http.Handler {
+func newTestHandler() http.Handler {
 	defaults := settings.Default()
 	return New(Options{
-		Settings: &defaults, Requests: acceptsAll{}, Jobs: acceptsAll{}, Logger: zap.NewNop(), Ready: func() error { return nil },
+		Settings: &defaults, Requests: acceptAll{}, Jobs: acceptAll{}, Logger: zap.NewNop(), Ready: func() error { return nil },
 	}).routes()
 }
 
-// post sends a body and checks what holds for every answer: no 5xx, JSON with
-// an outcome, and a kind of the closed list where the outcome is a refusal.
+// post sends a body and checks what every answer must satisfy: no 5xx status,
+// JSON with an outcome, and a declared error kind if the request is refused.
 func post(t *testing.T, handler http.Handler, path, body string) (status int, kind api.Kind) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
@@ -64,7 +64,7 @@
 	return recorder.Code, answer.Kind
 }
 
-func TestBadBodiesHaveANamedKind(t *testing.T) {
+func TestInvalidBodiesAreRejectedWithTheirKind(t *testing.T) {
 	const shape = `"declared_run_s":1,"shape":{"tasks":1,"accelerators_per_task":1}`
 	cases := map[string]struct {
 		path, body string
@@ -85,32 +85,32 @@
 		"absurd shape":              {"/v1/jobs", `{"account":"a","kind":"k","declared_run_s":1,"shape":{"tasks":1,"accelerators_per_task":1000000}}`, api.KindInvalidShape},
 		"absurd run time":           {"/v1/jobs", `{"account":"a","kind":"k","declared_run_s":1e300,"shape":{"tasks":1,"accelerators_per_task":1}}`, api.KindInvalidField},
 		"no run time":               {"/v1/jobs", `{"account":"a","kind":"k","shape":{"tasks":1,"accelerators_per_task":1}}`, api.KindInvalidField},
-		"sound request":             {"/v1/requests", `{"account":"a","kind":"k"}`, ""},
-		"sound job":                 {"/v1/jobs", `{"account":"a","kind":"k",` + shape + `}`, ""},
+		"valid request":             {"/v1/requests", `{"account":"a","kind":"k"}`, ""},
+		"valid job":                 {"/v1/jobs", `{"account":"a","kind":"k",` + shape + `}`, ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, kind := post(t, checkedServer(), tc.path, tc.body)
+			_, kind := post(t, newTestHandler(), tc.path, tc.body)
 			assert.Equal(t, kind, tc.kind)
 		})
 	}
 }
 
-func TestUnknownResources(t *testing.T) {
+func TestUnknownResourcesAndMethods(t *testing.T) {
 	cases := map[string]struct {
 		method, path string
 		kind         api.Kind
 		allow        string
 	}{
-		"no such path":                      {http.MethodGet, "/v1/nothing", api.KindNotFound, ""},
-		"a path that takes another method":  {http.MethodPut, "/v1/requests", api.KindMethodNotAllowed, "POST"},
-		"a path that takes several methods": {http.MethodPost, "/v1/jobs/j-1", api.KindMethodNotAllowed, "GET, DELETE"},
-		"a path below a resource":           {http.MethodGet, "/v1/jobs/j-1/more", api.KindNotFound, ""},
+		"no such path":                         {http.MethodGet, "/v1/nothing", api.KindNotFound, ""},
+		"a path that supports another method":  {http.MethodPut, "/v1/requests", api.KindMethodNotAllowed, "POST"},
+		"a path that supports several methods": {http.MethodPost, "/v1/jobs/j-1", api.KindMethodNotAllowed, "GET, DELETE"},
+		"a path below a resource":              {http.MethodGet, "/v1/jobs/j-1/more", api.KindNotFound, ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			recorder := httptest.NewRecorder()
-			checkedServer().ServeHTTP(recorder, httptest.NewRequest(tc.method, tc.path, nil))
+			newTestHandler().ServeHTTP(recorder, httptest.NewRequest(tc.method, tc.path, nil))
 			var body api.ErrorBody
 			assert.NilError(t, json.Unmarshal(recorder.Body.Bytes(), &body))
 			assert.Equal(t, body.Kind, tc.kind)
@@ -126,7 +126,7 @@
 	f.Add(`{"account":"a","kind":"k","deadline":"0000-00-00","deadline_ms":9223372036854775808}`)
 	f.Add("\x00\xff")
 	f.Add(strings.Repeat("[", 20000))
-	handler := checkedServer()
+	handler := newTestHandler()
 	f.Fuzz(func(t *testing.T, body string) {
 		post(t, handler, "/v1/requests", body)
 		post(t, handler, "/v1/jobs", body)
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -12,14 +12,14 @@
 	"github.com/corianderbank/corianderbank/internal/settings"
 )
 
-// Bounds of callers' fields.
+// Limits on the fields that callers send.
 const (
-	maxNameBytes   = 64
-	maxKeyBytes    = 256
-	maxDeclaredRun = 90 * 24 * time.Hour
-	maxWait        = time.Minute
-	maxListed      = 1000
-	defaultListed  = 100
+	maxNameBytes       = 64
+	maxKeyBytes        = 256
+	maxDeclaredRunTime = 90 * 24 * time.Hour
+	maxJobWait         = time.Minute
+	maxListLimit       = 1000
+	defaultListLimit   = 100
 )
 
 func (s *Server) postRequest(w http.ResponseWriter, r *http.Request) {
@@ -46,11 +46,11 @@
 	if err := s.decode(w, r, submission); err != nil {
 		return err
 	}
-	return s.checkRequest(submission)
+	return s.validateRequest(submission)
 }
 
-func (s *Server) checkRequest(submission *api.RequestSubmission) error {
-	if err := checkNames(submission.Account, submission.Kind, submission.IdempotencyKey); err != nil {
+func (s *Server) validateRequest(submission *api.RequestSubmission) error {
+	if err := validateNames(submission.Account, submission.Kind, submission.IdempotencyKey); err != nil {
 		return err
 	}
 	timing := s.opts.Settings.Timing
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func checkNames(account, kind, key string) error {
+func validateNames(account, kind, key string) error {
 	switch {
 	case account == "" || len(account) > maxNameBytes:
 		return api.NewError(api.KindInvalidField, "account must have 1 to %d bytes", maxNameBytes)
@@ -79,13 +79,13 @@
 }
 
 func (s *Server) writeRequest(w http.ResponseWriter, answer api.RequestAnswer) {
-	s.count("request", answer.Outcome, answer.ErrorKind)
+	s.countAnswer("request", answer.Outcome, answer.ErrorKind)
 	w.Header().Set(api.HeaderRequestID, answer.ID)
 	setRetryAfter(w, answer.RetryAfterS)
 	writeJSON(w, statusOf(answer.Outcome, answer.ErrorKind), answer)
 }
 
-func (s *Server) count(work string, outcome api.Outcome, kind api.Kind) {
+func (s *Server) countAnswer(work string, outcome api.Outcome, kind api.Kind) {
 	name := `corianderbank_answers_total{work="` + work + `",outcome="` + string(outcome) + `",error_kind="` + string(kind) + `"}`
 	s.answers.GetOrCreateCounter(name).Inc()
 }
@@ -110,11 +110,11 @@
 	if err := s.decode(w, r, job); err != nil {
 		return err
 	}
-	return checkJob(job, time.Now())
+	return validateJob(job, time.Now())
 }
 
-func checkJob(job *api.JobSubmission, now time.Time) error {
-	if err := checkNames(job.Account, job.Kind, job.IdempotencyKey); err != nil {
+func validateJob(job *api.JobSubmission, now time.Time) error {
+	if err := validateNames(job.Account, job.Kind, job.IdempotencyKey); err != nil {
 		return err
 	}
 	shape := job.Shape
@@ -123,8 +123,8 @@
 		return api.NewError(api.KindInvalidShape, "tasks must be 1 to %d", api.MaxGangTasks)
 	case shape.AcceleratorsPerTask < 1 || shape.AcceleratorsPerTask > api.MaxAcceleratorsPerTask:
 		return api.NewError(api.KindInvalidShape, "accelerators_per_task must be 1 to %d", api.MaxAcceleratorsPerTask)
-	case job.DeclaredRunS <= 0 || job.DeclaredRunS > maxDeclaredRun.Seconds():
-		return api.NewError(api.KindInvalidField, "declared_run_s must be above 0 and at most %.0f", maxDeclaredRun.Seconds())
+	case job.DeclaredRunS <= 0 || job.DeclaredRunS > maxDeclaredRunTime.Seconds():
+		return api.NewError(api.KindInvalidField, "declared_run_s must be above 0 and at most %.0f", maxDeclaredRunTime.Seconds())
 	case job.Deadline != nil && !job.Deadline.After(now):
 		return api.NewError(api.KindPastDeadline, "the deadline %s has passed", job.Deadline.UTC().Format(time.RFC3339))
 	}
@@ -132,13 +132,13 @@
 }
 
 func (s *Server) writeJob(w http.ResponseWriter, answer api.JobAnswer) {
-	s.count("job", answer.Outcome, answer.ErrorKind)
+	s.countAnswer("job", answer.Outcome, answer.ErrorKind)
 	setRetryAfter(w, answer.RetryAfterS)
 	writeJSON(w, statusOf(answer.Outcome, answer.ErrorKind), answer)
 }
 
 func (s *Server) getJob(w http.ResponseWriter, r *http.Request) {
-	wait, err := waitOf(r)
+	wait, err := parseWait(r)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -151,34 +151,35 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// waitSlice bounds how long a waiting reader holds up a shutdown.
-const waitSlice = 2 * time.Second
+// maxWaitSlice bounds how long a waiting reader can delay a shutdown.
+const maxWaitSlice = 2 * time.Second
 
-// awaitJob waits for the job's end in slices. A reader that waits when the
-// instance shuts down gets the job's present state, and asks another instance.
+// awaitJob waits until the job ends, in slices of at most maxWaitSlice. If the
+// instance shuts down meanwhile, it returns the job's current state, and the
+// caller can ask another instance.
 func (s *Server) awaitJob(ctx context.Context, id string, wait time.Duration) (api.JobAnswer, error) {
-	until := time.Now().Add(wait)
+	waitEnds := time.Now().Add(wait)
 	for {
-		remaining := max(0, time.Until(until))
-		answer, err := s.opts.Jobs.Get(ctx, id, min(remaining, waitSlice))
+		remaining := max(0, time.Until(waitEnds))
+		answer, err := s.opts.Jobs.Get(ctx, id, min(remaining, maxWaitSlice))
 		if err != nil || answer.Outcome != api.OutcomeAccepted {
 			return answer, err
 		}
-		over := ctx.Err() != nil || !time.Now().Before(until)
-		if over || api.IsKind(s.opts.Ready(), api.KindStopping) {
+		waitOver := ctx.Err() != nil || !time.Now().Before(waitEnds)
+		if waitOver || api.IsKind(s.opts.Ready(), api.KindStopping) {
 			return answer, nil
 		}
 	}
 }
 
-func waitOf(r *http.Request) (time.Duration, error) {
-	text := r.URL.Query().Get("wait_ms")
-	if text == "" {
+func parseWait(r *http.Request) (time.Duration, error) {
+	value := r.URL.Query().Get("wait_ms")
+	if value == "" {
 		return 0, nil
 	}
-	ms, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || ms < 0 || ms > maxWait.Milliseconds() {
-		return 0, api.NewError(api.KindInvalidField, "wait_ms must be 0 to %d", maxWait.Milliseconds())
+	ms, err := strconv.ParseInt(value, 10, 64)
+	if err != nil || ms < 0 || ms > maxJobWait.Milliseconds() {
+		return 0, api.NewError(api.KindInvalidField, "wait_ms must be 0 to %d", maxJobWait.Milliseconds())
 	}
 	return settings.Duration(ms), nil
 }
@@ -193,11 +194,11 @@
 }
 
 func (s *Server) listJobs(w http.ResponseWriter, r *http.Request) {
-	limit := defaultListed
-	if text := r.URL.Query().Get("limit"); text != "" {
-		parsed, err := strconv.Atoi(text)
-		if err != nil || parsed < 1 || parsed > maxListed {
-			writeError(w, api.NewError(api.KindInvalidField, "limit must be 1 to %d", maxListed))
+	limit := defaultListLimit
+	if value := r.URL.Query().Get("limit"); value != "" {
+		parsed, err := strconv.Atoi(value)
+		if err != nil || parsed < 1 || parsed > maxListLimit {
+			writeError(w, api.NewError(api.KindInvalidField, "limit must be 1 to %d", maxListLimit))
 			return
 		}
 		limit = parsed
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -9,7 +9,7 @@
 	"github.com/corianderbank/corianderbank/internal/config"
 )
 
-// configFile names the document in the problems of a refused configuration.
+// configFile is the document name in the problems of a refused configuration.
 const configFile = "configuration"
 
 func (s *Server) applyConfig(w http.ResponseWriter, r *http.Request) {
@@ -56,7 +56,7 @@
 	writeJSON(w, http.StatusOK, api.ConfigHistory{Versions: history})
 }
 
-// configStatus shows which instance has which version in force.
+// configStatus reports the configuration version in force on each instance.
 func (s *Server) configStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 	defer cancel()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,4 +1,4 @@
-// Package entry serves callers and operators over HTTP.
+// Package entry implements the HTTP API for callers and operators.
 package entry
 
 import (
@@ -28,7 +28,7 @@
 	Execute(ctx context.Context, id string, submission api.RequestSubmission) api.RequestAnswer
 }
 
-// Jobs answers callers' job calls; package jobs implements it.
+// Jobs handles callers' job calls; package jobs implements it.
 type Jobs interface {
 	Submit(ctx context.Context, job api.JobSubmission) (api.JobAnswer, error)
 	Get(ctx context.Context, id string, wait time.Duration) (api.JobAnswer, error)
@@ -36,13 +36,13 @@
 	List(ctx context.Context, account string, limit int) ([]api.JobAnswer, error)
 }
 
-// Fleet answers the questions about more than this instance.
+// Fleet answers operators' queries that concern all instances.
 type Fleet interface {
 	Status(ctx context.Context) api.Status
 	Explain(ctx context.Context, id string) api.Explanation
 }
 
-// Options are what a Server works with. All fields are needed.
+// Options configures a Server. All fields except Metrics are required.
 type Options struct {
 	Settings *settings.Settings
 	Requests Requests
@@ -50,13 +50,15 @@
 	Fleet    Fleet
 	Config   *config.Manager
 	Logger   *zap.Logger
-	// Ready returns nil while the instance takes callers' work.
+	// Ready returns nil while the instance accepts callers' work, otherwise the
+	// reason why it does not.
 	Ready func() error
-	// Metrics, if set, writes the metrics of the parts that keep their own.
+	// Metrics, if set, writes the metrics of components that have their own
+	// metric sets.
 	Metrics func(w io.Writer)
 }
 
-// Server serves HTTP. It is safe for concurrent use.
+// Server serves the HTTP API. It is safe for concurrent use.
 type Server struct {
 	opts     Options
 	http     *http.Server
@@ -64,18 +66,18 @@
 	answers  *metrics.Set
 }
 
-// Times of the HTTP server.
+// Timeouts of the HTTP server.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 	operatorTimeout   = 10 * time.Second
 )
 
-// New returns a server; Serve makes it work.
+// New returns a server that handles calls once Serve is called.
 func New(opts Options) *Server {
 	s := &Server{opts: opts, answers: metrics.NewSet()}
 	s.answers.NewGauge("corianderbank_requests_in_flight", func() float64 { return float64(s.inFlight.Load()) })
-	s.http = &http.Server{Handler: s.retiring(s.routes()), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
+	s.http = &http.Server{Handler: s.closeWhenStopping(s.routes()), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	return s
 }
 
@@ -99,10 +101,11 @@
 	return mux
 }
 
-// retiring closes a connection after its answer while the instance shuts down,
-// so that the caller opens its next one elsewhere and none is idle, with a
-// request perhaps on its way, when Shutdown closes the idle ones.
-func (s *Server) retiring(next http.Handler) http.Handler {
+// closeWhenStopping closes each connection after its answer while the instance
+// shuts down. Callers then open their next connection to another instance, and
+// no connection is idle when Shutdown closes idle ones, which could lose a
+// request already sent on it.
+func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if api.IsKind(s.opts.Ready(), api.KindStopping) {
 			w.Header().Set("Connection", "close")
@@ -111,7 +114,7 @@
 	})
 }
 
-// Serve answers calls on listener until Shutdown.
+// Serve handles calls on listener until Shutdown.
 func (s *Server) Serve(listener net.Listener) error {
 	limited := netutil.LimitListener(listener, s.opts.Settings.Limits.MaxConnections)
 	if err := s.http.Serve(limited); !errors.Is(err, http.ErrServerClosed) {
@@ -120,10 +123,10 @@
 	return nil
 }
 
-// Shutdown stops taking connections and waits for the calls in flight.
+// Shutdown stops accepting connections and waits for the calls in flight.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// InFlight returns the number of callers' requests under way.
+// InFlight returns the number of callers' requests in flight.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
 func (s *Server) healthz(w http.ResponseWriter, _ *http.Request) {
@@ -148,7 +151,8 @@
 	metrics.WritePrometheus(w, true)
 }
 
-// decode reads a bounded JSON body strictly into target.
+// decode reads a JSON body of bounded size into target. It rejects unknown
+// fields and trailing data.
 func (s *Server) decode(w http.ResponseWriter, r *http.Request, target any) error {
 	body := http.MaxBytesReader(w, r.Body, s.opts.Settings.Limits.MaxBodyBytes)
 	decoder := json.NewDecoder(body)
@@ -162,8 +166,8 @@
 	return nil
 }
 
-// unknownFieldPrefix begins the error of package json for a field that the
-// message does not have; it has no type of its own.
+// unknownFieldPrefix starts the error of encoding/json for an unknown field;
+// that error has no type of its own.
 const unknownFieldPrefix = "json: unknown field"
 
 func bodyError(err error) error {
@@ -194,15 +198,15 @@
 	writeJSON(w, api.AnswerFor(api.KindOf(err)).Status, api.BodyOf(err))
 }
 
-// setRetryAfter sets the standard header, whose unit is whole seconds.
+// setRetryAfter sets the Retry-After header in whole seconds, rounded up.
 func setRetryAfter(w http.ResponseWriter, seconds float64) {
 	if seconds > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(seconds))))
 	}
 }
 
-// statusOf is the HTTP status of an answer: 200 for done, 202 for accepted,
-// else that of its kind.
+// statusOf returns the HTTP status of an answer: 200 for done, 202 for accepted,
+// otherwise the status of its error kind.
 func statusOf(outcome api.Outcome, kind api.Kind) int {
 	switch {
 	case kind != "":
--- a/internal/entry/unknown.go
+++ b/internal/entry/unknown.go
@@ -7,15 +7,15 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// anyPath is the pattern of what no resource answers.
-const anyPath = "/"
+// catchAllPattern matches the paths that no resource serves.
+const catchAllPattern = "/"
 
-// methods are those that some resource takes.
-var methods = []string{http.MethodGet, http.MethodPost, http.MethodDelete}
+// supportedMethods are the methods that at least one resource supports.
+var supportedMethods = []string{http.MethodGet, http.MethodPost, http.MethodDelete}
 
-// unknownResource answers calls that no other pattern of mux matches: a path
-// that takes other methods gets KindMethodNotAllowed and the header Allow, any
-// other KindNotFound.
+// unknownResource handles calls that no other pattern of mux matches: a path
+// that supports other methods gets KindMethodNotAllowed and the Allow header,
+// any other path KindNotFound.
 func unknownResource(mux *http.ServeMux) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		allowed := allowedMethods(mux, r)
@@ -28,12 +28,12 @@
 	}
 }
 
-// allowedMethods returns the methods that the path of r takes.
+// allowedMethods returns the methods that the path of r supports.
 func allowedMethods(mux *http.ServeMux, r *http.Request) []string {
 	var allowed []string
-	for _, method := range methods {
-		other := &http.Request{Method: method, URL: r.URL, Host: r.Host}
-		if _, pattern := mux.Handler(other); pattern != anyPath && pattern != "" {
+	for _, method := range supportedMethods {
+		probe := &http.Request{Method: method, URL: r.URL, Host: r.Host}
+		if _, pattern := mux.Handler(probe); pattern != catchAllPattern && pattern != "" {
 			allowed = append(allowed, method)
 		}
 	}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,75 +1,80 @@
 // Package retry decides whether a request is dispatched again after an attempt
-// that brought no whole answer. It is pure; the caller serializes the calls.
+// that did not return a whole answer. It does no I/O: the time is passed in, and
+// the caller must serialize the calls.
 //
-// Load pattern: a backend server, or all of them, fail or are slow, so that many
+// Load pattern: one backend server or all of them fail or are slow, so many
 // attempts end without an answer at the same time.
 //
-// Without a budget each failed attempt brings up to Retries more, and the load
-// multiplies just when the backend servers can carry the least: requests of one
-// account that fail everywhere take the slots of all others. Without the rule on
-// idempotence a request that must run at most once runs twice.
+// Without a budget, each failed attempt causes up to MaxRetries more, and the
+// load multiplies when the backend servers have the least capacity: requests of
+// one account that fail everywhere occupy the slots of all other accounts.
+// Without the idempotence rule, a request that must run at most once could run
+// twice.
 //
-// Thresholds: an account earns one retry by two answers. It is earned by answers
-// and not by attempts, so that an account whose requests all fail soon has
-// none, while one that fails on a third of the backend servers has enough. The
-// burst of ten lets an account with little load retry at all.
+// Thresholds: an account earns one retry for every two answers. Retries are
+// earned by answers rather than attempts, so an account whose requests all fail
+// soon has none left, while one that fails on a third of the backend servers has
+// enough. The burst of ten allows accounts with little load to retry at all.
 package retry
 
 import "time"
 
 const (
-	// Ratio is how much of a retry each answer earns.
-	Ratio = 0.5
-	// Burst is the most that an account saves up, and what it starts with.
+	// RetriesPerAnswer is the part of a retry that each answer earns.
+	RetriesPerAnswer = 0.5
+	// Burst is the initial and maximum number of retries in an account's budget.
 	Burst = 10.0
 )
 
-// Attempt is what is known after an attempt that brought no whole answer.
+// Attempt describes an attempt that did not return a whole answer.
 type Attempt struct {
 	// Account is the client account.
 	Account string
-	// Idempotent says that running the request twice does no harm.
+	// Idempotent reports whether running the request twice does no harm.
 	Idempotent bool
-	// NotRun says that the backend server, or the failed connect, made certain
-	// that the request did not run and will not run.
+	// NotRun reports that the request definitely did not run and will not run,
+	// because the backend server rejected it or the connection failed.
 	NotRun bool
-	// Retries is how often the request was dispatched again so far.
+	// Retries is the number of retries so far.
 	Retries int
-	// MaxRetries is the rule's bound.
+	// MaxRetries is the rule's limit on Retries.
 	MaxRetries int
-	// Deadline is when the caller's answer is due.
+	// Deadline is the time by which the caller must have its answer.
 	Deadline time.Time
-	// Expected is the run time to plan with.
+	// Expected is the expected run time of the request.
 	Expected time.Duration
-	// Others is the number of backend servers not yet tried that take work.
+	// Others is the number of backend servers that accept work and have not
+	// been tried yet.
 	Others int
 }
 
-// Decision says whether to dispatch again, and why.
+// Decision is the result of Budget.Decide and its reason.
 type Decision struct {
 	Again  bool
 	Reason string
 }
 
-// Budget is the retry budget of one entry instance, by client account.
+// Budget holds the retry budgets of the client accounts in one entry instance.
+// It is not safe for concurrent use.
 type Budget struct {
 	tokens map[string]float64
-	// unlimited switches the budget off, for measuring what it is worth.
+	// unlimited disables the budget, as a baseline for measurements.
 	unlimited bool
 }
 
-// NewBudget returns a full budget.
+// NewBudget returns a budget in which every account has Burst retries.
 func NewBudget() *Budget { return &Budget{tokens: make(map[string]float64)} }
 
-// NewUnlimited returns a budget that never runs out. It is the baseline.
+// NewUnlimited returns a budget that never runs out, the baseline for
+// measurements.
 func NewUnlimited() *Budget { return &Budget{tokens: make(map[string]float64), unlimited: true} }
 
-// Answered earns a part of a retry for a whole answer.
+// Answered credits the account with RetriesPerAnswer for a whole answer.
 func (b *Budget) Answered(account string) {
-	b.tokens[account] = min(b.Tokens(account)+Ratio, Burst)
+	b.tokens[account] = min(b.Tokens(account)+RetriesPerAnswer, Burst)
 }
 
-// Tokens returns the number of retries that the account has left.
+// Tokens returns the number of retries left to the account.
 func (b *Budget) Tokens(account string) float64 {
 	tokens, ok := b.tokens[account]
 	if !ok {
@@ -78,8 +83,8 @@
 	return tokens
 }
 
-// Decide says whether the request is dispatched again, and takes the retry out
-// of the budget if so.
+// Decide reports whether the request is dispatched again, and if so takes one
+// retry from the account's budget.
 func (b *Budget) Decide(attempt Attempt, now time.Time) Decision {
 	switch {
 	case !attempt.Idempotent && !attempt.NotRun:
