--- a/internal/slots/holder.go
+++ b/internal/slots/holder.go
@@ -4,157 +4,159 @@
 	"time"
 )
 
-// Holder knows how many slots of each backend server this instance may use.
+// Holder tracks how many slots of each backend server this instance may use.
 type Holder struct {
 	self    string
 	members *Members
-	servers map[string]*holding
-	owners  map[string]*ownerLink
+	servers map[string]*serverState
+	owners  map[string]*ownerState
 }
 
-// holding is the state of one backend server.
-type holding struct {
+// serverState is the holder's state of one backend server.
+type serverState struct {
 	slots   int
 	granted int
-	// validUntil is when the grant lapses.
+	// validUntil is the time at which the grant expires.
 	validUntil time.Time
-	// grantedBy is the owner that answered last.
+	// grantedBy is the owner that issued the grant.
 	grantedBy string
-	// lentTo is the owner that may still count on the share, until lentUntil.
+	// lentTo is the owner that may use the share until lentUntil.
 	lentTo    string
 	lentUntil time.Time
 }
 
-// ownerLink is the state of the conversation with one owner.
-type ownerLink struct {
+// ownerState is the state of the exchange of demands and answers with one owner.
+type ownerState struct {
 	serial   uint64
 	lastSent time.Time
-	// answeredAt is when the last answered demand was sent.
+	// answeredAt is the time at which the last answered demand was sent.
 	answeredAt time.Time
 }
 
-// Demand is what to send to one owner now.
+// Demand is a message to one owner.
 type Demand struct {
 	Owner string
 	Echo  uint64
 	Wants []Want
 }
 
-// NewHolder returns a holder that holds nothing yet.
+// NewHolder returns a holder for the instance self, without slots.
 func NewHolder(self string, members *Members) *Holder {
 	return &Holder{
 		self: self, members: members,
-		servers: make(map[string]*holding), owners: make(map[string]*ownerLink),
+		servers: make(map[string]*serverState), owners: make(map[string]*ownerState),
 	}
 }
 
-// SetServers replaces the backend servers, given as sizes by id. What was lent
-// or granted of a backend server that comes back is forgotten only once it has
-// lapsed.
+// SetServers replaces the backend servers, given as numbers of slots by id. The
+// state of a removed backend server is kept until its loan has expired, so that
+// it still applies if the backend server returns before.
 func (h *Holder) SetServers(sizes map[string]int, now time.Time) {
 	for id, slots := range sizes {
-		held, ok := h.servers[id]
+		server, ok := h.servers[id]
 		if !ok {
-			held = &holding{}
-			h.servers[id] = held
+			server = &serverState{}
+			h.servers[id] = server
 		}
-		held.slots = slots
+		server.slots = slots
 	}
-	for id, held := range h.servers {
+	for id, server := range h.servers {
 		if _, ok := sizes[id]; ok {
 			continue
 		}
-		held.slots = 0
-		if now.After(held.lentUntil) {
+		server.slots = 0
+		if now.After(server.lentUntil) {
 			delete(h.servers, id)
 		}
 	}
 }
 
-// Usable returns how many slots of the backend server may be in use now: what is
-// granted, and the instance's own share unless an owner may count on it.
-func (h *Holder) Usable(server string, now time.Time) int {
-	held, ok := h.servers[server]
+// Usable returns how many slots of the backend server this instance may use now:
+// those granted, plus its own share unless that is lent to an owner.
+func (h *Holder) Usable(id string, now time.Time) int {
+	server, ok := h.servers[id]
 	if !ok {
 		return 0
 	}
 	usable := 0
-	if now.Before(held.validUntil) {
-		usable = held.granted
+	if now.Before(server.validUntil) {
+		usable = server.granted
 	}
-	if !now.Before(held.lentUntil) {
-		usable += h.members.Share(h.self, server, held.slots, now)
+	if !now.Before(server.lentUntil) {
+		usable += h.members.Share(h.self, id, server.slots, now)
 	}
-	return min(usable, held.slots, MaxPerInstance)
+	return min(usable, server.slots, MaxPerInstance)
 }
 
-// Demands returns what to send to each owner now, and records what is lent from
-// now on. Want gives the use and the need of a backend server.
+// Demands returns the demand to send to each owner now, and records the loans
+// that start with it. The function want returns the slots of a backend server
+// that are in use and those that are wanted.
 func (h *Holder) Demands(now time.Time, want func(server string) (inFlight, wanted int)) []Demand {
 	byOwner := make(map[string][]Want)
 	for _, id := range sortedKeys(h.servers) {
-		held := h.servers[id]
+		server := h.servers[id]
 		owner := h.members.OwnerOf(id)
-		if owner == "" || held.slots == 0 {
+		if owner == "" || server.slots == 0 {
 			continue
 		}
-		lend := h.mayLend(held, owner, now)
+		lend := h.canLend(server, owner, now)
 		if lend {
-			held.lentTo, held.lentUntil = owner, now.Add(LoanLength)
+			server.lentTo, server.lentUntil = owner, now.Add(LoanDuration)
 		}
 		inFlight, wanted := want(id)
 		byOwner[owner] = append(byOwner[owner], Want{
-			BackendServer: id, Slots: held.slots, InFlight: inFlight, Wanted: wanted, Lend: lend,
+			BackendServer: id, Slots: server.slots, InFlight: inFlight, Wanted: wanted, Lend: lend,
 		})
 	}
 	demands := make([]Demand, 0, len(byOwner))
 	for _, owner := range sortedKeys(byOwner) {
-		link := h.link(owner)
-		link.lastSent = now
-		demands = append(demands, Demand{Owner: owner, Echo: link.serial, Wants: byOwner[owner]})
+		state := h.ownerState(owner)
+		state.lastSent = now
+		demands = append(demands, Demand{Owner: owner, Echo: state.serial, Wants: byOwner[owner]})
 	}
 	return demands
 }
 
-// mayLend says whether the share may be lent to owner: no other owner counts on
-// it, and this one answers.
-func (h *Holder) mayLend(held *holding, owner string, now time.Time) bool {
-	link := h.link(owner)
-	if link.serial == 0 || now.Sub(link.answeredAt) > SilenceLimit {
+// canLend reports whether the share may be lent to owner: it is not lent to
+// another owner, and this one answers demands.
+func (h *Holder) canLend(server *serverState, owner string, now time.Time) bool {
+	state := h.ownerState(owner)
+	if state.serial == 0 || now.Sub(state.answeredAt) > OwnerTimeout {
 		return false
 	}
-	return held.lentTo == owner || !now.Before(held.lentUntil)
+	return server.lentTo == owner || !now.Before(server.lentUntil)
 }
 
-func (h *Holder) link(owner string) *ownerLink {
-	link, ok := h.owners[owner]
+func (h *Holder) ownerState(owner string) *ownerState {
+	state, ok := h.owners[owner]
 	if !ok {
-		link = &ownerLink{}
-		h.owners[owner] = link
+		state = &ownerState{}
+		h.owners[owner] = state
 	}
-	return link
+	return state
 }
 
-// Granted takes in an owner's answer to the demand that was sent at sentAt.
-// Answers to older demands change nothing.
+// Granted applies an owner's answer to the demand that was sent at sentAt.
+// Answers to demands other than the last one are ignored.
 func (h *Holder) Granted(owner string, serial uint64, grants []Grant, sentAt time.Time) {
-	link := h.link(owner)
-	if sentAt.Before(link.lastSent) {
+	state := h.ownerState(owner)
+	if sentAt.Before(state.lastSent) {
 		return
 	}
-	link.serial, link.answeredAt = serial, sentAt
+	state.serial, state.answeredAt = serial, sentAt
 	for _, grant := range grants {
-		held, ok := h.servers[grant.BackendServer]
-		if !ok || h.otherGrantValid(held, owner, sentAt) {
+		server, ok := h.servers[grant.BackendServer]
+		if !ok || h.hasOtherGrant(server, owner, sentAt) {
 			continue
 		}
-		held.granted, held.grantedBy = grant.Slots, owner
-		held.validUntil = sentAt.Add(min(grant.Validity, GrantValidity))
+		server.granted, server.grantedBy = grant.Slots, owner
+		server.validUntil = sentAt.Add(min(grant.Validity, GrantValidity))
 	}
 }
 
-// otherGrantValid keeps a grant of a former owner while it is worth more than
-// nothing: the new owner may have nothing to give yet.
-func (h *Holder) otherGrantValid(held *holding, owner string, now time.Time) bool {
-	return held.grantedBy != owner && held.granted > 0 && now.Before(held.validUntil)
+// hasOtherGrant reports whether a previous owner's grant of at least one slot is
+// still valid. Such a grant is kept, because a new owner may have no slots to
+// grant yet.
+func (h *Holder) hasOtherGrant(server *serverState, owner string, now time.Time) bool {
+	return server.grantedBy != owner && server.granted > 0 && now.Before(server.validUntil)
 }
--- a/internal/slots/need.go
+++ b/internal/slots/need.go
@@ -1,32 +1,33 @@
 package slots
 
 const (
-	// needGain is the weight of the present load in the smoothed one. At two
-	// demands a second it follows a lasting change within a second or two, and
-	// leaves the shares alone while the load only scatters: each move of a slot
-	// costs its use for up to one DemandInterval.
+	// needGain is the weight of the current load in the smoothed load. At two
+	// demands a second the smoothed load follows a lasting change within a second
+	// or two, but not random fluctuations: a slot that moves between instances is
+	// unused for up to one DemandInterval.
 	needGain = 0.5
-	// needStep is how far the smoothed load must go beyond a whole slot for each
-	// server before the need changes.
-	needStep = 0.3
+	// needHysteresis is how far the smoothed load per server must pass a whole
+	// number of slots before the need changes.
+	needHysteresis = 0.3
 )
 
-// Need is how many slots of each backend server an instance wants. One figure
-// for all servers moves less by chance than the use of a single one.
+// Need computes how many slots of each backend server an instance wants. It uses
+// one number for all servers, because that fluctuates less than the use of a
+// single server.
 type Need struct {
-	smooth float64
-	wanted int
+	smoothedLoad float64
+	wanted       int
 }
 
-// Update takes in the requests in flight and waiting, over the number of backend
-// servers that take work, and returns the slots wanted of each.
+// Update records the number of requests in flight and waiting and the number of
+// backend servers that accept work, and returns the slots wanted of each server.
 func (n *Need) Update(requests, servers int) int {
 	load := float64(requests) / float64(max(servers, 1))
-	n.smooth += needGain * (load - n.smooth)
-	for float64(n.wanted) < n.smooth-needStep && n.wanted < MaxPerInstance {
+	n.smoothedLoad += needGain * (load - n.smoothedLoad)
+	for float64(n.wanted) < n.smoothedLoad-needHysteresis && n.wanted < MaxPerInstance {
 		n.wanted++
 	}
-	for float64(n.wanted) > n.smooth+1+needStep {
+	for float64(n.wanted) > n.smoothedLoad+1+needHysteresis {
 		n.wanted--
 	}
 	return n.wanted
--- a/internal/slots/owner.go
+++ b/internal/slots/owner.go
@@ -5,191 +5,196 @@
 	"time"
 )
 
-// Want is the demand of one instance on one backend server.
+// Want is one instance's demand for slots of one backend server.
 type Want struct {
 	BackendServer string
-	// Slots is the size of the backend server.
+	// Slots is the number of slots of the backend server.
 	Slots int
-	// InFlight is what the instance uses now.
+	// InFlight is the number of slots that the instance uses now.
 	InFlight int
-	// Wanted is how many it wants in all.
+	// Wanted is the total number of slots that it wants.
 	Wanted int
-	// Lend lets the owner count on the share of the instance.
+	// Lend allows the owner to grant the instance's share to others.
 	Lend bool
 }
 
-// Grant lets an instance use slots of a backend server for a while.
+// Grant allows an instance to use slots of a backend server for a limited time.
 type Grant struct {
 	BackendServer string
 	Slots         int
 	Validity      time.Duration
 }
 
-// Owner grants the slots of the backend servers that other instances ask it
-// for. It needs not know whether it is the owner: it grants what was lent to it.
+// Owner grants the slots of backend servers to the instances that demand them.
+// It does not need to know whether it owns a backend server: it only grants
+// shares that were lent to it.
 type Owner struct {
 	members *Members
-	// readyAt is when grants of an earlier process of the same id have lapsed.
-	readyAt time.Time
-	serial  uint64
-	callers map[string]*caller
-	servers map[string]map[string]*hold
+	// readyAt is the time at which all grants of an earlier process with the
+	// same id have expired.
+	readyAt   time.Time
+	serial    uint64
+	instances map[string]*instanceState
+	servers   map[string]map[string]*allocation
 }
 
-// caller is what the owner remembers of one instance.
-type caller struct {
+// instanceState holds the serial and the time of the last answer to one instance.
+type instanceState struct {
 	serial uint64
 	sentAt time.Time
 }
 
-// hold is what one instance lent, wants and was granted of one backend server.
-type hold struct {
-	// loanEnds is when the loan of the instance's share ends.
+// allocation is the slots of one backend server that one instance lent, wants
+// and was granted.
+type allocation struct {
+	// loanEnds is the time at which the loan of the instance's share ends.
 	loanEnds time.Time
 	inFlight int
 	wanted   int
-	// granted is the last grant; grantEnds is when the instance has let it lapse.
+	// granted is the last grant. By grantEnds it has expired at the instance.
 	granted   int
 	grantEnds time.Time
-	// earlier is the largest grant before, which the instance goes by until it
-	// shows that it has received the last one.
-	earlier     int
-	earlierEnds time.Time
+	// earlierGranted is the largest grant before the last one. The instance may
+	// still use it until it confirms that it has received the last one.
+	earlierGranted   int
+	earlierGrantEnds time.Time
 }
 
-// NewOwner returns an owner that grants nothing before GrantValidity has
-// passed. Serial must differ from that of every earlier process of the same id
-// by more than the number of answers; the incarnation shifted left does.
+// NewOwner returns an owner that grants nothing until GrantValidity has passed.
+// The serial must differ from that of every earlier process with the same id by
+// more than the number of answers; the incarnation shifted left satisfies this.
 func NewOwner(members *Members, serial uint64, now time.Time) *Owner {
 	return &Owner{
 		members: members, readyAt: now.Add(GrantValidity + LoanMargin), serial: serial,
-		callers: make(map[string]*caller), servers: make(map[string]map[string]*hold),
+		instances: make(map[string]*instanceState), servers: make(map[string]map[string]*allocation),
 	}
 }
 
-// Demand takes in the demand of an instance and returns its grants and the
-// serial to echo. The echo shows which answer the instance has received, and so
-// how old the demand can be at most: a loan counts from when that answer left.
+// Demand processes the demand of an instance and returns its grants and the
+// serial to echo. The echo identifies the last answer that the instance has
+// received, which bounds the age of the demand: a loan is counted from the
+// sending of that answer.
 func (o *Owner) Demand(from string, echo uint64, wants []Want, now time.Time) ([]Grant, uint64) {
-	link, ok := o.callers[from]
+	state, ok := o.instances[from]
 	if !ok {
-		link = &caller{}
-		o.callers[from] = link
+		state = &instanceState{}
+		o.instances[from] = state
 	}
-	confirmed := link.serial != 0 && echo == link.serial
+	confirmed := state.serial != 0 && echo == state.serial
 	loanEnds := time.Time{}
 	if confirmed {
-		loanEnds = link.sentAt.Add(LoanLength - LoanMargin)
+		loanEnds = state.sentAt.Add(LoanDuration - LoanMargin)
 	}
 	grants := make([]Grant, 0, len(wants))
 	for _, want := range wants {
-		own := o.holdOf(want.BackendServer, from)
-		own.confirm(confirmed)
-		own.inFlight = want.InFlight
-		own.wanted = min(want.Wanted, MaxPerInstance)
-		if want.Lend && loanEnds.After(own.loanEnds) {
-			own.loanEnds = loanEnds
+		alloc := o.allocationOf(want.BackendServer, from)
+		alloc.confirm(confirmed)
+		alloc.inFlight = want.InFlight
+		alloc.wanted = min(want.Wanted, MaxPerInstance)
+		if want.Lend && loanEnds.After(alloc.loanEnds) {
+			alloc.loanEnds = loanEnds
 		}
-		grants = append(grants, o.grant(from, own, want, now))
+		grants = append(grants, o.grant(from, alloc, want, now))
 	}
 	o.serial++
-	link.serial, link.sentAt = o.serial, now
+	state.serial, state.sentAt = o.serial, now
 	return grants, o.serial
 }
 
-func (o *Owner) holdOf(server, instance string) *hold {
-	holds, ok := o.servers[server]
+func (o *Owner) allocationOf(server, instance string) *allocation {
+	allocations, ok := o.servers[server]
 	if !ok {
-		holds = make(map[string]*hold)
-		o.servers[server] = holds
+		allocations = make(map[string]*allocation)
+		o.servers[server] = allocations
 	}
-	own, ok := holds[instance]
+	alloc, ok := allocations[instance]
 	if !ok {
-		own = &hold{}
-		holds[instance] = own
+		alloc = &allocation{}
+		allocations[instance] = alloc
 	}
-	return own
+	return alloc
 }
 
-// confirm moves the last grant to the earlier ones. If the instance has received
-// it, it has replaced what was granted before.
-func (h *hold) confirm(received bool) {
+// confirm adds the last grant to the earlier ones, or replaces them with it if
+// the instance has received it.
+func (a *allocation) confirm(received bool) {
 	if received {
-		h.earlier, h.earlierEnds = h.granted, h.grantEnds
+		a.earlierGranted, a.earlierGrantEnds = a.granted, a.grantEnds
 		return
 	}
-	h.earlier = max(h.earlier, h.granted)
-	if h.grantEnds.After(h.earlierEnds) {
-		h.earlierEnds = h.grantEnds
+	a.earlierGranted = max(a.earlierGranted, a.granted)
+	if a.grantEnds.After(a.earlierGrantEnds) {
+		a.earlierGrantEnds = a.grantEnds
 	}
 }
 
-func (o *Owner) grant(from string, own *hold, want Want, now time.Time) Grant {
-	own.granted, own.grantEnds = 0, now.Add(GrantValidity)
+func (o *Owner) grant(from string, alloc *allocation, want Want, now time.Time) Grant {
+	alloc.granted, alloc.grantEnds = 0, now.Add(GrantValidity)
 	if !now.Before(o.readyAt) {
 		budget, free := o.budget(want.BackendServer, from, want.Slots, now)
-		own.granted = max(0, min(o.target(want.BackendServer, from, budget, now), free))
+		alloc.granted = max(0, min(o.target(want.BackendServer, from, budget, now), free))
 	}
-	return Grant{BackendServer: want.BackendServer, Slots: own.granted, Validity: GrantValidity}
+	return Grant{BackendServer: want.BackendServer, Slots: alloc.granted, Validity: GrantValidity}
 }
 
-// budget returns the sum of the shares that are lent for at least the life of a
-// grant, and what of it no other instance holds.
+// budget returns the sum of the shares lent for at least GrantValidity, and the
+// part of it that other instances do not hold.
 func (o *Owner) budget(server, from string, slots int, now time.Time) (budget, free int) {
-	held := 0
+	heldByOthers := 0
 	for id, other := range o.servers[server] {
 		if !other.loanEnds.Before(now.Add(GrantValidity)) {
 			budget += o.members.Share(id, server, slots, now)
 		}
 		if id != from {
-			held += other.outstanding(now)
+			heldByOthers += other.outstanding(now)
 		}
 	}
-	return budget, budget - held
+	return budget, budget - heldByOthers
 }
 
-// outstanding is what the instance may be using now.
-func (h *hold) outstanding(now time.Time) int {
-	using := 0
-	if !now.After(h.loanEnds) || !now.After(h.grantEnds) {
-		using = h.inFlight
+// outstanding returns the number of slots that the instance may be using now.
+func (a *allocation) outstanding(now time.Time) int {
+	inUse := 0
+	if !now.After(a.loanEnds) || !now.After(a.grantEnds) {
+		inUse = a.inFlight
 	}
-	if !now.After(h.grantEnds) {
-		using = max(using, h.granted)
+	if !now.After(a.grantEnds) {
+		inUse = max(inUse, a.granted)
 	}
-	if !now.After(h.earlierEnds) {
-		using = max(using, h.earlier)
+	if !now.After(a.earlierGrantEnds) {
+		inUse = max(inUse, a.earlierGranted)
 	}
-	return using
+	return inUse
 }
 
-// target divides budget max-min fairly by demand, then spreads the rest evenly
-// so that an idle instance can dispatch without asking first.
+// target divides budget by demand with max-min fairness, then distributes the
+// rest evenly, so that an idle instance can dispatch without a demand first. It
+// returns the part for the instance from.
 func (o *Owner) target(server, from string, budget int, now time.Time) int {
-	holds := o.servers[server]
-	ids := make([]string, 0, len(holds))
-	for id, h := range holds {
-		if id == from || now.Before(h.grantEnds) {
+	allocations := o.servers[server]
+	ids := make([]string, 0, len(allocations))
+	for id, alloc := range allocations {
+		if id == from || now.Before(alloc.grantEnds) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
-	first := turned(0, len(ids), server)
-	ids = append(ids[first:], ids[:first]...)
-	given := make([]int, len(ids))
-	budget = spread(budget, given, func(i int) int { return holds[ids[i]].wanted })
-	spread(budget, given, func(int) int { return MaxPerInstance })
-	return given[slices.Index(ids, from)]
+	offset := rotatedRank(0, len(ids), server)
+	ids = append(ids[offset:], ids[:offset]...)
+	assigned := make([]int, len(ids))
+	budget = distribute(budget, assigned, func(i int) int { return allocations[ids[i]].wanted })
+	distribute(budget, assigned, func(int) int { return MaxPerInstance })
+	return assigned[slices.Index(ids, from)]
 }
 
-// spread gives out budget one by one in turns, up to the limit of each, and
-// returns what is left.
-func spread(budget int, given []int, limit func(i int) int) int {
+// distribute assigns budget round-robin, one slot at a time, up to the limit of
+// each instance, and returns the rest.
+func distribute(budget int, assigned []int, limit func(i int) int) int {
 	for progress := true; progress && budget > 0; {
 		progress = false
-		for i := range given {
-			if budget > 0 && given[i] < limit(i) {
-				given[i]++
+		for i := range assigned {
+			if budget > 0 && assigned[i] < limit(i) {
+				assigned[i]++
 				budget--
 				progress = true
 			}
@@ -198,16 +203,16 @@
 	return budget
 }
 
-// Forget drops what is known of backend servers that are gone and of instances
-// whose loans and grants have ended.
+// Forget removes the state of instances whose loans and grants have ended, and
+// of backend servers that no instance has state for.
 func (o *Owner) Forget(now time.Time) {
-	for server, holds := range o.servers {
-		for id, h := range holds {
-			if now.After(h.loanEnds) && now.After(h.grantEnds) {
-				delete(holds, id)
+	for server, allocations := range o.servers {
+		for id, alloc := range allocations {
+			if now.After(alloc.loanEnds) && now.After(alloc.grantEnds) {
+				delete(allocations, id)
 			}
 		}
-		if len(holds) == 0 {
+		if len(allocations) == 0 {
 			delete(o.servers, server)
 		}
 	}
