--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,13 +1,14 @@
-// Package admission decides what an entry instance lets in, what waits and for
-// how long, whose turn it is, and what is turned away. It is pure: the time is
-// passed in, and the caller serializes the calls.
+// Package admission decides which requests an entry instance accepts, how long
+// they may wait, in which order they are dispatched and which are refused. It
+// does no I/O: the time is passed in, and the caller must serialize the calls.
 //
-// Load pattern: one client account, or one sort of work, sends more than the
-// backend servers can carry, while others stay inside their share.
+// Load pattern: one client account, or one kind of work, sends more requests than
+// the backend servers can process, while others stay within their share.
 //
-// Without it a single first-come queue grows until every request in it is past
-// its deadline when its turn comes: the servers stay busy and nobody gets an
-// answer in time. The account with the most load also gets the most service.
+// Without admission, a single first-come queue grows until every request in it
+// has passed its deadline by the time of its turn: the servers stay busy and no
+// caller gets an answer in time. The account with the most load also gets the
+// most service.
 //
 // Thresholds: see the constants below; docs/design/011-requests-under-load.md
 // has the measurement behind each.
@@ -22,23 +23,24 @@
 )
 
 const (
-	// DefaultMaxQueued bounds an account's waiting requests in one instance, for
-	// its memory only: what cannot be served in time is refused by deadline. A
-	// bound of 200 refused half of a burst whose deadlines could all be met.
+	// DefaultMaxQueued bounds an account's waiting requests in one instance. It
+	// only limits memory, as requests that cannot be served in time are refused
+	// by deadline. A limit of 200 refused half of a burst whose deadlines could
+	// all be met.
 	DefaultMaxQueued = 2000
-	// MinRetryAfter keeps refused callers from coming back in a tight loop.
+	// MinRetryAfter keeps refused callers from retrying in a tight loop.
 	MinRetryAfter = 200 * time.Millisecond
-	// minLeft is the least part of its share that an account is taken to have
-	// for requests that others go ahead of.
-	// At 0.05 one in twenty requests at a load of 1 was refused for nothing; at 1
-	// four times as many ended unknown at a load of 1.5.
-	minLeft = 0.3
-	// MaxRetryAfter bounds the computed time to come back: a backlog estimate
-	// says nothing about a time further away.
+	// minRemainingShare is the smallest part of its share that an account is
+	// assumed to have left for requests that others overtake. At 0.05, one in
+	// twenty requests at a load of 1 was refused unnecessarily; at 1, four times
+	// as many requests ended as unknown at a load of 1.5.
+	minRemainingShare = 0.3
+	// MaxRetryAfter bounds the computed time before a retry: an estimate from
+	// the backlog is meaningless for a longer time.
 	MaxRetryAfter = 60 * time.Second
 )
 
-// Request is what admission has to know of a caller's request.
+// Request holds the properties of a caller's request that admission needs.
 type Request struct {
 	ID      string
 	Account string
@@ -46,12 +48,14 @@
 	// Priority orders requests within the account; higher goes first.
 	Priority int
 	Arrived  time.Time
-	// Deadline is when the answer is due. It must be set.
+	// Deadline is the time by which the caller must have its answer. It must be
+	// set.
 	Deadline time.Time
-	// MaxWait bounds the wait for a turn; zero means no bound but the deadline.
+	// MaxWait bounds the time in the queue; zero means that only the deadline
+	// does.
 	MaxWait time.Duration
-	// MaxQueued bounds the account's waiting requests; zero means no bound by
-	// the rule that let the request in.
+	// MaxQueued bounds the account's waiting requests; zero means that the rule
+	// that accepted the request sets no limit.
 	MaxQueued int
 	// Rule is the name of that rule.
 	Rule string
@@ -59,28 +63,28 @@
 
 // Limits are the limits of one client account in this instance.
 type Limits struct {
-	// Weight is the account's share when accounts compete; zero means 1.
+	// Weight is the account's relative share when accounts compete; zero means 1.
 	Weight int
-	// MaxInFlight bounds its dispatched requests; zero means no bound.
+	// MaxInFlight bounds its dispatched requests; zero means no limit.
 	MaxInFlight int
 	// MaxQueued bounds its waiting requests; zero means DefaultMaxQueued.
 	MaxQueued int
 }
 
-// Refusal is the final answer to a request that admission gives up on. It
-// goes to the caller at once.
+// Refusal is the final answer to a request that admission does not dispatch. It
+// is returned to the caller at once.
 type Refusal struct {
 	Request Request
 	Kind    api.Kind
 	Reason  string
-	// RetryAfter is when the backlog is expected to leave room.
+	// RetryAfter is the time until the backlog is expected to be processed.
 	RetryAfter time.Duration
 }
 
-// Policy switches single decisions off, for measuring what each is worth. The
-// zero value has all of them on.
+// Policy disables individual decisions, to measure the value of each. The zero
+// value enables all of them.
 type Policy struct {
-	// NoFairness puts the requests of all accounts into one order.
+	// NoFairness serves the requests of all accounts in one common order.
 	NoFairness bool
 	// NoDeadlineOrder serves an account's requests in the order of arrival.
 	NoDeadlineOrder bool
@@ -88,24 +92,25 @@
 	NoShedding bool
 }
 
-// Queue holds the waiting requests of one entry instance. Its methods must not
-// be called concurrently.
+// Queue holds the waiting requests of one entry instance and shares the service
+// between the accounts by weight. Its methods must not be called concurrently.
 type Queue struct {
-	policy   Policy
-	accounts map[string]*account
-	entries  map[string]*entry
-	running  map[string]turn
-	expiry   entryHeap
-	times    *ServiceTimes
-	// virtual is the virtual time of the last turn: service received, in
-	// seconds, over weight.
-	virtual  float64
-	capacity int
-	sequence uint64
-}
-
-// turn is what a request was charged when its turn came.
-type turn struct {
+	policy       Policy
+	accounts     map[string]*account
+	entries      map[string]*entry
+	running      map[string]runningRequest
+	expiry       entryHeap
+	serviceTimes *ServiceTimes
+	// virtualTime is the virtual time of the account served last: service
+	// received, in seconds, divided by weight.
+	virtualTime float64
+	capacity    int
+	sequence    uint64
+}
+
+// runningRequest records the service time that a request was charged when it was
+// dispatched, in seconds.
+type runningRequest struct {
 	account *account
 	kind    string
 	charged float64
@@ -115,65 +120,68 @@
 type account struct {
 	name   string
 	limits Limits
-	// received is the account's virtual time.
-	received float64
-	inFlight int
-	waiting  entryHeap
-	// backlog is the expected service of its waiting requests, in seconds.
+	// virtualTime is the service received, in seconds, divided by weight.
+	virtualTime float64
+	inFlight    int
+	waiting     entryHeap
+	// backlog is the expected service time of its waiting requests, in seconds.
 	backlog float64
 	inflow  inflow
 }
 
 // entry is one waiting request.
 type entry struct {
-	request  Request
-	account  *account
-	cost     float64
-	giveUpAt time.Time
-	sequence uint64
-	// position is the index in the account's heap and in the expiry heap.
-	position [2]int
+	request   Request
+	account   *account
+	cost      float64
+	expiresAt time.Time
+	sequence  uint64
+	// positions are the indices in the account's heap and in the expiry heap.
+	positions [2]int
 }
 
-// NewQueue returns an empty queue that charges requests by times.
+// NewQueue returns an empty queue that takes its run time estimates from times.
 func NewQueue(policy Policy, times *ServiceTimes) *Queue {
 	queue := &Queue{
 		policy: policy, accounts: make(map[string]*account), entries: make(map[string]*entry),
-		running: make(map[string]turn), times: times, capacity: 1,
+		running: make(map[string]runningRequest), serviceTimes: times, capacity: 1,
 	}
-	queue.expiry = entryHeap{slot: slotExpiry, less: func(a, b *entry) bool { return a.giveUpAt.Before(b.giveUpAt) }}
+	queue.expiry = entryHeap{id: expiryHeap, less: func(a, b *entry) bool { return a.expiresAt.Before(b.expiresAt) }}
 	return queue
 }
 
-// SetLimits sets the limits of an account. It takes effect at once.
+// SetLimits sets the limits of an account, effective immediately.
 func (q *Queue) SetLimits(name string, limits Limits) {
 	q.account(name).limits = limits
 }
 
-// SetCapacity tells how many requests this instance may run at the same time.
+// SetCapacity sets how many requests this instance may run at the same time, at
+// least one.
 func (q *Queue) SetCapacity(slots int) { q.capacity = max(slots, 1) }
 
 // Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return len(q.entries) }
 
-// InFlight returns the number of requests whose turn came and that have not
+// InFlight returns the number of requests that Next returned and that have not
 // finished.
 func (q *Queue) InFlight() int { return len(q.running) }
 
-// Load is the load level: requests in flight and waiting over capacity.
+// Load returns the load level: requests in flight and waiting divided by
+// capacity.
 func (q *Queue) Load() float64 {
 	return float64(len(q.running)+len(q.entries)) / float64(q.capacity)
 }
 
-// Expected returns the mean run time of requests like this one.
+// Expected returns the mean run time of requests of the same account and kind.
 func (q *Queue) Expected(request Request) time.Duration {
-	return q.times.Mean(request.Account, request.Kind)
+	return q.serviceTimes.Mean(request.Account, request.Kind)
 }
 
-// Check says whether Offer would refuse the request now, without queueing it.
+// Check returns the refusal with which Offer would answer now, or nil. It does
+// not queue the request.
 func (q *Queue) Check(request Request, now time.Time) *Refusal {
 	acct := q.account(request.Account)
-	if refusal := q.full(acct, request); refusal != nil {
+	if refusal := q.checkQueueLimit(acct, request); refusal != nil {
 		return refusal
 	}
 	if q.policy.NoShedding {
@@ -197,8 +205,8 @@
 		fmt.Sprintf("a wait of %v or more exceeds the rule's %v", wait.Round(time.Millisecond), request.MaxWait))
 }
 
-// full applies the queue limits.
-func (q *Queue) full(acct *account, request Request) *Refusal {
+// checkQueueLimit returns a refusal if the account's queue is full.
+func (q *Queue) checkQueueLimit(acct *account, request Request) *Refusal {
 	limit := acct.limits.MaxQueued
 	if limit == 0 {
 		limit = DefaultMaxQueued
@@ -212,31 +220,31 @@
 	return q.refuse(acct, request, api.KindQueueFull, fmt.Sprintf("%d requests of the account wait already", limit))
 }
 
-// Offer queues the request, or refuses it at once. IDs must be unique among
+// Offer queues the request, or refuses it at once. The id must be unique among
 // the waiting requests.
 func (q *Queue) Offer(request Request, now time.Time) *Refusal {
 	if refusal := q.Check(request, now); refusal != nil {
 		return refusal
 	}
-	q.account(request.Account).inflow.add(request, q.times.Mean(request.Account, request.Kind), now)
+	q.account(request.Account).inflow.add(request, q.serviceTimes.Mean(request.Account, request.Kind), now)
 	q.push(request)
 	return nil
 }
 
-// Restore queues a request that had been let in before and is to be tried again.
-// Queue limits do not apply again.
+// Restore queues a request that was accepted before and is to be dispatched
+// again. Queue limits do not apply.
 func (q *Queue) Restore(request Request) { q.push(request) }
 
 func (q *Queue) push(request Request) {
 	acct := q.account(request.Account)
 	if acct.waiting.Len() == 0 {
-		acct.received = max(acct.received, q.virtual)
+		acct.virtualTime = max(acct.virtualTime, q.virtualTime)
 	}
 	q.sequence++
 	item := &entry{
 		request: request, account: acct, sequence: q.sequence,
-		cost:     q.times.Mean(request.Account, request.Kind).Seconds(),
-		giveUpAt: q.giveUpAt(request),
+		cost:      q.serviceTimes.Mean(request.Account, request.Kind).Seconds(),
+		expiresAt: q.expiryOf(request),
 	}
 	heap.Push(&acct.waiting, item)
 	heap.Push(&q.expiry, item)
@@ -244,31 +252,32 @@
 	acct.backlog += item.cost
 }
 
-// giveUpAt is the moment from which the request is not worth its turn.
-func (q *Queue) giveUpAt(request Request) time.Time {
-	at := request.Deadline
+// expiryOf returns the time from which a dispatch of the request is too late.
+func (q *Queue) expiryOf(request Request) time.Time {
+	expiresAt := request.Deadline
 	if !q.policy.NoShedding {
-		at = q.latestStart(request)
+		expiresAt = q.latestStart(request)
 	}
 	if request.MaxWait > 0 {
-		if limit := request.Arrived.Add(request.MaxWait); limit.Before(at) {
+		if limit := request.Arrived.Add(request.MaxWait); limit.Before(expiresAt) {
 			return limit
 		}
 	}
-	return at
+	return expiresAt
 }
 
-// latestStart is when the request must have its turn to be answered in time, by
-// a high quantile of its kind's run time. The reserve takes at most two thirds of the
-// time that the request came with, unless the mean itself is longer: a kind with
-// a few very long runs is not refused by an idle system.
+// latestStart returns the time by which the request must be dispatched to be
+// answered in time, based on a high quantile of its kind's run time. This reserve
+// is at most two thirds of the time between arrival and deadline, unless the mean
+// run time is longer, so that an idle system does not refuse a kind that has a
+// few very long runs.
 func (q *Queue) latestStart(request Request) time.Time {
-	reserve := min(q.times.High(request.Account, request.Kind), request.Deadline.Sub(request.Arrived)*2/3)
-	return request.Deadline.Add(-max(reserve, q.times.Mean(request.Account, request.Kind)))
+	reserve := min(q.serviceTimes.HighQuantile(request.Account, request.Kind), request.Deadline.Sub(request.Arrived)*2/3)
+	return request.Deadline.Add(-max(reserve, q.serviceTimes.Mean(request.Account, request.Kind)))
 }
 
-// Next removes and returns the request whose turn it is. The caller has a free
-// slot for it, and calls Finish when the slot is free again.
+// Next removes and returns the next request to dispatch. The caller must have a
+// free slot for it, and must call Finish when the slot is free again.
 func (q *Queue) Next() (Request, bool) {
 	best := q.nextAccount()
 	if best == nil {
@@ -276,72 +285,74 @@
 	}
 	item := best.waiting.items[0]
 	q.remove(item)
-	q.virtual = max(q.virtual, best.received)
-	charged := q.times.Mean(best.name, item.request.Kind).Seconds()
-	best.received += charged / best.weight()
+	q.virtualTime = max(q.virtualTime, best.virtualTime)
+	charged := q.serviceTimes.Mean(best.name, item.request.Kind).Seconds()
+	best.virtualTime += charged / best.weight()
 	best.inFlight++
-	q.running[item.request.ID] = turn{account: best, kind: item.request.Kind, charged: charged}
+	q.running[item.request.ID] = runningRequest{account: best, kind: item.request.Kind, charged: charged}
 	return item.request, true
 }
 
-// nextAccount returns the account with the least service received for its
-// weight, of those that have a request to run.
+// nextAccount returns the account with the least virtual time among those that
+// may dispatch a waiting request, or nil.
 func (q *Queue) nextAccount() *account {
 	var best *account
 	for _, acct := range q.accounts {
 		if acct.waiting.Len() == 0 || acct.atLimit() {
 			continue
 		}
-		if best == nil || q.before(acct, best) {
+		if best == nil || q.servedBefore(acct, best) {
 			best = acct
 		}
 	}
 	return best
 }
 
-// before orders two accounts that both have a request waiting.
-func (q *Queue) before(a, b *account) bool {
+// servedBefore reports whether a is served before b. Both must have a waiting
+// request.
+func (q *Queue) servedBefore(a, b *account) bool {
 	if q.policy.NoFairness {
 		return a.waiting.less(a.waiting.items[0], b.waiting.items[0])
 	}
-	if a.received != b.received {
-		return a.received < b.received
+	if a.virtualTime != b.virtualTime {
+		return a.virtualTime < b.virtualTime
 	}
 	return a.name < b.name
 }
 
-// Finish ends the turn of a request. The true service time corrects what the
-// turn was charged; zero means that the request did not run.
+// Finish records that a request no longer uses its slot. The account is charged
+// the actual service time in place of the expected one; zero means that the
+// request did not run.
 func (q *Queue) Finish(id string, service time.Duration) {
-	ended, ok := q.running[id]
+	finished, ok := q.running[id]
 	if !ok {
 		return
 	}
 	delete(q.running, id)
-	acct := ended.account
+	acct := finished.account
 	acct.inFlight--
-	acct.received += (service.Seconds() - ended.charged) / acct.weight()
+	acct.virtualTime += (service.Seconds() - finished.charged) / acct.weight()
 	if service > 0 {
-		q.times.Observe(acct.name, ended.kind, service)
+		q.serviceTimes.Observe(acct.name, finished.kind, service)
 	}
 }
 
-// Expire removes and returns every request that is not worth its turn any
-// more, in the order of that moment.
+// Expire removes the requests that can no longer be answered in time or have
+// waited too long, and returns their refusals in order of expiry.
 func (q *Queue) Expire(now time.Time) []Refusal {
 	var refusals []Refusal
 	for q.expiry.Len() > 0 {
 		item := q.expiry.items[0]
-		if item.giveUpAt.After(now) {
+		if item.expiresAt.After(now) {
 			break
 		}
 		q.remove(item)
-		refusals = append(refusals, *q.expired(item, now))
+		refusals = append(refusals, *q.expiryRefusal(item, now))
 	}
 	return refusals
 }
 
-func (q *Queue) expired(item *entry, now time.Time) *Refusal {
+func (q *Queue) expiryRefusal(item *entry, now time.Time) *Refusal {
 	waited := now.Sub(item.request.Arrived).Round(time.Millisecond)
 	if item.request.MaxWait > 0 && !now.Before(item.request.Arrived.Add(item.request.MaxWait)) {
 		return q.refuse(item.account, item.request, api.KindQueueTimeout, fmt.Sprintf("waited %v, as long as the rule allows", waited))
@@ -350,16 +361,17 @@
 		fmt.Sprintf("after %v of waiting the time left is shorter than the expected run time", waited))
 }
 
-// NextExpiry returns when Expire has something to return, if ever.
+// NextExpiry returns the time at which the next request expires, and false if
+// none is waiting.
 func (q *Queue) NextExpiry() (time.Time, bool) {
 	if q.expiry.Len() == 0 {
 		return time.Time{}, false
 	}
-	return q.expiry.items[0].giveUpAt, true
+	return q.expiry.items[0].expiresAt, true
 }
 
-// Cancel removes a waiting request whose caller went away. It reports whether
-// the request was waiting.
+// Cancel removes a waiting request whose caller no longer waits for it. It
+// reports whether the request was waiting.
 func (q *Queue) Cancel(id string) bool {
 	item, ok := q.entries[id]
 	if ok {
@@ -369,48 +381,47 @@
 }
 
 func (q *Queue) remove(item *entry) {
-	heap.Remove(&item.account.waiting, item.position[slotAccount])
-	heap.Remove(&q.expiry, item.position[slotExpiry])
+	heap.Remove(&item.account.waiting, item.positions[accountHeap])
+	heap.Remove(&q.expiry, item.positions[expiryHeap])
 	delete(q.entries, item.request.ID)
 	item.account.backlog = max(0, item.account.backlog-item.cost)
 }
 
-// expectedWait estimates the wait of a request that joins now: the expected
-// service ahead of it in its account, over what the account's share of the slots
-// leaves besides the requests that come later and go ahead. It looks no further
-// once the answer is clear: the result is then a bound on the same side of
-// allowed.
+// expectedWait estimates the wait of a request that joins the queue now: the
+// expected service ahead of it in its account, divided by remainingSlots. It
+// stops counting once the result is known to be above or below allowed, and then
+// returns a bound on the same side of allowed.
 func (q *Queue) expectedWait(acct *account, request Request, allowed time.Duration, now time.Time) time.Duration {
 	if len(q.running) < q.capacity && len(q.entries) == 0 && !acct.atLimit() {
 		return 0
 	}
-	left := q.slotsLeft(acct, request, now)
-	if most := seconds(acct.backlog / left); most <= allowed {
-		return most
+	slots := q.remainingSlots(acct, request, now)
+	if upperBound := secondsToDuration(acct.backlog / slots); upperBound <= allowed {
+		return upperBound
 	}
-	enough := allowed.Seconds() * left
-	probe := &entry{request: request, account: acct, sequence: q.sequence + 1}
+	maxAhead := allowed.Seconds() * slots
+	candidate := &entry{request: request, account: acct, sequence: q.sequence + 1}
 	ahead := 0.0
 	for _, item := range acct.waiting.items {
-		if acct.waiting.less(item, probe) {
+		if acct.waiting.less(item, candidate) {
 			ahead += item.cost
 		}
-		if ahead > enough {
+		if ahead > maxAhead {
 			break
 		}
 	}
-	return seconds(ahead / left)
+	return secondsToDuration(ahead / slots)
 }
 
-// slotsLeft is what the account's share of the slots leaves besides the requests
-// that come later and go ahead.
-func (q *Queue) slotsLeft(acct *account, request Request, now time.Time) float64 {
+// remainingSlots returns the account's share of the slots, less the slots used by
+// requests that arrive later and overtake this one.
+func (q *Queue) remainingSlots(acct *account, request Request, now time.Time) float64 {
 	share := q.slotShare(acct)
-	return max(share-acct.inflow.ahead(request, now), minLeft*share)
+	return max(share-acct.inflow.rateAhead(request, now), minRemainingShare*share)
 }
 
-// slotShare is how many slots the account gets while the present accounts
-// compete.
+// slotShare returns the number of slots that the account gets in competition with
+// the accounts that have waiting requests.
 func (q *Queue) slotShare(acct *account) float64 {
 	total := acct.weight()
 	for _, other := range q.accounts {
@@ -425,27 +436,28 @@
 	return share
 }
 
-// refuse computes the time to come back: when the account's backlog has run.
+// refuse returns a refusal whose RetryAfter is the expected time until the
+// account's backlog has been processed.
 func (q *Queue) refuse(acct *account, request Request, kind api.Kind, reason string) *Refusal {
-	after := seconds(acct.backlog / q.slotShare(acct))
+	retryAfter := secondsToDuration(acct.backlog / q.slotShare(acct))
 	return &Refusal{
 		Request: request, Kind: kind, Reason: reason,
-		RetryAfter: min(max(after, MinRetryAfter), MaxRetryAfter),
+		RetryAfter: min(max(retryAfter, MinRetryAfter), MaxRetryAfter),
 	}
 }
 
 func (q *Queue) account(name string) *account {
 	acct, ok := q.accounts[name]
 	if !ok {
-		acct = &account{name: name, waiting: entryHeap{slot: slotAccount, less: q.order()}}
+		acct = &account{name: name, waiting: entryHeap{id: accountHeap, less: q.entryOrder()}}
 		q.accounts[name] = acct
 	}
 	return acct
 }
 
-// order is the order within an account: priority, then the earliest deadline,
-// then arrival.
-func (q *Queue) order() func(a, b *entry) bool {
+// entryOrder returns the order within an account: by priority, then earliest
+// deadline, then arrival.
+func (q *Queue) entryOrder() func(a, b *entry) bool {
 	return func(a, b *entry) bool {
 		if a.request.Priority != b.request.Priority {
 			return a.request.Priority > b.request.Priority
@@ -463,4 +475,4 @@
 	return a.limits.MaxInFlight > 0 && a.inFlight >= a.limits.MaxInFlight
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,12 +16,12 @@
 	return Request{ID: id, Account: account, Kind: "check", Arrived: start, Deadline: start.Add(deadline), Rule: "all"}
 }
 
-// learned returns a queue that has seen the given run time often.
-func learned(policy Policy, slots int, took time.Duration, accounts ...string) *Queue {
+// newLearnedQueue returns a queue with many observations of the given run time.
+func newLearnedQueue(policy Policy, slots int, runTime time.Duration, accounts ...string) *Queue {
 	times := NewServiceTimes()
 	for _, account := range accounts {
 		for range 100 {
-			times.Observe(account, "check", took)
+			times.Observe(account, "check", runTime)
 		}
 	}
 	queue := NewQueue(policy, times)
@@ -29,7 +29,7 @@
 	return queue
 }
 
-func turns(q *Queue, n int) []string {
+func nextIDs(q *Queue, n int) []string {
 	var ids []string
 	for range n {
 		next, ok := q.Next()
@@ -41,27 +41,27 @@
 	return ids
 }
 
-func TestTurnsWithinAnAccountGoByPriorityThenDeadline(t *testing.T) {
-	q := learned(Policy{}, 10, 10*time.Millisecond, "a")
+func TestAccountIsServedByPriorityThenDeadline(t *testing.T) {
+	q := newLearnedQueue(Policy{}, 10, 10*time.Millisecond, "a")
 	urgent := request("urgent", "a", 9*time.Second)
 	urgent.Priority = 1
 	for _, r := range []Request{request("late", "a", 8*time.Second), request("soon", "a", time.Second), urgent, request("same", "a", time.Second)} {
 		assert.Assert(t, q.Offer(r, start) == nil)
 	}
-	assert.DeepEqual(t, turns(q, 9), []string{"urgent", "soon", "same", "late"})
+	assert.DeepEqual(t, nextIDs(q, 9), []string{"urgent", "soon", "same", "late"})
 }
 
-func TestAccountWithMostOfTheLoadGetsNoMoreThanItsWeight(t *testing.T) {
+func TestOverloadingAccountGetsNoMoreThanItsWeight(t *testing.T) {
 	for name, c := range map[string]struct {
-		policy Policy
-		least  int
+		policy   Policy
+		minSmall int
 	}{
-		"fair":                                {Policy{}, 25},
-		"planted fault: served by arrival":    {Policy{NoFairness: true}, -1},
-		"fair, with the order by arrival too": {Policy{NoDeadlineOrder: true}, 25},
+		"fair": {Policy{}, 25},
+		"planted fault: requests are served by arrival": {Policy{NoFairness: true}, -1},
+		"fair between accounts, by arrival within one":  {Policy{NoDeadlineOrder: true}, 25},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := learned(c.policy, 10, 10*time.Millisecond, "big", "small")
+			q := newLearnedQueue(c.policy, 10, 10*time.Millisecond, "big", "small")
 			for i := range 150 {
 				assert.Assert(t, q.Offer(request(fmt.Sprintf("big%03d", i), "big", time.Minute), start) == nil)
 			}
@@ -69,29 +69,29 @@
 				assert.Assert(t, q.Offer(request(fmt.Sprintf("small%03d", i), "small", time.Minute), start) == nil)
 			}
 			small := 0
-			for _, id := range turns(q, 50) {
+			for _, id := range nextIDs(q, 50) {
 				if id[:5] == "small" {
 					small++
 				}
 			}
-			if c.least < 0 {
+			if c.minSmall < 0 {
 				assert.Equal(t, small, 0)
 				return
 			}
-			assert.Assert(t, small >= c.least, "%d of 50 turns", small)
+			assert.Assert(t, small >= c.minSmall, "%d of 50 turns", small)
 		})
 	}
 }
 
-func TestWeightsShareTheTurns(t *testing.T) {
-	q := learned(Policy{}, 10, 10*time.Millisecond, "heavy", "light")
+func TestTurnsFollowWeights(t *testing.T) {
+	q := newLearnedQueue(Policy{}, 10, 10*time.Millisecond, "heavy", "light")
 	q.SetLimits("heavy", Limits{Weight: 3})
 	for i := range 100 {
 		q.Offer(request(fmt.Sprintf("h%d", i), "heavy", time.Minute), start)
 		q.Offer(request(fmt.Sprintf("l%d", i), "light", time.Minute), start)
 	}
 	heavy := 0
-	for _, id := range turns(q, 80) {
+	for _, id := range nextIDs(q, 80) {
 		if id[0] == 'h' {
 			heavy++
 		}
@@ -99,26 +99,26 @@
 	assert.Equal(t, heavy, 60)
 }
 
-func TestLongWorkIsChargedForWhatItTook(t *testing.T) {
+func TestAccountsAreChargedActualRunTime(t *testing.T) {
 	q := NewQueue(Policy{}, NewServiceTimes())
 	q.SetCapacity(1)
 	for i := range 40 {
 		q.Offer(request(fmt.Sprintf("l%d", i), "long", time.Hour), start)
 		q.Offer(request(fmt.Sprintf("s%d", i), "short", time.Hour), start)
 	}
-	took := map[byte]time.Duration{'l': time.Second, 's': 50 * time.Millisecond}
+	runTimes := map[byte]time.Duration{'l': time.Second, 's': 50 * time.Millisecond}
 	service := map[byte]time.Duration{}
 	for range 40 {
 		next, ok := q.Next()
 		assert.Assert(t, ok)
-		q.Finish(next.ID, took[next.ID[0]])
-		service[next.ID[0]] += took[next.ID[0]]
+		q.Finish(next.ID, runTimes[next.ID[0]])
+		service[next.ID[0]] += runTimes[next.ID[0]]
 	}
 	assert.Assert(t, service['l'] <= service['s']+2*time.Second, "long %v, short %v", service['l'], service['s'])
 }
 
-func TestQueueLimitRefusesAtOnceWithATimeToComeBack(t *testing.T) {
-	q := learned(Policy{}, 2, 100*time.Millisecond, "a")
+func TestQueueLimitRefusalHasRetryAfter(t *testing.T) {
+	q := newLearnedQueue(Policy{}, 2, 100*time.Millisecond, "a")
 	q.SetLimits("a", Limits{MaxQueued: 20})
 	var refusal *Refusal
 	for i := range 21 {
@@ -130,8 +130,8 @@
 	assert.Equal(t, q.Waiting(), 20)
 }
 
-func TestRuleBoundsTheQueueToo(t *testing.T) {
-	q := learned(Policy{}, 1, time.Millisecond, "a")
+func TestRuleLimitsQueue(t *testing.T) {
+	q := newLearnedQueue(Policy{}, 1, time.Millisecond, "a")
 	for i := range 3 {
 		r := request(fmt.Sprintf("r%d", i), "a", time.Minute)
 		r.MaxQueued = 2
@@ -140,51 +140,51 @@
 	}
 }
 
-func TestMaxInFlightHoldsAnAccountBack(t *testing.T) {
-	q := learned(Policy{}, 10, time.Millisecond, "a", "b")
+func TestMaxInFlightLimitsAccount(t *testing.T) {
+	q := newLearnedQueue(Policy{}, 10, time.Millisecond, "a", "b")
 	q.SetLimits("a", Limits{MaxInFlight: 1})
 	for i := range 3 {
 		q.Offer(request(fmt.Sprintf("a%d", i), "a", time.Minute), start)
 	}
 	q.Offer(request("b0", "b", time.Minute), start)
-	assert.DeepEqual(t, turns(q, 9), []string{"a0", "b0"})
+	assert.DeepEqual(t, nextIDs(q, 9), []string{"a0", "b0"})
 	q.Finish("a0", time.Millisecond)
-	assert.DeepEqual(t, turns(q, 9), []string{"a1"})
+	assert.DeepEqual(t, nextIDs(q, 9), []string{"a1"})
 }
 
-func TestSheddingAnswersAtOnce(t *testing.T) {
-	q := learned(Policy{}, 1, 100*time.Millisecond, "a")
+func TestUnreachableDeadlineIsRefusedAtOnce(t *testing.T) {
+	q := newLearnedQueue(Policy{}, 1, 100*time.Millisecond, "a")
 	for i := range 20 {
 		q.Offer(request(fmt.Sprintf("r%d", i), "a", time.Minute), start)
 	}
 	refusal := q.Offer(request("patient", "a", 61*time.Second), start)
 	assert.Assert(t, refusal == nil)
-	hopeless := request("hopeless", "a", 50*time.Millisecond)
-	refusal = q.Offer(hopeless, start)
+	unreachable := request("unreachable", "a", 50*time.Millisecond)
+	refusal = q.Offer(unreachable, start)
 	assert.Assert(t, refusal != nil)
 	assert.Equal(t, refusal.Kind, api.KindDeadlineUnreachable)
 	assert.Assert(t, refusal.RetryAfter >= MinRetryAfter)
 }
 
-func TestWaitingRequestIsGivenUpOnAsSoonAsItIsHopeless(t *testing.T) {
+func TestWaitingRequestExpiresOnceItCannotBeAnsweredInTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		policy  Policy
-		maxWait time.Duration
-		at      time.Duration
-		kind    api.Kind
+		policy       Policy
+		maxWait      time.Duration
+		expiresAfter time.Duration
+		kind         api.Kind
 	}{
-		"when the time left is shorter than the run time":         {Policy{}, 0, 900 * time.Millisecond, api.KindDeadlineUnreachable},
-		"after the wait that its rule allows":                     {Policy{}, 300 * time.Millisecond, 300 * time.Millisecond, api.KindQueueTimeout},
-		"planted fault: without shedding only after its deadline": {Policy{NoShedding: true}, 0, time.Second, api.KindDeadlineUnreachable},
+		"when the time left is shorter than the expected run time": {Policy{}, 0, 900 * time.Millisecond, api.KindDeadlineUnreachable},
+		"when it has waited as long as its rule allows":            {Policy{}, 300 * time.Millisecond, 300 * time.Millisecond, api.KindQueueTimeout},
+		"planted fault: without load shedding, at its deadline":    {Policy{NoShedding: true}, 0, time.Second, api.KindDeadlineUnreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := learned(c.policy, 1, 100*time.Millisecond, "a")
+			q := newLearnedQueue(c.policy, 1, 100*time.Millisecond, "a")
 			r := request("r", "a", time.Second)
 			r.MaxWait = c.maxWait
 			assert.Assert(t, q.Offer(r, start) == nil)
 			at, ok := q.NextExpiry()
 			assert.Assert(t, ok)
-			assert.Equal(t, at.Sub(start).Round(10*time.Millisecond), c.at)
+			assert.Equal(t, at.Sub(start).Round(10*time.Millisecond), c.expiresAfter)
 			assert.Equal(t, len(q.Expire(at.Add(-1))), 0)
 			refusals := q.Expire(at)
 			assert.Equal(t, len(refusals), 1)
@@ -194,8 +194,8 @@
 	}
 }
 
-func TestCancelRemovesAWaitingRequest(t *testing.T) {
-	q := learned(Policy{}, 1, time.Millisecond, "a")
+func TestCancelRemovesWaitingRequest(t *testing.T) {
+	q := newLearnedQueue(Policy{}, 1, time.Millisecond, "a")
 	q.Offer(request("r", "a", time.Second), start)
 	assert.Assert(t, q.Cancel("r"))
 	assert.Assert(t, !q.Cancel("r"))
@@ -203,23 +203,23 @@
 	assert.Assert(t, !ok)
 }
 
-func TestServiceTimesFollowTheLoad(t *testing.T) {
+func TestServiceTimesConverge(t *testing.T) {
 	times := NewServiceTimes()
 	assert.Equal(t, times.Mean("a", "k"), DefaultServiceTime)
 	for i := range 2000 {
-		took := 10 * time.Millisecond
+		runTime := 10 * time.Millisecond
 		if i%5 == 0 {
-			took = 100 * time.Millisecond
+			runTime = 100 * time.Millisecond
 		}
-		times.Observe("a", "k", took)
+		times.Observe("a", "k", runTime)
 	}
-	mean, high := times.Mean("a", "k"), times.High("a", "k")
+	mean, high := times.Mean("a", "k"), times.HighQuantile("a", "k")
 	assert.Assert(t, mean > 15*time.Millisecond && mean < 45*time.Millisecond, "mean %v", mean)
 	assert.Assert(t, high > 60*time.Millisecond && high < 110*time.Millisecond, "high %v", high)
 }
 
 func BenchmarkOfferAndNext(b *testing.B) {
-	q := learned(Policy{}, 50, 100*time.Millisecond, "a", "b", "c", "d")
+	q := newLearnedQueue(Policy{}, 50, 100*time.Millisecond, "a", "b", "c", "d")
 	names := []string{"a", "b", "c", "d"}
 	for i := range 200 {
 		q.Offer(request(fmt.Sprint("w", i), names[i%4], time.Minute), start)
--- a/internal/admission/heap.go
+++ b/internal/admission/heap.go
@@ -1,16 +1,16 @@
 package admission
 
-// The heaps that an entry is in, as indices of entry.position.
+// The heaps that contain an entry, as indices into entry.positions.
 const (
-	slotAccount = iota
-	slotExpiry
+	accountHeap = iota
+	expiryHeap
 )
 
-// entryHeap is a heap of entries that know their own position. It implements
-// heap.Interface.
+// entryHeap is a heap of entries that records in each entry its position. It
+// implements heap.Interface.
 type entryHeap struct {
 	items []*entry
-	slot  int
+	id    int
 	less  func(a, b *entry) bool
 }
 
@@ -23,14 +23,14 @@
 // Swap implements heap.Interface.
 func (h *entryHeap) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].position[h.slot] = i
-	h.items[j].position[h.slot] = j
+	h.items[i].positions[h.id] = i
+	h.items[j].positions[h.id] = j
 }
 
 // Push implements heap.Interface.
 func (h *entryHeap) Push(x any) {
 	item := x.(*entry)
-	item.position[h.slot] = len(h.items)
+	item.positions[h.id] = len(h.items)
 	h.items = append(h.items, item)
 }
 
--- a/internal/admission/servicetimes.go
+++ b/internal/admission/servicetimes.go
@@ -3,22 +3,25 @@
 import "time"
 
 const (
-	// DefaultServiceTime is assumed of a kind that was never seen.
+	// DefaultServiceTime is assumed for a kind without observations.
 	DefaultServiceTime = 50 * time.Millisecond
-	// meanGain is the weight of one observation in the mean: the last twenty
-	// or so count, which follows a change within a second at today's load.
+	// meanGain is the weight of one observation in the mean: about the last
+	// twenty count, so that the mean follows a change within a second at the
+	// current load.
 	meanGain = 0.05
-	// highQuantile is the quantile of High: one in a hundred requests of a kind
-	// takes longer than what shedding plans with. At 0.9 a tenth of the service
-	// at three times the load went to answers that came too late.
+	// highQuantile is the quantile that HighQuantile returns: one in a hundred
+	// requests of a kind takes longer than load shedding assumes. At 0.9, a tenth
+	// of the service at three times the load was spent on answers that came too
+	// late.
 	highQuantile = 0.99
-	// quantileGain is the step of the quantile estimate, as a part of the mean.
+	// quantileGain is the step of the quantile estimate, as a fraction of the
+	// mean.
 	quantileGain = 0.2
-	// maxKinds bounds the memory: beyond it, unknown kinds share the default.
+	// maxKinds limits memory: further kinds use the default.
 	maxKinds = 10000
 )
 
-// ServiceTimes learns how long requests of an account and kind run. It is not
+// ServiceTimes estimates the run times of requests by account and kind. It is not
 // safe for concurrent use.
 type ServiceTimes struct {
 	kinds map[kindKey]*serviceTime
@@ -29,15 +32,15 @@
 // serviceTime holds estimates in seconds.
 type serviceTime struct{ mean, high float64 }
 
-// NewServiceTimes returns estimates that know nothing yet.
+// NewServiceTimes returns estimates without observations.
 func NewServiceTimes() *ServiceTimes {
 	return &ServiceTimes{kinds: make(map[kindKey]*serviceTime)}
 }
 
-// Observe takes in one true run time.
+// Observe records one actual run time.
 func (s *ServiceTimes) Observe(account, kind string, took time.Duration) {
 	key := kindKey{account, kind}
-	seen, ok := s.kinds[key]
+	estimate, ok := s.kinds[key]
 	if !ok {
 		if len(s.kinds) < maxKinds {
 			s.kinds[key] = &serviceTime{mean: took.Seconds(), high: took.Seconds()}
@@ -45,27 +48,27 @@
 		return
 	}
 	value := took.Seconds()
-	seen.mean += meanGain * (value - seen.mean)
-	step := quantileGain * seen.mean
-	if value > seen.high {
-		seen.high += step * highQuantile
+	estimate.mean += meanGain * (value - estimate.mean)
+	step := quantileGain * estimate.mean
+	if value > estimate.high {
+		estimate.high += step * highQuantile
 	} else {
-		seen.high -= step * (1 - highQuantile)
+		estimate.high -= step * (1 - highQuantile)
 	}
 }
 
-// Mean returns the expected run time.
+// Mean returns the mean run time.
 func (s *ServiceTimes) Mean(account, kind string) time.Duration {
-	if seen, ok := s.kinds[kindKey{account, kind}]; ok {
-		return seconds(seen.mean)
+	if estimate, ok := s.kinds[kindKey{account, kind}]; ok {
+		return secondsToDuration(estimate.mean)
 	}
 	return DefaultServiceTime
 }
 
-// High returns the run time that one in a hundred exceeds.
-func (s *ServiceTimes) High(account, kind string) time.Duration {
-	if seen, ok := s.kinds[kindKey{account, kind}]; ok {
-		return seconds(max(seen.high, seen.mean))
+// HighQuantile returns the run time that one request in a hundred exceeds.
+func (s *ServiceTimes) HighQuantile(account, kind string) time.Duration {
+	if estimate, ok := s.kinds[kindKey{account, kind}]; ok {
+		return secondsToDuration(max(estimate.high, estimate.mean))
 	}
 	return DefaultServiceTime
 }
