--- a/internal/routing/ejection.go
+++ b/internal/routing/ejection.go
@@ -8,118 +8,124 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// Load pattern: one backend server of a zone turns slow or fails every request
-// while the others are well.
+// Load pattern: one backend server of a zone becomes slow or fails every request
+// while the others are healthy.
 //
-// Without ejection each request that lands there takes many times as long or is
-// lost; with eight slots of seventeen servers that is one request in seventeen
-// or more, so it decides the 99th percentile. Without the bound a fault that all
-// share (a slow database behind them) would take every server out of service.
+// Without ejection, each request sent there takes many times as long or is lost.
+// With seventeen servers of eight slots that is at least one request in seventeen,
+// so it determines the 99th percentile. Without the bound, a fault common to all
+// servers (such as a slow database behind them) would take every server out of
+// service.
 const (
-	// slowRatio is how much slower than the median server one must be. Below it,
-	// chance and a mix of kinds make healthy servers look slow.
+	// slowRatio is the ratio to the median slowness above which a server is
+	// ejected. With a lower one, chance and a mix of request kinds make healthy
+	// servers appear slow.
 	slowRatio = 3.0
-	// failureRatio is the share of failed attempts that ejects.
+	// failureRatio is the share of failed attempts above which a server is
+	// ejected.
 	failureRatio = 0.5
-	// failingTimes is how many times more often than the median server it must
-	// fail, so that requests that fail everywhere eject nobody.
-	failingTimes = 2.0
-	// minSamples is what a judgment needs.
+	// failureMultiple is the ratio to the median failure rate above which a
+	// server is ejected, so that requests that fail everywhere eject no server.
+	failureMultiple = 2.0
+	// minSamples is the minimum number of attempts before a server is evaluated.
 	minSamples = 8
-	// maxEjectedShare bounds the ejected servers of a zone, but one is always
-	// allowed if there are at least three.
-	// With a fifth, six failing servers of seventeen left three at work.
+	// maxEjectedShare bounds the share of ejected servers in a zone; with at
+	// least minServers, one may always be ejected. At one fifth, six failing
+	// servers of seventeen left three of them in use.
 	maxEjectedShare = 0.35
 	minServers      = 3
-	// evaluateInterval is the time between judgments.
+	// evaluateInterval is the minimum time between evaluations.
 	evaluateInterval = 100 * time.Millisecond
-	// baseEjection doubles with each ejection in a row, up to maxEjection.
+	// baseEjection is the duration of a first ejection. It doubles with each
+	// consecutive ejection, up to maxEjection.
 	baseEjection = 5 * time.Second
 	maxEjection  = 60 * time.Second
-	// maxRatio bounds one observation, so that one hung request alone does not
-	// eject a server.
-	maxRatio = 10.0
+	// maxLatencyRatio bounds one observation, so that a single hung request does
+	// not eject a server.
+	maxLatencyRatio = 10.0
 )
 
-// evaluate ejects and lets back backend servers, and ends ramps.
+// evaluate ejects slow and failing backend servers, and ends ejections and ramps
+// that have run their time.
 func (t *Table) evaluate(now time.Time) {
 	if now.Sub(t.evaluatedAt) < evaluateInterval {
 		return
 	}
 	t.evaluatedAt = now
 	for _, s := range t.servers {
-		t.letBack(s, now)
+		t.advanceState(s, now)
 	}
 	if t.policy.NoEjection {
 		return
 	}
-	median := t.median(func(s *server) float64 { return s.slowness }, 1)
-	failing := t.median(func(s *server) float64 { return s.failures }, 0)
+	medianSlowness := t.median(func(s *server) float64 { return s.slowness }, 1)
+	medianFailureRate := t.median(func(s *server) float64 { return s.failureRate }, 0)
 	for _, s := range t.servers {
-		if reason := faultOf(s, median, failing); reason != "" && t.mayEject() {
+		if reason := ejectionReason(s, medianSlowness, medianFailureRate); reason != "" && t.canEject() {
 			t.apply(s, eventSlow, reason, now)
-			s.ejections++
-			s.samples, s.slowness, s.failures = 0, 1, 0
+			s.consecutiveEjections++
+			s.samples, s.slowness, s.failureRate = 0, 1, 0
 		}
 	}
 }
 
-func (t *Table) letBack(s *server, now time.Time) {
+func (t *Table) advanceState(s *server, now time.Time) {
 	switch s.State {
 	case model.BackendEjected:
-		if now.Sub(s.since) >= ejectionLength(s.ejections) {
+		if now.Sub(s.stateSince) >= ejectionDuration(s.consecutiveEjections) {
 			t.apply(s, eventCooled, "ejection is over", now)
 		}
 	case model.BackendRamping:
-		if now.Sub(s.since) >= RampTime || t.policy.NoRamp {
+		if now.Sub(s.stateSince) >= RampTime || t.policy.NoRamp {
 			t.apply(s, eventRamped, "ramp is over", now)
 		}
 	case model.BackendReady:
-		if now.Sub(s.since) >= maxEjection {
-			s.ejections = 0
+		if now.Sub(s.stateSince) >= maxEjection {
+			s.consecutiveEjections = 0
 		}
 	}
 }
 
-func ejectionLength(ejections int) time.Duration {
-	length := baseEjection
-	for range ejections - 1 {
-		length = min(2*length, maxEjection)
+func ejectionDuration(consecutive int) time.Duration {
+	duration := baseEjection
+	for range consecutive - 1 {
+		duration = min(2*duration, maxEjection)
 	}
-	return length
+	return duration
 }
 
-// faultOf says why the server is to be ejected, or nothing.
-func faultOf(s *server, median, failing float64) string {
+// ejectionReason returns the reason to eject the server, or "" if there is none.
+func ejectionReason(s *server, medianSlowness, medianFailureRate float64) string {
 	if s.samples < minSamples || (s.State != model.BackendReady && s.State != model.BackendRamping) {
 		return ""
 	}
-	if s.failures > max(failureRatio, failingTimes*failing) {
-		return fmt.Sprintf("%.0f%% of attempts failed", 100*s.failures)
+	if s.failureRate > max(failureRatio, failureMultiple*medianFailureRate) {
+		return fmt.Sprintf("%.0f%% of attempts failed", 100*s.failureRate)
 	}
-	if s.slowness > slowRatio*median {
-		return fmt.Sprintf("slowness %.1f against a median of %.1f", s.slowness, median)
+	if s.slowness > slowRatio*medianSlowness {
+		return fmt.Sprintf("slowness %.1f against a median of %.1f", s.slowness, medianSlowness)
 	}
 	return ""
 }
 
-// median returns the median of value over the servers that take work.
-func (t *Table) median(value func(*server) float64, otherwise float64) float64 {
-	var all []float64
+// median returns the median of value over the servers that accept work, or
+// fallback if there are none.
+func (t *Table) median(value func(*server) float64, fallback float64) float64 {
+	var values []float64
 	for _, s := range t.servers {
 		if s.State == model.BackendReady || s.State == model.BackendRamping {
-			all = append(all, value(s))
+			values = append(values, value(s))
 		}
 	}
-	if len(all) == 0 {
-		return otherwise
+	if len(values) == 0 {
+		return fallback
 	}
-	slices.Sort(all)
-	return all[len(all)/2]
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-// mayEject keeps the ejected servers within their bound.
-func (t *Table) mayEject() bool {
+// canEject reports whether one more server may be ejected within the bound.
+func (t *Table) canEject() bool {
 	serving, ejected := 0, 0
 	for _, s := range t.servers {
 		switch s.State {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,15 +1,16 @@
-// Package routing decides which backend server a request goes to, which backend
-// servers take none for a while, how fast a new one takes its share, and when
-// requests go to another availability zone. It is pure: the time and the random
-// source are passed in, and the caller serializes the calls.
+// Package routing decides which backend server a request is sent to, which
+// backend servers are ejected for some time, how fast the load of a new one is
+// ramped up, and when requests spill to another availability zone. It does no
+// I/O: the time and the random source are passed in, and the caller must
+// serialize the calls.
 //
 // Load pattern: the backend servers of a zone differ: one is slow, one fails, one
-// has just started, one is about to stop; and run times differ from request to
-// request.
+// has just started, one is about to stop. Run times also differ between requests.
 //
-// Without it requests go in turn to each of them. The slow one gathers requests
-// until a good part of all callers wait for it; a failing one answers fastest and
-// so seems the least loaded; a leaving one cuts off what it still gets.
+// Without routing, requests are sent to all servers in turn. The slow one
+// accumulates requests until a large part of all callers wait for it; a failing
+// one answers fastest and so appears the least loaded; a leaving one interrupts
+// the requests that it still receives.
 //
 // Thresholds: see the constants; docs/design/011-requests-under-load.md has the
 // measurement behind each.
@@ -26,17 +27,17 @@
 )
 
 const (
-	// RampTime is how long a new backend server takes to reach its whole share:
-	// caches and connections of a cold server warm up in seconds.
+	// RampTime is how long a new backend server takes to reach its full share of
+	// the load: caches and connections of a cold server warm up in seconds.
 	RampTime = 5 * time.Second
-	// minRampShare is the share that a ramping backend server begins with.
+	// minRampShare is the share with which a ramping backend server starts.
 	minRampShare = 0.1
 	// latencyGain is the weight of one observation in the slowness of a server:
-	// the last five or so count.
+	// about the last five count.
 	latencyGain = 0.2
-	// failureGain is the weight of one observation in the failures of a server.
-	// Nine failures in a row eject; with 0.2, where three did, an account whose
-	// requests all fail had healthy servers ejected.
+	// failureGain is the weight of one observation in the failure rate of a
+	// server. Nine consecutive failures eject a server. At 0.2, where three do,
+	// an account whose requests all fail caused healthy servers to be ejected.
 	failureGain = 0.08
 )
 
@@ -50,7 +51,7 @@
 	eventNewIncarnation chart.Event = "new_incarnation"
 )
 
-// Candidate is a backend server that takes work and has a free slot.
+// Candidate is a backend server that accepts work and has a free slot.
 type Candidate struct {
 	ID string
 	// InFlight counts the requests in flight from this instance.
@@ -59,32 +60,32 @@
 	Slowness float64
 }
 
-// Choose returns the index of one of the candidates, of which there are at least
-// two, and that of the best alternative.
+// Choose returns the indices of the chosen candidate and of the best alternative.
+// There are at least two candidates.
 type Choose func(candidates []Candidate, random *rand.Rand) (best, second int)
 
-// Policy switches single decisions, for measuring what each is worth. The zero
-// value is the product's.
+// Policy changes individual decisions, to measure the value of each. The zero
+// value is the one used in production.
 type Policy struct {
-	// Choose replaces the choice in turn.
+	// Choose replaces the round-robin choice.
 	Choose Choose
-	// NoEjection keeps slow and failing backend servers.
+	// NoEjection keeps slow and failing backend servers in use.
 	NoEjection bool
-	// NoRamp gives a new backend server its whole share at once.
+	// NoRamp gives a new backend server its full share at once.
 	NoRamp bool
 }
 
-// Table is what one entry instance knows of the backend servers of a zone. Its
+// Table holds one entry instance's view of the backend servers of a zone. Its
 // methods must not be called concurrently.
 type Table struct {
 	policy  Policy
 	chart   *chart.Chart
 	servers []*server
 	byID    map[string]*server
-	turn    int
-	// free is scratch space of Pick.
-	free []Candidate
-	// evaluatedAt is when slow servers were last looked for.
+	turns   int
+	// candidates is a buffer that Pick reuses.
+	candidates []Candidate
+	// evaluatedAt is the time of the last evaluation.
 	evaluatedAt time.Time
 	transitions []Transition
 }
@@ -95,37 +96,37 @@
 	inFlight int
 	// slowness is the smoothed ratio of run time to expected run time.
 	slowness float64
-	// failures is the smoothed share of attempts that failed.
-	failures float64
-	samples  int
-	// since is when the present state began.
-	since time.Time
-	// ejections counts those in a row, for the length of the next one.
-	ejections int
+	// failureRate is the smoothed share of failed attempts.
+	failureRate float64
+	samples     int
+	// stateSince is the time of the last change of state.
+	stateSince time.Time
+	// consecutiveEjections determines the duration of the next ejection.
+	consecutiveEjections int
 }
 
-// Transition is a change of state of a backend server, for the log.
+// Transition is a change of a backend server's state, to be logged.
 type Transition struct {
 	BackendServer string
 	From, To      model.BackendState
 	Reason        string
 }
 
-// Choice is the backend server for a request.
+// Choice is the backend server chosen for a request.
 type Choice struct {
 	ID          string
 	Addr        string
 	Incarnation int64
 	// SecondBest is the best alternative, if there was one.
 	SecondBest string
-	// Free is the number of backend servers with a free slot, InFlight and
-	// Slowness describe the chosen one.
+	// Free is the number of backend servers with a free slot; InFlight and
+	// Slowness are those of the chosen one.
 	Free     int
 	InFlight int
 	Slowness float64
 }
 
-// Reason says in words why the backend server was chosen.
+// Reason describes why the backend server was chosen.
 func (c Choice) Reason() string {
 	return fmt.Sprintf("its turn among %d with a free slot, %d in flight here, slowness %.2f", c.Free, c.InFlight, c.Slowness)
 }
@@ -135,25 +136,26 @@
 	return &Table{policy: policy, chart: chart.MustLoad("backend_server"), byID: make(map[string]*server)}
 }
 
-// Sync takes in the membership's view of the zone's backend servers. Those that
-// were there before the first call need no ramp.
+// Sync updates the table from the membership's view of the zone's backend
+// servers. Servers in the first list are not ramped, as they were running before
+// this instance.
 func (t *Table) Sync(servers []model.BackendServer, now time.Time) {
 	first := len(t.servers) == 0
 	listed := make(map[string]bool, len(servers))
 	for _, listing := range servers {
 		listed[listing.ID] = true
-		known, ok := t.byID[listing.ID]
+		s, ok := t.byID[listing.ID]
 		if !ok {
-			known = t.add(listing, now)
+			s = t.add(listing, now)
 			if first || t.policy.NoRamp {
-				t.apply(known, eventRamped, "there before this instance", now)
+				t.apply(s, eventRamped, "there before this instance", now)
 			}
 		}
-		t.update(known, listing, now)
+		t.update(s, listing, now)
 	}
-	for _, known := range t.servers {
-		if !listed[known.ID] {
-			t.apply(known, eventSilence, "no longer listed", now)
+	for _, s := range t.servers {
+		if !listed[s.ID] {
+			t.apply(s, eventSilence, "no longer listed", now)
 		}
 	}
 	t.servers = slices.DeleteFunc(t.servers, func(s *server) bool {
@@ -166,126 +168,127 @@
 }
 
 func (t *Table) add(listing model.BackendServer, now time.Time) *server {
-	known := &server{BackendServer: listing, slowness: 1, since: now}
-	known.State = model.BackendState(t.chart.Initial)
-	t.byID[listing.ID] = known
-	t.servers = append(t.servers, known)
+	s := &server{BackendServer: listing, slowness: 1, stateSince: now}
+	s.State = model.BackendState(t.chart.Initial)
+	t.byID[listing.ID] = s
+	t.servers = append(t.servers, s)
 	slices.SortFunc(t.servers, func(a, b *server) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
-	return known
+	return s
 }
 
-// update applies a newer incarnation, and leaving under the present one. An
-// older incarnation says nothing.
-func (t *Table) update(known *server, listing model.BackendServer, now time.Time) {
-	if listing.Incarnation < known.Incarnation {
+// update applies a newer incarnation, and a leaving or gone state of the current
+// one. A listing with an older incarnation is ignored.
+func (t *Table) update(s *server, listing model.BackendServer, now time.Time) {
+	if listing.Incarnation < s.Incarnation {
 		return
 	}
-	if listing.Incarnation > known.Incarnation {
-		known.Incarnation, known.Addr, known.Slots = listing.Incarnation, listing.Addr, listing.Slots
-		known.samples, known.slowness, known.failures, known.ejections = 0, 1, 0, 0
-		t.apply(known, eventNewIncarnation, "came back", now)
+	if listing.Incarnation > s.Incarnation {
+		s.Incarnation, s.Addr, s.Slots = listing.Incarnation, listing.Addr, listing.Slots
+		s.samples, s.slowness, s.failureRate, s.consecutiveEjections = 0, 1, 0, 0
+		t.apply(s, eventNewIncarnation, "came back", now)
 	}
 	switch listing.State {
 	case model.BackendLeaving:
-		t.apply(known, eventLeave, "membership says leaving", now)
+		t.apply(s, eventLeave, "membership says leaving", now)
 	case model.BackendGone:
-		t.apply(known, eventSilence, "membership says gone", now)
+		t.apply(s, eventSilence, "membership says gone", now)
 	}
 }
 
-// Leave records that the backend server itself said that it leaves.
+// Leave records that the backend server itself reported that it is leaving.
 func (t *Table) Leave(id string, incarnation int64, now time.Time) {
-	if known, ok := t.byID[id]; ok && known.Incarnation <= incarnation {
-		t.apply(known, eventLeave, "said so itself", now)
+	if s, ok := t.byID[id]; ok && s.Incarnation <= incarnation {
+		t.apply(s, eventLeave, "said so itself", now)
 	}
 }
 
-// apply moves a server along its chart, and notes the transition.
-func (t *Table) apply(known *server, event chart.Event, reason string, now time.Time) {
-	next, err := t.chart.Next(chart.State(known.State), event)
-	if err != nil || model.BackendState(next) == known.State {
+// apply changes a server's state according to the chart, and records the
+// transition. Events that the chart does not declare for the state are ignored.
+func (t *Table) apply(s *server, event chart.Event, reason string, now time.Time) {
+	next, err := t.chart.Next(chart.State(s.State), event)
+	if err != nil || model.BackendState(next) == s.State {
 		return
 	}
 	t.transitions = append(t.transitions, Transition{
-		BackendServer: known.ID, From: known.State, To: model.BackendState(next), Reason: reason,
+		BackendServer: s.ID, From: s.State, To: model.BackendState(next), Reason: reason,
 	})
-	known.State, known.since = model.BackendState(next), now
+	s.State, s.stateSince = model.BackendState(next), now
 }
 
-// Transitions returns the changes of state since the last call.
+// Transitions returns and clears the changes of state since the last call.
 func (t *Table) Transitions() []Transition {
 	changes := t.transitions
 	t.transitions = nil
 	return changes
 }
 
-// Pick chooses a backend server. Usable says how many slots of a backend server
-// this instance may use; tried ones are left out. It reports false if none has a
-// free slot.
+// Pick chooses a backend server. The function usable returns how many slots of a
+// backend server this instance may use; servers in tried are excluded. Pick
+// returns false if no server has a free slot.
 func (t *Table) Pick(now time.Time, random *rand.Rand, usable func(id string) int, tried []string) (Choice, bool) {
 	t.evaluate(now)
-	t.free = t.free[:0]
+	t.candidates = t.candidates[:0]
 	for _, s := range t.servers {
-		if t.takes(s, usable(s.ID), now, random) && !slices.Contains(tried, s.ID) {
-			t.free = append(t.free, Candidate{ID: s.ID, InFlight: s.inFlight, Slowness: s.slowness})
+		if t.accepts(s, usable(s.ID), now, random) && !slices.Contains(tried, s.ID) {
+			t.candidates = append(t.candidates, Candidate{ID: s.ID, InFlight: s.inFlight, Slowness: s.slowness})
 		}
 	}
-	if len(t.free) == 0 {
+	if len(t.candidates) == 0 {
 		return Choice{}, false
 	}
 	best, second := t.choose(random)
-	chosen := t.byID[t.free[best].ID]
+	chosen := t.byID[t.candidates[best].ID]
 	choice := Choice{
 		ID: chosen.ID, Addr: chosen.Addr, Incarnation: chosen.Incarnation,
-		Free: len(t.free), InFlight: chosen.inFlight, Slowness: chosen.slowness,
+		Free: len(t.candidates), InFlight: chosen.inFlight, Slowness: chosen.slowness,
 	}
 	if second != best {
-		choice.SecondBest = t.free[second].ID
+		choice.SecondBest = t.candidates[second].ID
 	}
 	return choice, true
 }
 
-// takes says whether a server may get one more request.
-func (t *Table) takes(candidate *server, usable int, now time.Time, random *rand.Rand) bool {
-	if candidate.inFlight >= usable {
+// accepts reports whether a server may receive one more request.
+func (t *Table) accepts(s *server, usable int, now time.Time, random *rand.Rand) bool {
+	if s.inFlight >= usable {
 		return false
 	}
-	switch candidate.State {
+	switch s.State {
 	case model.BackendReady:
 		return true
 	case model.BackendRamping:
-		share := rampShare(candidate, now)
+		share := rampShare(s, now)
 		limit := max(1, int(share*float64(usable)))
-		return candidate.inFlight < limit && random.Float64() < share
+		return s.inFlight < limit && random.Float64() < share
 	}
 	return false
 }
 
-func rampShare(candidate *server, now time.Time) float64 {
-	return max(minRampShare, float64(now.Sub(candidate.since))/float64(RampTime))
+func rampShare(s *server, now time.Time) float64 {
+	return max(minRampShare, float64(now.Sub(s.stateSince))/float64(RampTime))
 }
 
-// choose takes the candidates in turn. The slots granted bound the requests on
-// each server already, so that two random choices by requests in flight, and
-// probes of them, showed no gain over this (docs/design/011).
+// choose selects the candidates round-robin. The granted slots already bound the
+// requests on each server; picking the less loaded of two random candidates, and
+// probing them, showed no gain over this (docs/design/011).
 func (t *Table) choose(random *rand.Rand) (best, second int) {
-	n := len(t.free)
+	n := len(t.candidates)
 	if n == 1 {
 		return 0, 0
 	}
 	if t.policy.Choose != nil {
-		return t.policy.Choose(t.free, random)
+		return t.policy.Choose(t.candidates, random)
 	}
-	t.turn++
-	return t.turn % n, (t.turn + 1) % n
+	t.turns++
+	return t.turns % n, (t.turns + 1) % n
 }
 
-// Free reports whether any backend server that takes work has a free slot.
+// Free reports whether any backend server that accepts work has a free slot.
 func (t *Table) Free(usable func(id string) int) bool {
 	for _, s := range t.servers {
 		if (s.State == model.BackendReady || s.State == model.BackendRamping) && s.inFlight < usable(s.ID) {
@@ -295,55 +298,59 @@
 	return false
 }
 
-// Started records a dispatch.
+// Started records the dispatch of a request to a backend server.
 func (t *Table) Started(id string) {
-	if known, ok := t.byID[id]; ok {
-		known.inFlight++
+	if s, ok := t.byID[id]; ok {
+		s.inFlight++
 	}
 }
 
-// Result is how an attempt ended.
+// Result describes the end of an attempt.
 type Result struct {
-	// Failed says that no whole answer came, or a failure of the server's own.
+	// Failed reports that there was no whole answer, or that the server itself
+	// failed.
 	Failed bool
 	Took   time.Duration
-	// Expected is the mean run time of this kind of request.
+	// Expected is the mean run time of the request's kind.
 	Expected time.Duration
-	// Incarnation is that of the choice.
+	// Incarnation is the backend server's incarnation at the choice.
 	Incarnation int64
 }
 
-// Finished records the end of an attempt.
+// Finished records the end of an attempt. Results of an earlier incarnation only
+// free the slot.
 func (t *Table) Finished(id string, result Result) {
-	known, ok := t.byID[id]
+	s, ok := t.byID[id]
 	if !ok {
 		return
 	}
-	known.inFlight--
-	if result.Incarnation != known.Incarnation {
+	s.inFlight--
+	if result.Incarnation != s.Incarnation {
 		return
 	}
-	known.samples++
+	s.samples++
 	failed := 0.0
 	if result.Failed {
 		failed = 1
 	}
-	known.failures += failureGain * (failed - known.failures)
+	s.failureRate += failureGain * (failed - s.failureRate)
 	if result.Expected > 0 && !result.Failed {
 		ratio := float64(result.Took) / float64(result.Expected)
-		known.slowness += latencyGain * (min(ratio, maxRatio) - known.slowness)
+		s.slowness += latencyGain * (min(ratio, maxLatencyRatio) - s.slowness)
 	}
 }
 
-// InFlight returns the number of requests in flight from this instance.
+// InFlight returns the number of requests in flight from this instance to the
+// backend server.
 func (t *Table) InFlight(id string) int {
-	if known, ok := t.byID[id]; ok {
-		return known.inFlight
+	if s, ok := t.byID[id]; ok {
+		return s.inFlight
 	}
 	return 0
 }
 
-// Takers returns the number of backend servers that take work, other than tried.
+// Takers returns the number of backend servers that accept work, except those in
+// tried.
 func (t *Table) Takers(tried []string) int {
 	count := 0
 	for _, s := range t.servers {
@@ -354,7 +361,7 @@
 	return count
 }
 
-// Capacity returns the slots that this instance may use in all.
+// Capacity returns the total number of slots that this instance may use.
 func (t *Table) Capacity(usable func(id string) int) int {
 	total := 0
 	for _, s := range t.servers {
@@ -365,7 +372,7 @@
 	return total
 }
 
-// Servers returns the backend servers in order of ids, with their states.
+// Servers returns the backend servers with their states, sorted by id.
 func (t *Table) Servers() []model.BackendServer {
 	list := make([]model.BackendServer, 0, len(t.servers))
 	for _, s := range t.servers {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-func servers(n int) []model.BackendServer {
+func newServers(n int) []model.BackendServer {
 	list := make([]model.BackendServer, n)
 	for i := range list {
 		list[i] = model.BackendServer{ID: fmt.Sprintf("b%02d", i), Addr: "127.0.0.1:1", Incarnation: 1, Slots: 8, State: model.BackendReady}
@@ -22,24 +22,25 @@
 	return list
 }
 
-func table(policy Policy, n int) (*Table, []model.BackendServer) {
+func newTestTable(policy Policy, n int) (*Table, []model.BackendServer) {
 	t := NewTable(policy)
-	list := servers(n)
+	list := newServers(n)
 	t.Sync(list, start)
 	return t, list
 }
 
-func all(string) int { return 8 }
+func allSlots(string) int { return 8 }
 
-// serve runs requests one after the other, each of which takes as long as run
-// says, and returns how many each server got.
-func serve(t *Table, requests int, from time.Time, run func(id string) (time.Duration, bool)) (map[string]int, time.Time) {
+// serveRequests runs requests one after the other, each with the run time and
+// result that run returns. It returns the number of requests per server and the
+// time after the last one.
+func serveRequests(t *Table, requests int, from time.Time, run func(id string) (time.Duration, bool)) (map[string]int, time.Time) {
 	random := rand.New(rand.NewPCG(1, 2))
 	got := make(map[string]int)
 	now := from
 	for range requests {
 		now = now.Add(10 * time.Millisecond)
-		choice, ok := t.Pick(now, random, all, nil)
+		choice, ok := t.Pick(now, random, allSlots, nil)
 		if !ok {
 			continue
 		}
@@ -57,18 +58,18 @@
 		run     func(id string) (time.Duration, bool)
 		ejected int
 	}{
-		"slow one": {Policy{}, func(id string) (time.Duration, bool) {
+		"one slow server": {Policy{}, func(id string) (time.Duration, bool) {
 			if id == "b03" {
 				return 500 * time.Millisecond, false
 			}
 			return 50 * time.Millisecond, false
 		}, 1},
-		"failing one": {Policy{}, func(id string) (time.Duration, bool) { return time.Millisecond, id == "b03" }, 1},
-		"all slow alike": {Policy{}, func(string) (time.Duration, bool) {
+		"one failing server": {Policy{}, func(id string) (time.Duration, bool) { return time.Millisecond, id == "b03" }, 1},
+		"all servers equally slow": {Policy{}, func(string) (time.Duration, bool) {
 			return 500 * time.Millisecond, false
 		}, 0},
 		"requests that fail everywhere": {Policy{}, func(string) (time.Duration, bool) { return time.Millisecond, true }, 0},
-		"four of ten fail: the bound holds": {Policy{}, func(id string) (time.Duration, bool) {
+		"four of ten fail: the bound applies": {Policy{}, func(id string) (time.Duration, bool) {
 			return time.Millisecond, id < "b04"
 		}, 3},
 		"planted fault: no ejection": {Policy{NoEjection: true}, func(id string) (time.Duration, bool) {
@@ -76,10 +77,10 @@
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tab, _ := table(c.policy, 10)
-			serve(tab, 400, start, c.run)
+			table, _ := newTestTable(c.policy, 10)
+			serveRequests(table, 400, start, c.run)
 			ejected := 0
-			for _, s := range tab.Servers() {
+			for _, s := range table.Servers() {
 				if s.State == model.BackendEjected {
 					ejected++
 				}
@@ -89,18 +90,18 @@
 	}
 }
 
-func TestEjectedServerComesBackInARamp(t *testing.T) {
-	tab, _ := table(Policy{}, 10)
+func TestEjectedServerReturnsInRamp(t *testing.T) {
+	table, _ := newTestTable(Policy{}, 10)
 	bad := func(id string) (time.Duration, bool) { return 50 * time.Millisecond, id == "b03" }
 	good := func(string) (time.Duration, bool) { return 50 * time.Millisecond, false }
-	_, now := serve(tab, 400, start, bad)
-	assert.Equal(t, tab.byID["b03"].State, model.BackendEjected)
-	got, now := serve(tab, 100, now, good)
+	_, now := serveRequests(table, 400, start, bad)
+	assert.Equal(t, table.byID["b03"].State, model.BackendEjected)
+	got, now := serveRequests(table, 100, now, good)
 	assert.Equal(t, got["b03"], 0)
 	now = now.Add(maxEjection)
-	got, now = serve(tab, 100, now, good)
+	got, now = serveRequests(table, 100, now, good)
 	assert.Assert(t, got["b03"] < 10, "%d of 100 during the ramp", got["b03"])
-	got, _ = serve(tab, 1000, now.Add(RampTime), good)
+	got, _ = serveRequests(table, 1000, now.Add(RampTime), good)
 	assert.Assert(t, got["b03"] > 70, "%d of 1000 after the ramp", got["b03"])
 }
 
@@ -110,72 +111,72 @@
 		return list
 	}
 	for name, c := range map[string]struct {
-		change func(tab *Table, list []model.BackendServer)
-		takes  bool
+		change  func(table *Table, list []model.BackendServer)
+		accepts bool
 	}{
-		"said so itself": {func(tab *Table, _ []model.BackendServer) { tab.Leave("b03", 1, start) }, false},
-		"the list says so": {func(tab *Table, list []model.BackendServer) {
-			tab.Sync(leavingListing(list), start)
+		"reported by the server itself": {func(table *Table, _ []model.BackendServer) { table.Leave("b03", 1, start) }, false},
+		"listed as leaving": {func(table *Table, list []model.BackendServer) {
+			table.Sync(leavingListing(list), start)
 		}, false},
-		"a lagging list does not bring it back": {func(tab *Table, list []model.BackendServer) {
-			tab.Leave("b03", 1, start)
-			tab.Sync(list, start)
+		"an outdated list does not make it ready again": {func(table *Table, list []model.BackendServer) {
+			table.Leave("b03", 1, start)
+			table.Sync(list, start)
 		}, false},
-		"an older incarnation does not either": {func(tab *Table, list []model.BackendServer) {
-			tab.Leave("b03", 1, start)
+		"an older incarnation does not make it ready again": {func(table *Table, list []model.BackendServer) {
+			table.Leave("b03", 1, start)
 			list[3].Incarnation = 0
-			tab.Sync(list, start)
+			table.Sync(list, start)
 		}, false},
-		"a newer incarnation does": {func(tab *Table, list []model.BackendServer) {
-			tab.Leave("b03", 1, start)
+		"a newer incarnation makes it ready again": {func(table *Table, list []model.BackendServer) {
+			table.Leave("b03", 1, start)
 			list[3].Incarnation = 2
-			tab.Sync(list, start)
+			table.Sync(list, start)
 		}, true},
-		"no longer listed": {func(tab *Table, list []model.BackendServer) {
-			tab.Sync(append(list[:3:3], list[4:]...), start)
+		"no longer listed": {func(table *Table, list []model.BackendServer) {
+			table.Sync(append(list[:3:3], list[4:]...), start)
 		}, false},
-		"a late sign of an older incarnation changes nothing": {func(tab *Table, list []model.BackendServer) {
+		"a late report of an older incarnation is ignored": {func(table *Table, list []model.BackendServer) {
 			list[3].Incarnation = 2
-			tab.Sync(list, start)
-			tab.Leave("b03", 1, start)
+			table.Sync(list, start)
+			table.Leave("b03", 1, start)
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tab, list := table(Policy{}, 5)
-			c.change(tab, list)
-			got, _ := serve(tab, 2000, start, func(string) (time.Duration, bool) { return 50 * time.Millisecond, false })
-			assert.Equal(t, got["b03"] > 0, c.takes, "got %d", got["b03"])
+			table, list := newTestTable(Policy{}, 5)
+			c.change(table, list)
+			got, _ := serveRequests(table, 2000, start, func(string) (time.Duration, bool) { return 50 * time.Millisecond, false })
+			assert.Equal(t, got["b03"] > 0, c.accepts, "got %d", got["b03"])
 		})
 	}
 }
 
 func TestPickStaysWithinUsableSlots(t *testing.T) {
-	tab, _ := table(Policy{}, 4)
+	table, _ := newTestTable(Policy{}, 4)
 	random := rand.New(rand.NewPCG(3, 4))
 	usable := func(id string) int { return map[string]int{"b00": 1, "b01": 2}[id] }
 	got := map[string]int{}
 	for {
-		choice, ok := tab.Pick(start, random, usable, nil)
+		choice, ok := table.Pick(start, random, usable, nil)
 		if !ok {
 			break
 		}
-		tab.Started(choice.ID)
+		table.Started(choice.ID)
 		got[choice.ID]++
 	}
 	assert.DeepEqual(t, got, map[string]int{"b00": 1, "b01": 2})
-	assert.Equal(t, tab.Capacity(usable), 3)
+	assert.Equal(t, table.Capacity(usable), 3)
 }
 
 func TestRetryGoesToAnotherServer(t *testing.T) {
-	tab, _ := table(Policy{}, 3)
+	table, _ := newTestTable(Policy{}, 3)
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 100 {
-		choice, ok := tab.Pick(start, random, all, []string{"b00", "b02"})
+		choice, ok := table.Pick(start, random, allSlots, []string{"b00", "b02"})
 		assert.Assert(t, ok)
 		assert.Equal(t, choice.ID, "b01")
 	}
-	assert.Equal(t, tab.Takers([]string{"b00"}), 2)
-	_, ok := tab.Pick(start, random, all, []string{"b00", "b01", "b02"})
+	assert.Equal(t, table.Takers([]string{"b00"}), 2)
+	_, ok := table.Pick(start, random, allSlots, []string{"b00", "b01", "b02"})
 	assert.Assert(t, !ok)
 }
 
@@ -189,15 +190,15 @@
 		zone   string
 		atMost float64
 	}{
-		"a short burst stays":                        {[]step{{3, 0.2, 2}, {0.8, 0.2, 5}}, "", 0},
-		"lasting overload moves step by step":        {[]step{{3, 0.2, 6}}, "z2", 0.3},
-		"never more than the bound":                  {[]step{{3, 0.2, 100}}, "z2", maxSpill},
-		"a full remote takes nothing":                {[]step{{3, 0.9, 50}}, "", 0},
-		"between the thresholds the share is kept":   {[]step{{3, 0.2, 6}, {1.2, 0.8, 50}}, "z2", 0.3},
-		"all of it at once without a backend server": {[]step{{math.Inf(1), 0.2, 1}}, "z2", 1},
-		"back when the backend servers are":          {[]step{{math.Inf(1), 0.2, 9}, {0.1, 0.2, 9}}, "", 0},
-		"back when the load is gone":                 {[]step{{3, 0.2, 50}, {0.5, 0.2, 20}}, "", 0},
-		"back when the remote is full":               {[]step{{3, 0.2, 50}, {3, 1.2, 8}}, "", 0},
+		"a short burst is not spilled":                {[]step{{3, 0.2, 2}, {0.8, 0.2, 5}}, "", 0},
+		"lasting overload is spilled in steps":        {[]step{{3, 0.2, 6}}, "z2", 0.3},
+		"never more than the maximum share":           {[]step{{3, 0.2, 100}}, "z2", maxSpillShare},
+		"a full remote zone gets nothing":             {[]step{{3, 0.9, 50}}, "", 0},
+		"between the thresholds the share is kept":    {[]step{{3, 0.2, 6}, {1.2, 0.8, 50}}, "z2", 0.3},
+		"everything at once without a backend server": {[]step{{math.Inf(1), 0.2, 1}}, "z2", 1},
+		"ends when the backend servers are back":      {[]step{{math.Inf(1), 0.2, 9}, {0.1, 0.2, 9}}, "", 0},
+		"ends when the load has dropped":              {[]step{{3, 0.2, 50}, {0.5, 0.2, 20}}, "", 0},
+		"ends when the remote zone is full":           {[]step{{3, 0.2, 50}, {3, 1.2, 8}}, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var spill Spill
@@ -222,13 +223,13 @@
 	}
 }
 
-func BenchmarkPickOfFifty(b *testing.B) {
-	tab, _ := table(Policy{}, 50)
+func BenchmarkPickFrom50Servers(b *testing.B) {
+	table, _ := newTestTable(Policy{}, 50)
 	random := rand.New(rand.NewPCG(1, 1))
 	b.ReportAllocs()
 	for b.Loop() {
-		choice, _ := tab.Pick(start, random, all, nil)
-		tab.Started(choice.ID)
-		tab.Finished(choice.ID, Result{Took: 50 * time.Millisecond, Expected: 50 * time.Millisecond, Incarnation: choice.Incarnation})
+		choice, _ := table.Pick(start, random, allSlots, nil)
+		table.Started(choice.ID)
+		table.Finished(choice.ID, Result{Took: 50 * time.Millisecond, Expected: 50 * time.Millisecond, Incarnation: choice.Incarnation})
 	}
 }
--- a/internal/routing/spill.go
+++ b/internal/routing/spill.go
@@ -5,27 +5,31 @@
 	"time"
 )
 
-// Load pattern: one availability zone has more load than it can carry, or has lost
-// its backend servers, while another has room.
+// Load pattern: one availability zone is overloaded or has lost its backend
+// servers, while another one has free capacity.
 //
-// Without spill callers of the one zone are refused while slots of the other are
-// empty. Without hysteresis the zones send their load back and forth, each late
-// by the time that a load level takes to arrive.
+// Without spill, callers of the overloaded zone are refused while slots of the
+// other zone are free. Without hysteresis, the zones send their load back and
+// forth, because each acts on load levels that are late by their transmission.
 const (
-	// spillOnLoad starts spilling: half as many requests wait as run.
-	spillOnLoad = 1.5
-	// spillOffLoad ends it: nothing waits on average.
-	spillOffLoad = 0.95
-	// remoteOnLoad and remoteOffLoad bound the load of the zone that takes it.
-	remoteOnLoad  = 0.7
-	remoteOffLoad = 0.95
-	// spillHold is how long the load must last before spilling starts: longer
-	// than a burst that the queue absorbs.
-	spillHold = 200 * time.Millisecond
-	// spillStep is how much of the load moves with each update, and maxSpill the
-	// most; a remote zone shows its new load to us only after a few updates.
-	spillStep = 0.05
-	maxSpill  = 0.6
+	// spillStartLoad is the load from which requests spill: half as many
+	// requests wait as run.
+	spillStartLoad = 1.5
+	// spillStopLoad is the load below which spilling is reduced: on average no
+	// request waits.
+	spillStopLoad = 0.95
+	// remoteStartLoad and remoteStopLoad are the load limits of the receiving
+	// zone for increasing and for reducing the spilled share.
+	remoteStartLoad = 0.7
+	remoteStopLoad  = 0.95
+	// spillDelay is how long the overload must last before spilling starts. It
+	// is longer than a burst that the queue absorbs.
+	spillDelay = 200 * time.Millisecond
+	// spillStep is the increase of the spilled share with each update, and
+	// maxSpillShare its maximum. The steps are small because the new load of a
+	// remote zone is known here only after a few updates.
+	spillStep     = 0.05
+	maxSpillShare = 0.6
 )
 
 // ZoneLoad is the load level of another availability zone.
@@ -34,22 +38,25 @@
 	Load float64
 }
 
-// Spill decides what part of the requests goes to another zone. Its methods must
-// not be called concurrently.
+// Spill decides what share of the requests is sent to another zone. Its methods
+// must not be called concurrently.
 type Spill struct {
 	zone string
-	// share is the part of the requests that goes there.
+	// share is the part of the requests that is sent to zone.
 	share float64
-	// overSince is when the local load rose above spillOnLoad.
-	overSince time.Time
-	// credit spreads the spilled requests evenly.
+	// overloadedSince is the time at which the local load reached
+	// spillStartLoad, zero while it is lower.
+	overloadedSince time.Time
+	// credit accumulates share per request, which distributes the spilled
+	// requests evenly.
 	credit float64
 }
 
-// Update takes in the load levels. It is called at a regular interval. An infinite local load says that no backend server takes work here:
-// then everything goes to the zone with the least load.
+// Update adjusts the share to the load levels. It must be called at a regular
+// interval. An infinite local load means that no backend server accepts work in
+// this zone; then all requests are sent to the zone with the least load.
 func (s *Spill) Update(local float64, remotes []ZoneLoad, now time.Time) {
-	if best, found := least(remotes); found && math.IsInf(local, 1) {
+	if best, found := leastLoaded(remotes); found && math.IsInf(local, 1) {
 		s.zone, s.share = best.Zone, 1
 		return
 	}
@@ -59,32 +66,32 @@
 	}
 	remote, known := loadOf(remotes, s.zone)
 	switch {
-	case !known || remote > remoteOffLoad || local < spillOffLoad:
+	case !known || remote > remoteStopLoad || local < spillStopLoad:
 		s.share -= 2 * spillStep
-	case local > spillOnLoad && remote < remoteOnLoad:
-		s.share = min(s.share+spillStep, maxSpill)
+	case local > spillStartLoad && remote < remoteStartLoad:
+		s.share = min(s.share+spillStep, maxSpillShare)
 	}
-	s.share = min(s.share, maxSpill)
+	s.share = min(s.share, maxSpillShare)
 	if s.share <= 0 || !known {
 		*s = Spill{}
 	}
 }
 
 func (s *Spill) start(local float64, remotes []ZoneLoad, now time.Time) {
-	if local < spillOnLoad {
-		s.overSince = time.Time{}
+	if local < spillStartLoad {
+		s.overloadedSince = time.Time{}
 		return
 	}
-	if s.overSince.IsZero() {
-		s.overSince = now
+	if s.overloadedSince.IsZero() {
+		s.overloadedSince = now
 	}
-	best, found := least(remotes)
-	if found && best.Load < remoteOnLoad && now.Sub(s.overSince) >= spillHold {
+	best, found := leastLoaded(remotes)
+	if found && best.Load < remoteStartLoad && now.Sub(s.overloadedSince) >= spillDelay {
 		s.zone, s.share = best.Zone, spillStep
 	}
 }
 
-// Next says which zone the next request goes to; empty for this one.
+// Next returns the zone that the next request is sent to, or "" for this zone.
 func (s *Spill) Next() string {
 	if s.zone == "" {
 		return ""
@@ -97,18 +104,19 @@
 	return s.zone
 }
 
-// Rescue returns the zone that takes a request which would be refused here;
-// empty if none has room. A zone that sheds has a short queue, so that its load
-// level alone does not show what it refuses.
+// Rescue returns the zone for a request that would otherwise be refused in this
+// zone, or "" if no zone has free capacity. It is independent of the spilled
+// share: a zone that sheds load has a short queue, so its load level does not
+// show the refused requests.
 func Rescue(remotes []ZoneLoad) string {
-	best, found := least(remotes)
-	if !found || best.Load >= remoteOnLoad {
+	best, found := leastLoaded(remotes)
+	if !found || best.Load >= remoteStartLoad {
 		return ""
 	}
 	return best.Zone
 }
 
-// Active returns the zone and the part of the requests that goes there.
+// Active returns the zone to which requests spill, "" if none, and their share.
 func (s *Spill) Active() (zone string, share float64) { return s.zone, s.share }
 
 func loadOf(remotes []ZoneLoad, zone string) (float64, bool) {
@@ -120,7 +128,7 @@
 	return 0, false
 }
 
-func least(remotes []ZoneLoad) (ZoneLoad, bool) {
+func leastLoaded(remotes []ZoneLoad) (ZoneLoad, bool) {
 	var best ZoneLoad
 	found := false
 	for _, remote := range remotes {
