--- a/internal/request/attempt.go
+++ b/internal/request/attempt.go
@@ -12,152 +12,156 @@
 	"github.com/corianderbank/corianderbank/internal/routing"
 )
 
-// overrun is how long an attempt goes on after its caller's time has ended. The
-// backend server is still at work then, so its slot stays taken; and the answer
-// to a keyed request is still worth recording.
-const overrun = 10 * time.Second
+// attemptGracePeriod is how long an attempt may continue after its caller's
+// deadline. The backend server is still working then, so the slot stays in use,
+// and the answer to a keyed request is still recorded.
+const attemptGracePeriod = 10 * time.Second
 
-// attemptResult is how one dispatch ended.
+// attemptResult is the result of one dispatch.
 type attemptResult struct {
 	server string
 	answer api.ExecuteAnswer
 	err    error
 }
 
-// lateError says that the caller's time ended while an attempt was under way.
-// Its result comes later.
+// lateError reports that the caller's deadline passed during an attempt. The
+// attempt continues, and its result is sent on the channel.
 type lateError struct {
 	error
 	result chan attemptResult
 }
 
-// Unwrap lets the kind of the cause be found.
+// Unwrap returns the cause, from which api.KindOf derives the kind.
 func (e lateError) Unwrap() error { return e.error }
 
-// dispatch sends the request until it has an answer. Work that is not
-// idempotent is sent again only if no backend server can have run it.
-func (x *Executor) dispatch(ctx context.Context, j *job) (api.RequestAnswer, error) {
+// dispatch sends the request to backend servers until it is answered or may not
+// be retried. A request that is not idempotent is retried only if no backend
+// server can have run it.
+func (x *Executor) dispatch(ctx context.Context, r *activeRequest) (api.RequestAnswer, error) {
 	var tried []string
-	again := false
-	// mayRun is the error of an attempt that may have run; after it the request
-	// can no longer end as not run.
-	mayRun := j.mayRun
+	isRetry := false
+	// mayHaveRunErr is the error of an attempt that may have run. Once set, the
+	// request can no longer end as not run.
+	mayHaveRunErr := r.mayHaveRunErr
 	for {
-		got := x.Dispatcher.acquire(ctx, submission{request: j.admitted, tried: tried, again: again})
-		if got.refusal != nil {
-			return x.turnedAway(ctx, j, got.refusal, mayRun)
+		assigned := x.Dispatcher.acquireSlot(ctx, slotRequest{request: r.admissionRequest, tried: tried, isRetry: isRetry})
+		if assigned.refusal != nil {
+			return x.handleRefusal(ctx, r, assigned.refusal, mayHaveRunErr)
 		}
-		j.step(eventDispatch)
-		j.answer.Attempts++
-		observeTurn(j.submission.Account, got.waited)
-		x.decide(j, "route", got.choice.ID, got.choice.Reason(), got.choice.SecondBest)
-		result := x.attempt(ctx, j, got)
+		r.transition(eventDispatch)
+		r.answer.Attempts++
+		observeWait(r.submission.Account, assigned.waited)
+		x.decide(r, "route", assigned.choice.ID, assigned.choice.Reason(), assigned.choice.SecondBest)
+		result := x.attempt(ctx, r, assigned)
 		if result.err == nil {
-			j.step(eventAnswer)
-			return j.done(result), nil
+			r.transition(eventAnswer)
+			return r.complete(result), nil
 		}
-		tried = append(tried, got.choice.ID)
+		tried = append(tried, assigned.choice.ID)
 		if late, ok := result.err.(lateError); ok {
-			j.step(eventLose)
-			return j.answer, late
+			r.transition(eventLose)
+			return r.answer, late
 		}
 		if mayHaveRun(result.err) {
-			mayRun = result.err
+			mayHaveRunErr = result.err
 		}
-		verdict := x.Dispatcher.mayRetry(retryQuestion{
+		decision := x.Dispatcher.mayRetry(retryQuery{
 			attempt: retry.Attempt{
-				Account: j.submission.Account, Idempotent: j.submission.Idempotent, NotRun: !mayHaveRun(result.err),
-				Retries: j.answer.Attempts - 1, MaxRetries: j.verdict.Retries, Deadline: j.admitted.Deadline,
+				Account: r.submission.Account, Idempotent: r.submission.Idempotent, NotRun: !mayHaveRun(result.err),
+				Retries: r.answer.Attempts - 1, MaxRetries: r.verdict.Retries, Deadline: r.admissionRequest.Deadline,
 			},
-			request: j.admitted, tried: slices.Clone(tried),
+			request: r.admissionRequest, tried: slices.Clone(tried),
 		})
-		x.decide(j, "retry", retryChoice(verdict), verdict.Reason, result.err.Error())
-		if !verdict.Again {
-			return j.answer, x.ended(j, result.err, mayRun)
+		x.decide(r, "retry", retryChoice(decision), decision.Reason, result.err.Error())
+		if !decision.Again {
+			return r.answer, x.finishWithError(r, result.err, mayHaveRunErr)
 		}
-		countRetry(j.submission.Account)
-		j.step(eventRetry)
-		again = true
+		countRetry(r.submission.Account)
+		r.transition(eventRetry)
+		isRetry = true
 	}
 }
 
-// turnedAway ends a request that gets no turn here: in another zone if one has
-// room and no claim is held here, else with a refusal. If an earlier attempt may
-// have run, the refusal would not be true.
-func (x *Executor) turnedAway(ctx context.Context, j *job, refusal *admission.Refusal, mayRun error) (api.RequestAnswer, error) {
-	if mayRun == nil && !j.keyed() && refusal.Kind != api.KindStopping {
-		if answer, done := x.spill(ctx, j, true); done {
-			j.steps(eventDispatch, eventAnswer)
+// handleRefusal ends a request that admission refused: it is forwarded to another
+// zone if one has free capacity and no claim is held here, and otherwise refused.
+// If an earlier attempt may have run, it is neither forwarded nor reported as not
+// run.
+func (x *Executor) handleRefusal(ctx context.Context, r *activeRequest, refusal *admission.Refusal, mayHaveRunErr error) (api.RequestAnswer, error) {
+	if mayHaveRunErr == nil && !r.needsClaim() && refusal.Kind != api.KindStopping {
+		if answer, done := x.spill(ctx, r, true); done {
+			r.transitions(eventDispatch, eventAnswer)
 			return answer, nil
 		}
-		mayRun = j.mayRun
+		mayHaveRunErr = r.mayHaveRunErr
 	}
-	return j.answer, x.ended(j, x.refused(j, refusal), mayRun)
+	return r.answer, x.finishWithError(r, x.refusalError(r, refusal), mayHaveRunErr)
 }
 
-// keyed says that the request needs the claim of its idempotency key.
-func (j *job) keyed() bool { return !j.submission.Idempotent && j.submission.IdempotencyKey != "" }
+// needsClaim reports whether the request needs the claim of its idempotency key.
+func (r *activeRequest) needsClaim() bool {
+	return !r.submission.Idempotent && r.submission.IdempotencyKey != ""
+}
 
-func (x *Executor) ended(j *job, err, mayRun error) error {
-	if mayRun != nil && !mayHaveRun(err) {
-		err = mayRun
+func (x *Executor) finishWithError(r *activeRequest, err, mayHaveRunErr error) error {
+	if mayHaveRunErr != nil && !mayHaveRun(err) {
+		err = mayHaveRunErr
 	}
-	j.step(endEvent(err))
+	r.transition(endEvent(err))
 	return err
 }
 
-func retryChoice(verdict retry.Decision) string {
-	if verdict.Again {
+func retryChoice(decision retry.Decision) string {
+	if decision.Again {
 		return "again"
 	}
 	return "end"
 }
 
-func (j *job) done(result attemptResult) api.RequestAnswer {
-	j.answer.Outcome, j.answer.BackendServer, j.answer.Payload = api.OutcomeDone, result.server, result.answer.Payload
-	return j.answer
+func (r *activeRequest) complete(result attemptResult) api.RequestAnswer {
+	r.answer.Outcome, r.answer.BackendServer, r.answer.Payload = api.OutcomeDone, result.server, result.answer.Payload
+	return r.answer
 }
 
-// attempt makes one dispatch. When the caller's time ends first, it returns a
-// lateError, and the attempt goes on for at most overrun.
-func (x *Executor) attempt(ctx context.Context, j *job, got turn) attemptResult {
+// attempt makes one dispatch. If the caller's deadline passes first, it returns a
+// lateError, and the attempt continues for at most attemptGracePeriod.
+func (x *Executor) attempt(ctx context.Context, r *activeRequest, assigned assignment) attemptResult {
 	result := make(chan attemptResult, 1)
-	call := api.Execute{ID: j.answer.ID, Account: j.submission.Account, Kind: j.submission.Kind, Payload: j.submission.Payload}
-	until := j.admitted.Deadline.Add(overrun)
-	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), until)
-	x.late.Add(1)
+	call := api.Execute{ID: r.answer.ID, Account: r.submission.Account, Kind: r.submission.Kind, Payload: r.submission.Payload}
+	callDeadline := r.admissionRequest.Deadline.Add(attemptGracePeriod)
+	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), callDeadline)
+	x.background.Add(1)
 	err := x.pool.Go(func() {
-		defer x.late.Done()
+		defer x.background.Done()
 		defer cancel()
-		result <- x.send(detached, got, call)
+		result <- x.callBackend(detached, assigned, call)
 	})
 	if err != nil {
 		cancel()
-		x.late.Done()
-		x.Dispatcher.report(finished{id: call.ID, choice: got.choice, result: routing.Result{Failed: true}})
+		x.background.Done()
+		x.Dispatcher.postEvent(finishedEvent{id: call.ID, choice: assigned.choice, result: routing.Result{Failed: true}})
 		return attemptResult{err: api.NewError(api.KindStopping, "no attempt can start: %v", err)}
 	}
 	select {
 	case ended := <-result:
 		return ended
 	case <-ctx.Done():
-		lost := api.NewError(api.KindBackendTimeout, "backend server %s did not answer by the deadline", got.choice.ID)
-		return attemptResult{err: lateError{error: lost, result: result}}
+		timeoutErr := api.NewError(api.KindBackendTimeout, "backend server %s did not answer by the deadline", assigned.choice.ID)
+		return attemptResult{err: lateError{error: timeoutErr, result: result}}
 	}
 }
 
-// send calls the backend server and gives the turn back.
-func (x *Executor) send(ctx context.Context, got turn, call api.Execute) attemptResult {
+// callBackend calls the backend server and then releases the slot.
+func (x *Executor) callBackend(ctx context.Context, assigned assignment, call api.Execute) attemptResult {
 	started := time.Now()
-	server := model.BackendServer{ID: got.choice.ID, Addr: got.choice.Addr, Zone: x.Zone, Incarnation: got.choice.Incarnation}
+	server := model.BackendServer{ID: assigned.choice.ID, Addr: assigned.choice.Addr, Zone: x.Zone, Incarnation: assigned.choice.Incarnation}
 	answer, err := x.Backend.Execute(ctx, server, call)
 	took := time.Since(started)
 	observeAttempt(took, err)
-	x.Dispatcher.report(finished{
-		id: call.ID, choice: got.choice, account: call.Account, ran: err == nil || (mayHaveRun(err) && !api.IsKind(err, api.KindBackendFailed)),
+	x.Dispatcher.postEvent(finishedEvent{
+		id: call.ID, choice: assigned.choice, account: call.Account, ran: err == nil || (mayHaveRun(err) && !api.IsKind(err, api.KindBackendFailed)),
 		result: routing.Result{
-			Failed: err != nil, Took: took, Expected: got.expected, Incarnation: got.choice.Incarnation,
+			Failed: err != nil, Took: took, Expected: assigned.expected, Incarnation: assigned.choice.Incarnation,
 		},
 	})
-	return attemptResult{server: got.choice.ID, answer: answer, err: err}
+	return attemptResult{server: assigned.choice.ID, answer: answer, err: err}
 }
--- a/internal/request/claimed.go
+++ b/internal/request/claimed.go
@@ -9,77 +9,78 @@
 	"github.com/corianderbank/corianderbank/internal/claim"
 )
 
-// claimed runs a keyed request that is not idempotent: at most one dispatch for
-// its key, ever. Arrivals of a key that is under way in this instance wait for
-// its answer here, so that a hot key costs neither slots nor reads of the store.
-func (x *Executor) claimed(ctx context.Context, j *job) (api.RequestAnswer, error) {
-	key := flightKey{j.submission.Account, j.submission.IdempotencyKey, digest(j.submission)}
+// runKeyed runs a keyed request that is not idempotent, at most once for its key.
+// Further arrivals of a key that is in flight in this instance wait for its answer
+// here, so that a frequently repeated key uses neither slots nor reads of the
+// store.
+func (x *Executor) runKeyed(ctx context.Context, r *activeRequest) (api.RequestAnswer, error) {
+	key := callKey{r.submission.Account, r.submission.IdempotencyKey, submissionDigest(r.submission)}
 	for {
-		flight, leads := x.flights.join(key)
-		if leads {
-			answer, err := x.claimAndRun(ctx, j, key.digest)
-			x.flights.land(key, flight, answer, err)
+		call, isFirst := x.keyedCalls.join(key)
+		if isFirst {
+			answer, err := x.claimAndRun(ctx, r, key.digest)
+			x.keyedCalls.finish(key, call, answer, err)
 			return answer, err
 		}
 		select {
-		case <-flight.landed:
-			if answer, ok := flight.shared(); ok {
-				j.steps(eventQueue, eventClaim, eventReplay)
-				countReplay(j.submission.Account)
+		case <-call.done:
+			if answer, ok := call.replayedAnswer(); ok {
+				r.transitions(eventQueue, eventClaim, eventReplay)
+				countReplay(r.submission.Account)
 				return answer, nil
 			}
 		case <-ctx.Done():
-			j.steps(eventQueue, eventClaim, eventLose)
-			return j.answer, api.NewError(api.KindResultUnknown, "an earlier arrival of the key has not ended")
+			r.transitions(eventQueue, eventClaim, eventLose)
+			return r.answer, api.NewError(api.KindResultUnknown, "an earlier arrival of the key has not ended")
 		}
 	}
 }
 
-// claimAndRun takes the claim, without holding a slot meanwhile, and dispatches
-// if it is held. The claim comes before admission: a key that has its answer gets
-// it under any load, and is never refused as not run.
-func (x *Executor) claimAndRun(ctx context.Context, j *job, digest string) (api.RequestAnswer, error) {
-	j.steps(eventQueue, eventClaim)
+// claimAndRun takes the claim without holding a slot, and dispatches the request
+// if the claim was granted. The claim precedes admission, so that a key whose
+// answer is recorded is answered under any load and never refused as not run.
+func (x *Executor) claimAndRun(ctx context.Context, r *activeRequest, digest string) (api.RequestAnswer, error) {
+	r.transitions(eventQueue, eventClaim)
 	held, recorded, err := x.Claims.Claim(ctx, claim.Request{
-		Account: j.submission.Account, Key: j.submission.IdempotencyKey, RequestID: j.answer.ID,
+		Account: r.submission.Account, Key: r.submission.IdempotencyKey, RequestID: r.answer.ID,
 		BodyDigest: digest, Holder: x.Instance,
 	})
 	if err != nil {
-		j.step(endEvent(err))
-		x.decide(j, "claim", "refuse", err.Error(), "")
-		return j.answer, err
+		r.transition(endEvent(err))
+		x.decide(r, "claim", "refuse", err.Error(), "")
+		return r.answer, err
 	}
 	if recorded != nil {
-		j.step(eventReplay)
+		r.transition(eventReplay)
 		recorded.Replayed = true
-		countReplay(j.submission.Account)
+		countReplay(r.submission.Account)
 		return *recorded, nil
 	}
-	j.step(eventClaimed)
-	answer, err := x.dispatch(ctx, j)
-	return x.settle(ctx, j, held, answer, err)
+	r.transition(eventClaimed)
+	answer, err := x.dispatch(ctx, r)
+	return x.settle(ctx, r, held, answer, err)
 }
 
-// settle records the final answer, or gives the claim up if nothing can have
-// run. The answer of an attempt that is still under way is recorded when it ends.
-func (x *Executor) settle(ctx context.Context, j *job, held claim.Held, answer api.RequestAnswer, err error) (api.RequestAnswer, error) {
+// settle records the final answer, or releases the claim if the request cannot
+// have run. The answer of an attempt still in flight is recorded when it ends.
+func (x *Executor) settle(ctx context.Context, r *activeRequest, held claim.Held, answer api.RequestAnswer, err error) (api.RequestAnswer, error) {
 	ctx = context.WithoutCancel(ctx)
 	var late lateError
 	if errors.As(err, &late) {
-		x.late.Go(func() { x.settleLate(ctx, j, held, late) })
+		x.background.Go(func() { x.settleLate(ctx, r, held, late) })
 		return answer, err
 	}
 	if err != nil && !mayHaveRun(err) {
 		if giveUpErr := held.GiveUp(ctx); giveUpErr != nil {
-			x.decide(j, "claim", "kept", giveUpErr.Error(), "")
+			x.decide(r, "claim", "kept", giveUpErr.Error(), "")
 		}
 		return answer, err
 	}
-	x.record(ctx, j, held, final(answer, err))
+	x.recordAnswer(ctx, r, held, finalAnswer(answer, err))
 	return answer, err
 }
 
-func final(answer api.RequestAnswer, err error) api.RequestAnswer {
+func finalAnswer(answer api.RequestAnswer, err error) api.RequestAnswer {
 	if err == nil {
 		return answer
 	}
@@ -89,71 +90,73 @@
 	return answer
 }
 
-// settleLate waits for the attempt and records its answer for later arrivals.
-func (x *Executor) settleLate(ctx context.Context, j *job, held claim.Held, late lateError) {
+// settleLate waits for the late attempt and records its answer for later arrivals
+// of the key.
+func (x *Executor) settleLate(ctx context.Context, r *activeRequest, held claim.Held, late lateError) {
 	result := <-late.result
-	answer := j.answer
+	answer := r.answer
 	if result.err == nil {
-		answer = j.done(result)
+		answer = r.complete(result)
 	}
 	if result.err != nil && !mayHaveRun(result.err) {
-		// The caller was told unknown, so the key stays with that answer.
+		// The caller has already received the outcome unknown, so the key
+		// keeps it.
 		result.err = late.error
 	}
-	x.record(ctx, j, held, final(answer, result.err))
+	x.recordAnswer(ctx, r, held, finalAnswer(answer, result.err))
 }
 
-func (x *Executor) record(ctx context.Context, j *job, held claim.Held, answer api.RequestAnswer) {
+func (x *Executor) recordAnswer(ctx context.Context, r *activeRequest, held claim.Held, answer api.RequestAnswer) {
 	if err := held.Settle(ctx, answer); err != nil {
-		x.decide(j, "claim", "answer not recorded", err.Error(), "")
+		x.decide(r, "claim", "answer not recorded", err.Error(), "")
 	}
 }
 
-// flightKey identifies a keyed request and its body.
-type flightKey struct{ account, key, digest string }
+// callKey identifies a keyed request with its body.
+type callKey struct{ account, key, digest string }
 
-// flight is a keyed request under way in this instance.
-type flight struct {
-	landed chan struct{}
-	// answer and err are written before landed is closed.
+// keyedCall is a keyed request in flight in this instance.
+type keyedCall struct {
+	done chan struct{}
+	// answer and err are written before done is closed.
 	answer api.RequestAnswer
 	err    error
 }
 
-// shared returns the answer for another arrival of the key; false if there is
-// none yet, so that the arrival has to look for itself.
-func (f *flight) shared() (api.RequestAnswer, bool) {
-	answer := f.answer
+// replayedAnswer returns the answer for another arrival of the key, and false if
+// the call failed, so that the arrival must try the claim itself.
+func (c *keyedCall) replayedAnswer() (api.RequestAnswer, bool) {
+	answer := c.answer
 	answer.Replayed = true
-	return answer, f.err == nil
+	return answer, c.err == nil
 }
 
-// flights holds the keyed requests under way. It is safe for concurrent use.
-type flights struct {
+// keyedCalls holds the keyed requests in flight. It is safe for concurrent use.
+type keyedCalls struct {
 	mu    sync.Mutex
-	byKey map[flightKey]*flight
+	byKey map[callKey]*keyedCall
 }
 
-// join returns the flight of the key, and whether the caller leads it and must
-// land it.
-func (f *flights) join(key flightKey) (*flight, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if present, ok := f.byKey[key]; ok {
-		return present, false
+// join returns the call of the key, and whether it is new, in which case the
+// caller of join must finish it.
+func (c *keyedCalls) join(key callKey) (*keyedCall, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if existing, ok := c.byKey[key]; ok {
+		return existing, false
 	}
-	if f.byKey == nil {
-		f.byKey = make(map[flightKey]*flight)
+	if c.byKey == nil {
+		c.byKey = make(map[callKey]*keyedCall)
 	}
-	mine := &flight{landed: make(chan struct{})}
-	f.byKey[key] = mine
-	return mine, true
+	call := &keyedCall{done: make(chan struct{})}
+	c.byKey[key] = call
+	return call, true
 }
 
-func (f *flights) land(key flightKey, mine *flight, answer api.RequestAnswer, err error) {
-	mine.answer, mine.err = answer, err
-	f.mu.Lock()
-	delete(f.byKey, key)
-	f.mu.Unlock()
-	close(mine.landed)
+func (c *keyedCalls) finish(key callKey, call *keyedCall, answer api.RequestAnswer, err error) {
+	call.answer, call.err = answer, err
+	c.mu.Lock()
+	delete(c.byKey, key)
+	c.mu.Unlock()
+	close(call.done)
 }
--- a/internal/request/dispatcher.go
+++ b/internal/request/dispatcher.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	// tickInterval is the longest time between two looks at the fleet.
+	// tickInterval is the longest time between two refreshes from the fleet.
 	tickInterval = 50 * time.Millisecond
-	// spillInterval is the time between two updates of the spill decision.
+	// spillInterval is the minimum time between two updates of the spill decision.
 	spillInterval = 100 * time.Millisecond
-	// reportCapacity bounds the reports on their way to the duty. When it is
-	// full the reporter waits, which is short: the duty waits for nobody.
-	reportCapacity = 1024
-	// warmWithin bounds the wait for the first slots: the shares of an instance
-	// begin slots.ViewWindow after its start.
-	warmWithin = 2 * slots.ViewWindow
-	// defaultSlots is the size of a backend server that names none.
+	// eventCapacity bounds the events queued for the event loop. When the queue
+	// is full the sender waits, but only briefly, as the event loop never blocks.
+	eventCapacity = 1024
+	// warmupTimeout bounds the wait for the first slots: an instance has shares
+	// from slots.ViewWindow after its start.
+	warmupTimeout = 2 * slots.ViewWindow
+	// defaultSlots is the number of slots of a backend server that announces none.
 	defaultSlots = 8
 )
 
-// Fleet is what the dispatcher asks of the membership.
+// Fleet is the part of the membership that the dispatcher uses.
 type Fleet interface {
-	// Instances and BackendServers are those of membership.View.
+	// Instances and BackendServers are as in membership.View.
 	Instances() []model.Instance
 	BackendServers(zone string) []model.BackendServer
 	// ZoneMembers returns the instances of a zone that may be running.
@@ -47,105 +47,108 @@
 	PeerStates() map[string]membership.HeardState
 }
 
-// DispatcherOptions are what a Dispatcher needs.
+// DispatcherOptions configures a Dispatcher.
 type DispatcherOptions struct {
 	Zone     string
 	Instance string
-	// Incarnation tells this process from earlier ones of the same id.
+	// Incarnation distinguishes this process from earlier ones with the same id.
 	Incarnation int64
 	Fleet       Fleet
 	Caller      peer.Caller
 	Config      config.Source
 	Recorder    *decision.Recorder
 	Logger      *zap.Logger
-	// MaxRequests bounds the submissions on their way to the duty.
+	// MaxRequests bounds the slot requests queued for the event loop.
 	MaxRequests int
-	// Seed is that of the random choices.
+	// Seed initializes the random source.
 	Seed uint64
 }
 
-// Dispatcher gives requests their turn on a backend server. One duty, Run, owns
-// all its state and takes typed events from two bounded queues. The other
+// Dispatcher assigns requests to slots of backend servers. Its event loop, Run,
+// owns all state and receives typed events from two bounded queues. The other
 // methods are safe for concurrent use.
 type Dispatcher struct {
 	options DispatcherOptions
-	// submissions refuses the newest when full.
-	submissions *ring.Refusing[submission]
-	reports     chan event
-	done        chan struct{}
+	// slotRequests refuses new entries when full.
+	slotRequests *ring.Refusing[slotRequest]
+	events       chan event
+	done         chan struct{}
 	// load is the load level in thousandths.
 	load atomic.Int64
-	// warm is set once there are slots to use, or warmWithin has passed.
+	// warm is set once there are slots to use or warmupTimeout has passed.
 	warm atomic.Bool
 
-	// The fields below belong to the duty.
-	started  time.Time
-	queue    *admission.Queue
-	table    *routing.Table
-	budget   *retry.Budget
-	spill    routing.Spill
-	members  *slots.Members
-	holder   *slots.Holder
-	owner    *slots.Owner
-	random   *rand.Rand
-	waiting  map[string]submission
-	sharing  *sharing
-	spillAt  time.Time
-	limitsOf *config.Snapshot
-	limitsN  int
+	// The fields below are owned by the event loop.
+	startedAt       time.Time
+	queue           *admission.Queue
+	table           *routing.Table
+	budget          *retry.Budget
+	spill           routing.Spill
+	members         *slots.Members
+	holder          *slots.Holder
+	owner           *slots.Owner
+	random          *rand.Rand
+	waiting         map[string]slotRequest
+	sharing         *sharing
+	spillUpdatedAt  time.Time
+	limitsSnapshot  *config.Snapshot
+	limitsInstances int
 }
 
-// event is a message to the duty.
+// event is a message to the event loop, which calls apply.
 type event interface {
 	apply(d *Dispatcher, now time.Time)
 }
 
-// submission asks for a turn.
-type submission struct {
+// slotRequest requests a slot for one dispatch.
+type slotRequest struct {
 	request admission.Request
-	// tried names the backend servers that are left out.
+	// tried lists the ids of the backend servers to exclude.
 	tried []string
-	// again says that the request had been let in before.
-	again bool
-	reply chan turn
+	// isRetry reports that the request was already admitted.
+	isRetry bool
+	reply   chan assignment
 }
 
-// turn answers a submission: the choice of a backend server, or a refusal.
-type turn struct {
+// assignment is the reply to a slotRequest: a backend server or a refusal.
+type assignment struct {
 	choice  routing.Choice
 	refusal *admission.Refusal
-	// expected is the mean run time of the kind.
+	// expected is the mean run time of the request's kind.
 	expected time.Duration
 	waited   time.Duration
 }
 
-// NewDispatcher returns a dispatcher; Run makes it work.
+// NewDispatcher returns a dispatcher, which assigns slots while Run is running.
 func NewDispatcher(options DispatcherOptions) *Dispatcher {
 	now := time.Now()
 	members := slots.NewMembers(now)
 	d := &Dispatcher{
-		options: options, submissions: ring.NewRefusing[submission](options.MaxRequests),
-		reports: make(chan event, reportCapacity), done: make(chan struct{}), started: now,
+		options: options, slotRequests: ring.NewRefusing[slotRequest](options.MaxRequests),
+		events: make(chan event, eventCapacity), done: make(chan struct{}), startedAt: now,
 		queue: admission.NewQueue(admission.Policy{}, admission.NewServiceTimes()), table: routing.NewTable(routing.Policy{}),
 		budget: retry.NewBudget(), members: members, holder: slots.NewHolder(options.Instance, members),
 		owner:  slots.NewOwner(members, uint64(options.Incarnation)<<serialBits, now),
-		random: rand.New(rand.NewPCG(options.Seed, 1)), waiting: make(map[string]submission),
+		random: rand.New(rand.NewPCG(options.Seed, 1)), waiting: make(map[string]slotRequest),
 	}
 	d.sharing = newSharing(d)
 	return d
 }
 
-// Load returns the load level: requests in flight and waiting over capacity.
+// Load returns the load level: requests in flight and waiting divided by
+// capacity.
 func (d *Dispatcher) Load() float64 { return float64(d.load.Load()) / 1000 }
 
-// Warm reports whether the instance has slots to give turns on. It is true some
-// time after the start in any case, because a zone may have no backend servers.
+// Warm reports whether the instance has slots to assign. It becomes true after
+// warmupTimeout in any case, because a zone may have no backend servers.
 func (d *Dispatcher) Warm() bool { return d.warm.Load() }
 
-// Run is the duty. Requests that wait when ctx ends are refused.
+// Run is the event loop. It returns when ctx ends, and refuses the requests that
+// are waiting then.
 func (d *Dispatcher) Run(ctx context.Context) {
-	// The end is told first: a call under way may wait for another dispatcher
-	// that ends at the same time and waits for this one.
+	// done is closed before the calls in flight are awaited: such a call may
+	// wait for another dispatcher that stops at the same time and waits for
+	// this one.
 	defer d.sharing.close()
 	defer close(d.done)
 	timer := time.NewTimer(0)
@@ -153,120 +156,121 @@
 	for {
 		select {
 		case <-ctx.Done():
-			d.refuseAll()
+			d.refuseWaiting()
 			return
-		case asked := <-d.submissions.C():
-			d.submit(asked, time.Now())
-		case report := <-d.reports:
-			report.apply(d, time.Now())
+		case req := <-d.slotRequests.C():
+			d.enqueue(req, time.Now())
+		case e := <-d.events:
+			e.apply(d, time.Now())
 		case <-timer.C:
 		}
 		now := time.Now()
 		d.tick(now)
-		d.serve(now)
-		timer.Reset(d.pause(now))
+		d.assignSlots(now)
+		timer.Reset(d.wakeupDelay(now))
 	}
 }
 
-// pause is the time to the next thing that comes without an event.
-func (d *Dispatcher) pause(now time.Time) time.Duration {
+// wakeupDelay returns the time until the next tick or expiry.
+func (d *Dispatcher) wakeupDelay(now time.Time) time.Duration {
 	if at, ok := d.queue.NextExpiry(); ok {
 		return max(0, min(tickInterval, at.Sub(now)))
 	}
 	return tickInterval
 }
 
-func (d *Dispatcher) submit(asked submission, now time.Time) {
-	if asked.again {
-		d.queue.Restore(asked.request)
-	} else if refusal := d.queue.Offer(asked.request, now); refusal != nil {
-		asked.reply <- turn{refusal: refusal}
+func (d *Dispatcher) enqueue(req slotRequest, now time.Time) {
+	if req.isRetry {
+		d.queue.Restore(req.request)
+	} else if refusal := d.queue.Offer(req.request, now); refusal != nil {
+		req.reply <- assignment{refusal: refusal}
 		return
 	}
-	d.waiting[asked.request.ID] = asked
+	d.waiting[req.request.ID] = req
 }
 
-// serve gives turns while there are free slots.
-func (d *Dispatcher) serve(now time.Time) {
+// assignSlots refuses expired requests and assigns waiting ones to free slots.
+func (d *Dispatcher) assignSlots(now time.Time) {
 	for _, refusal := range d.queue.Expire(now) {
-		d.answer(refusal.Request.ID, turn{refusal: &refusal})
+		d.reply(refusal.Request.ID, assignment{refusal: &refusal})
 	}
-	usable := d.usable(now)
-	var stalled []admission.Request
+	usable := d.usableSlots(now)
+	var unassigned []admission.Request
 	for d.table.Free(usable) {
 		next, ok := d.queue.Next()
 		if !ok {
 			break
 		}
-		asked := d.waiting[next.ID]
-		choice, ok := d.table.Pick(now, d.random, usable, asked.tried)
+		req := d.waiting[next.ID]
+		choice, ok := d.table.Pick(now, d.random, usable, req.tried)
 		if !ok {
 			d.queue.Finish(next.ID, 0)
-			stalled = append(stalled, next)
-			if len(asked.tried) == 0 {
+			unassigned = append(unassigned, next)
+			if len(req.tried) == 0 {
 				break
 			}
 			continue
 		}
 		d.table.Started(choice.ID)
-		d.answer(next.ID, turn{choice: choice, expected: d.queue.Expected(next), waited: now.Sub(next.Arrived)})
+		d.reply(next.ID, assignment{choice: choice, expected: d.queue.Expected(next), waited: now.Sub(next.Arrived)})
 	}
-	for _, request := range stalled {
+	for _, request := range unassigned {
 		d.queue.Restore(request)
 	}
 	d.load.Store(int64(1000 * d.queue.Load()))
 }
 
-func (d *Dispatcher) answer(id string, result turn) {
-	asked := d.waiting[id]
+func (d *Dispatcher) reply(id string, result assignment) {
+	req := d.waiting[id]
 	delete(d.waiting, id)
-	asked.reply <- result
+	req.reply <- result
 }
 
-func (d *Dispatcher) refuseAll() {
-	for id, asked := range d.waiting {
+func (d *Dispatcher) refuseWaiting() {
+	for id, req := range d.waiting {
 		d.queue.Cancel(id)
-		d.answer(id, turn{refusal: stopping(asked.request)})
+		d.reply(id, assignment{refusal: shutdownRefusal(req.request)})
 	}
 }
 
-func stopping(request admission.Request) *admission.Refusal {
+func shutdownRefusal(request admission.Request) *admission.Refusal {
 	return &admission.Refusal{
 		Request: request, Kind: api.KindStopping, Reason: "this instance is shutting down", RetryAfter: admission.MinRetryAfter,
 	}
 }
 
-func (d *Dispatcher) usable(now time.Time) func(string) int {
+func (d *Dispatcher) usableSlots(now time.Time) func(string) int {
 	return func(id string) int { return d.holder.Usable(id, now) }
 }
 
-// tick takes in what the fleet and the configuration say now.
+// tick updates the state from the fleet and the configuration, at most once per
+// tickInterval.
 func (d *Dispatcher) tick(now time.Time) {
-	if now.Sub(d.sharing.lookedAt) < tickInterval {
+	if now.Sub(d.sharing.refreshedAt) < tickInterval {
 		return
 	}
-	d.sharing.look(now)
+	d.sharing.refresh(now)
 	d.applyLimits()
-	capacity := d.table.Capacity(d.usable(now))
+	capacity := d.table.Capacity(d.usableSlots(now))
 	d.queue.SetCapacity(capacity)
-	if capacity > 0 || now.Sub(d.started) > warmWithin {
+	if capacity > 0 || now.Sub(d.startedAt) > warmupTimeout {
 		d.warm.Store(true)
 	}
-	d.logTransitions(now)
-	if now.Sub(d.spillAt) >= spillInterval {
-		d.spillAt = now
+	d.recordTransitions(now)
+	if now.Sub(d.spillUpdatedAt) >= spillInterval {
+		d.spillUpdatedAt = now
 		d.updateSpill(now)
 	}
 }
 
-// applyLimits sets the accounts' limits. An account's bound on requests in
-// flight is for the zone, so each live instance takes its part of it.
+// applyLimits sets the accounts' limits. An account's limit on requests in flight
+// applies to the zone, so it is divided among the live instances.
 func (d *Dispatcher) applyLimits() {
 	snapshot, instances := d.options.Config.Current(), max(1, len(d.members.Live()))
-	if snapshot == nil || (snapshot == d.limitsOf && instances == d.limitsN) {
+	if snapshot == nil || (snapshot == d.limitsSnapshot && instances == d.limitsInstances) {
 		return
 	}
-	d.limitsOf, d.limitsN = snapshot, instances
+	d.limitsSnapshot, d.limitsInstances = snapshot, instances
 	for _, account := range snapshot.Document.Accounts {
 		limits := admission.Limits{Weight: account.Weight, MaxQueued: account.MaxQueued}
 		if account.MaxInFlight > 0 {
@@ -276,7 +280,7 @@
 	}
 }
 
-func (d *Dispatcher) logTransitions(now time.Time) {
+func (d *Dispatcher) recordTransitions(now time.Time) {
 	for _, change := range d.table.Transitions() {
 		countTransition(change)
 		d.options.Recorder.Record(api.Decision{
--- a/internal/request/executor.go
+++ b/internal/request/executor.go
@@ -1,8 +1,8 @@
-// Package request takes one caller's request from its rule to its only answer:
-// admission, the claim of a keyed request that is not idempotent, dispatch to a
-// backend server, and the retries that are allowed. Requests move by
-// charts/request.json; the decisions are those of packages admission, routing,
-// retry and slots.
+// Package request processes a caller's request from the matching rule to its
+// single answer: admission, the claim for a keyed request that is not idempotent,
+// dispatch to a backend server, and permitted retries. The states of a request
+// are declared in charts/request.json; the decisions are made by packages
+// admission, routing, retry and slots.
 package request
 
 import (
@@ -30,10 +30,11 @@
 
 // Backend sends a request to a backend server; package backend implements it.
 type Backend interface {
-	// Execute returns the whole answer to this very request. Errors:
-	// KindNotReady if no byte of it can have arrived, KindNoBackendServer if
-	// the backend server says that it did not run it, KindAnswerNotWhole,
-	// KindBackendTimeout or KindResultUnknown if it may have run.
+	// Execute returns the whole answer to exactly this request. Errors:
+	// KindNotReady if no byte of the request can have arrived,
+	// KindNoBackendServer if the backend server reports that it did not run it,
+	// KindAnswerNotWhole, KindBackendTimeout or KindResultUnknown if it may have
+	// run.
 	Execute(ctx context.Context, server model.BackendServer, call api.Execute) (api.ExecuteAnswer, error)
 }
 
@@ -46,56 +47,57 @@
 	Claims   claim.Claims
 	Backend  Backend
 	Recorder *decision.Recorder
-	// Dispatcher gives the turns; its duty must be running.
+	// Dispatcher assigns slots; its Run method must be running.
 	Dispatcher *Dispatcher
-	// Caller reaches instances of other availability zones.
+	// Caller calls instances of other availability zones.
 	Caller peer.Caller
-	// PlatformReachable says whether the store answered last.
+	// PlatformReachable reports whether the last call to the store was answered.
 	PlatformReachable func() bool
-	// MaxAttempts bounds the calls to backend servers under way.
+	// MaxAttempts bounds the calls to backend servers in flight.
 	MaxAttempts int
 
-	setUp   sync.Once
-	pool    pond.Pool
-	flights flights
-	late    sync.WaitGroup
+	poolOnce   sync.Once
+	pool       pond.Pool
+	keyedCalls keyedCalls
+	background sync.WaitGroup
 }
 
-// job is one request on its way.
-type job struct {
+// activeRequest is the state of one request that is being processed.
+type activeRequest struct {
 	progress
 	submission api.RequestSubmission
 	verdict    rules.Verdict
-	// admitted is what admission knows of it.
-	admitted admission.Request
-	// forwarded says that it was passed on between availability zones; it is
-	// not passed on again.
+	// admissionRequest is the request as admission sees it.
+	admissionRequest admission.Request
+	// forwarded reports that the request was forwarded between availability
+	// zones; it is not forwarded again.
 	forwarded bool
 	answer    api.RequestAnswer
-	// mayRun is the error of an attempt in another zone that may have run.
-	mayRun error
+	// mayHaveRunErr is the error of an attempt in another zone that may have run.
+	mayHaveRunErr error
 }
 
-// NewID returns a fresh request id.
+// NewID returns a new random request id.
 func NewID() string { return "r-" + strings.ToLower(rand.Text()) }
 
-// Execute answers a caller's request. It always returns exactly one final
+// Execute processes a caller's request and always returns exactly one final
 // answer. ctx must have a deadline.
 func (x *Executor) Execute(ctx context.Context, id string, submission api.RequestSubmission) api.RequestAnswer {
 	return x.execute(ctx, id, submission, false)
 }
 
-// ExecuteForwarded answers a request that another availability zone passed on;
-// it is not passed on again.
+// ExecuteForwarded processes a request that another availability zone forwarded;
+// it is not forwarded again.
 func (x *Executor) ExecuteForwarded(ctx context.Context, id string, submission api.RequestSubmission) api.RequestAnswer {
 	return x.execute(ctx, id, submission, true)
 }
 
-// Drain waits for the attempts whose callers have their answers already.
+// Drain waits for the attempts that continue after their callers were answered,
+// until ctx ends.
 func (x *Executor) Drain(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
-		x.late.Wait()
+		x.background.Wait()
 		close(done)
 	}()
 	select {
@@ -107,7 +109,7 @@
 }
 
 func (x *Executor) execute(ctx context.Context, id string, submission api.RequestSubmission, forwarded bool) api.RequestAnswer {
-	x.setUp.Do(func() { x.pool = pond.NewPool(max(1, x.MaxAttempts)) })
+	x.poolOnce.Do(func() { x.pool = pond.NewPool(max(1, x.MaxAttempts)) })
 	started := time.Now()
 	answer, err := x.run(ctx, id, submission, forwarded)
 	if err != nil {
@@ -121,7 +123,8 @@
 	return answer
 }
 
-// Refusal is the answer to a request that has none from a backend server.
+// Refusal returns the answer to a request that ended with err instead of an
+// answer from a backend server.
 func Refusal(id, rule string, err error) api.RequestAnswer {
 	outcome := api.OutcomeNotRun
 	if mayHaveRun(err) {
@@ -142,37 +145,38 @@
 }
 
 func (x *Executor) run(ctx context.Context, id string, submission api.RequestSubmission, forwarded bool) (api.RequestAnswer, error) {
-	none := api.RequestAnswer{ID: id}
+	noAnswer := api.RequestAnswer{ID: id}
 	snapshot := x.Config.Current()
 	if snapshot == nil {
-		return none, api.NewError(api.KindNotReady, "no configuration yet")
+		return noAnswer, api.NewError(api.KindNotReady, "no configuration yet")
 	}
 	if _, ok := snapshot.Document.Account(submission.Account); !ok {
-		return none, api.NewError(api.KindUnknownAccount, "client account %q is not in configuration %d", submission.Account, snapshot.Version)
+		return noAnswer, api.NewError(api.KindUnknownAccount, "client account %q is not in configuration %d", submission.Account, snapshot.Version)
 	}
 	verdict := snapshot.Rules.Decide(x.situation(ctx, submission))
-	j := &job{
+	r := &activeRequest{
 		progress: newProgress(), submission: submission, verdict: verdict, forwarded: forwarded,
-		admitted: admittedOf(ctx, id, submission, verdict), answer: api.RequestAnswer{ID: id, Rule: verdict.Rule},
+		admissionRequest: newAdmissionRequest(ctx, id, submission, verdict), answer: api.RequestAnswer{ID: id, Rule: verdict.Rule},
 	}
 	if verdict.Refuse {
-		j.step(eventRefuse)
+		r.transition(eventRefuse)
 		err := api.NewError(api.KindRefusedByRule, "rule %q refuses", verdict.Rule)
-		x.decide(j, "admit", "refuse", err.Error(), "")
-		return j.answer, api.WithRetryAfter(err, time.Duration(verdict.RetryAfterS*float64(time.Second)))
+		x.decide(r, "admit", "refuse", err.Error(), "")
+		return r.answer, api.WithRetryAfter(err, time.Duration(verdict.RetryAfterS*float64(time.Second)))
 	}
-	if spilled, done := x.spill(ctx, j, false); done {
+	if spilled, done := x.spill(ctx, r, false); done {
 		return spilled, nil
 	}
-	if !j.keyed() {
-		j.step(eventQueue)
-		return x.dispatch(ctx, j)
+	if !r.needsClaim() {
+		r.transition(eventQueue)
+		return x.dispatch(ctx, r)
 	}
-	return x.claimed(ctx, j)
+	return x.runKeyed(ctx, r)
 }
 
-// admittedOf is what admission has to know.
-func admittedOf(ctx context.Context, id string, submission api.RequestSubmission, verdict rules.Verdict) admission.Request {
+// newAdmissionRequest returns the request for admission. Without a deadline in
+// ctx, the deadline is that of the submission.
+func newAdmissionRequest(ctx context.Context, id string, submission api.RequestSubmission, verdict rules.Verdict) admission.Request {
 	now := time.Now()
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -198,22 +202,22 @@
 	return situation
 }
 
-// refused turns admission's refusal into an error, and notes it.
-func (x *Executor) refused(j *job, refusal *admission.Refusal) error {
-	countRefusal(j.submission.Account, refusal.Kind)
-	x.decide(j, "admit", "refuse", refusal.Reason, "")
+// refusalError converts a refusal by admission into an error, and records it.
+func (x *Executor) refusalError(r *activeRequest, refusal *admission.Refusal) error {
+	countRefusal(r.submission.Account, refusal.Kind)
+	x.decide(r, "admit", "refuse", refusal.Reason, "")
 	return api.WithRetryAfter(api.NewError(refusal.Kind, "%s", refusal.Reason), refusal.RetryAfter)
 }
 
-func (x *Executor) decide(j *job, step, choice, reason, secondBest string) {
+func (x *Executor) decide(r *activeRequest, step, choice, reason, secondBest string) {
 	x.Recorder.Record(api.Decision{
-		At: time.Now(), Step: step, Subject: j.answer.ID, Account: j.submission.Account,
-		Rule: j.verdict.Rule, Choice: choice, Reason: reason, SecondBest: secondBest,
+		At: time.Now(), Step: step, Subject: r.answer.ID, Account: r.submission.Account,
+		Rule: r.verdict.Rule, Choice: choice, Reason: reason, SecondBest: secondBest,
 	})
 }
 
-// digest identifies what a submission asks for, apart from its deadline.
-func digest(submission api.RequestSubmission) string {
+// submissionDigest returns a digest of a submission without its deadline.
+func submissionDigest(submission api.RequestSubmission) string {
 	submission.DeadlineMS = 0
 	body, err := json.Marshal(submission)
 	if err != nil {
--- a/internal/request/fakes_test.go
+++ b/internal/request/fakes_test.go
@@ -19,14 +19,14 @@
 	"github.com/corianderbank/corianderbank/internal/slots"
 )
 
-// fakeBackend answers what the test's function says, and keeps count.
+// fakeBackend answers with the test's function and counts the calls.
 type fakeBackend struct {
 	run func(ctx context.Context, server string, call api.Execute) (api.ExecuteAnswer, error)
 
-	mu       sync.Mutex
-	calls    map[string]int
-	inFlight map[string]int
-	most     int
+	mu          sync.Mutex
+	calls       map[string]int
+	inFlight    map[string]int
+	maxInFlight int
 }
 
 func (b *fakeBackend) Execute(ctx context.Context, server model.BackendServer, call api.Execute) (api.ExecuteAnswer, error) {
@@ -36,7 +36,7 @@
 	}
 	b.calls[server.ID]++
 	b.inFlight[server.ID]++
-	b.most = max(b.most, b.inFlight[server.ID])
+	b.maxInFlight = max(b.maxInFlight, b.inFlight[server.ID])
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
@@ -46,11 +46,11 @@
 	return b.run(ctx, server.ID, call)
 }
 
-// mostAtOnce returns the largest number of calls under way on one server.
-func (b *fakeBackend) mostAtOnce() int {
+// maxConcurrentCalls returns the largest number of calls in flight on one server.
+func (b *fakeBackend) maxConcurrentCalls() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.most
+	return b.maxInFlight
 }
 
 func (b *fakeBackend) dispatched() int {
@@ -63,14 +63,14 @@
 	return total
 }
 
-// answersAfter is a backend server that takes a fixed time.
-func answersAfter(took time.Duration) func(context.Context, string, api.Execute) (api.ExecuteAnswer, error) {
+// answersAfter returns a backend function that answers after runTime.
+func answersAfter(runTime time.Duration) func(context.Context, string, api.Execute) (api.ExecuteAnswer, error) {
 	return func(ctx context.Context, _ string, call api.Execute) (api.ExecuteAnswer, error) {
 		select {
-		case <-time.After(took):
+		case <-time.After(runTime):
 			return api.ExecuteAnswer{ID: call.ID, Payload: call.Payload}, nil
 		case <-ctx.Done():
-			return api.ExecuteAnswer{}, api.NewError(api.KindBackendTimeout, "cut off")
+			return api.ExecuteAnswer{}, api.NewError(api.KindBackendTimeout, "call cancelled")
 		}
 	}
 }
@@ -78,11 +78,11 @@
 func failsWith(kind api.Kind) func(context.Context, string, api.Execute) (api.ExecuteAnswer, error) {
 	return func(context.Context, string, api.Execute) (api.ExecuteAnswer, error) {
 		time.Sleep(time.Millisecond)
-		return api.ExecuteAnswer{}, api.NewError(kind, "planned")
+		return api.ExecuteAnswer{}, api.NewError(kind, "injected failure")
 	}
 }
 
-// fakeFleet is a zone as the test says.
+// fakeFleet is a zone with the members and servers set by the test.
 type fakeFleet struct {
 	mu      sync.Mutex
 	zone    string
@@ -113,7 +113,7 @@
 
 func (f *fakeFleet) PeerStates() map[string]membership.HeardState { return f.peers }
 
-func (f *fakeFleet) leave(index int) {
+func (f *fakeFleet) setLeaving(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.servers[index].State = model.BackendLeaving
@@ -121,11 +121,11 @@
 
 // fakeClaims keeps claims in memory.
 type fakeClaims struct {
-	fail error
+	err error
 
-	mu      sync.Mutex
-	rows    map[string]*fakeRow
-	givenUp int
+	mu       sync.Mutex
+	rows     map[string]*fakeRow
+	released int
 }
 
 type fakeRow struct {
@@ -141,8 +141,8 @@
 
 func (c *fakeClaims) Claim(ctx context.Context, request claim.Request) (claim.Held, *api.RequestAnswer, error) {
 	time.Sleep(4 * time.Millisecond)
-	if c.fail != nil {
-		return nil, nil, c.fail
+	if c.err != nil {
+		return nil, nil, c.err
 	}
 	c.mu.Lock()
 	if c.rows == nil {
@@ -161,7 +161,7 @@
 		answer := row.answer
 		return nil, &answer, nil
 	case <-ctx.Done():
-		return nil, nil, api.NewError(api.KindResultUnknown, "still under way")
+		return nil, nil, api.NewError(api.KindResultUnknown, "still in flight")
 	}
 }
 
@@ -175,7 +175,7 @@
 	h.claims.mu.Lock()
 	defer h.claims.mu.Unlock()
 	delete(h.claims.rows, h.key)
-	h.claims.givenUp++
+	h.claims.released++
 	return nil
 }
 
@@ -183,8 +183,8 @@
 type fakeCaller struct {
 	mu        sync.Mutex
 	instances map[string]*instance
-	// lose drops the responses to forwarded requests.
-	lose bool
+	// loseResponses drops the responses to forwarded requests.
+	loseResponses bool
 }
 
 func (c *fakeCaller) Call(ctx context.Context, id string, request *peerpb.Request) (*peerpb.Response, error) {
@@ -197,7 +197,7 @@
 		return &peerpb.Response{Body: &peerpb.Response_Slots{Slots: other.dispatcher.HandleSlots(request.GetFrom(), demand)}}, nil
 	}
 	answer := other.executeForwarded(ctx, request.GetExecute())
-	if c.lose {
+	if c.loseResponses {
 		return nil, api.NewError(api.KindResultUnknown, "response lost")
 	}
 	return &peerpb.Response{Body: &peerpb.Response_Execute{Execute: &peerpb.ExecuteReply{Answer: answer}}}, nil
@@ -219,7 +219,7 @@
 	c.instances[id] = i
 }
 
-// namedCaller fills in who calls, as the peer node does.
+// namedCaller sets the calling instance in each request, like the peer node.
 type namedCaller struct {
 	*fakeCaller
 	from string
@@ -240,7 +240,7 @@
 	return fixedConfig{&config.Snapshot{Version: 1, Document: document, Rules: rules.NewSet(list)}}
 }
 
-// instance is one instance under test.
+// instance is an instance under test with its fakes.
 type instance struct {
 	executor   *Executor
 	dispatcher *Dispatcher
@@ -272,21 +272,21 @@
 	}
 	caller.add(id, i)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		i.dispatcher.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-stopped
 	})
 	return i
 }
 
-// startAlone runs the only instance of a zone with two backend servers, and
+// startSingle runs a single instance in a zone with two backend servers, and
 // waits until it has slots.
-func startAlone(t *testing.T, run func(context.Context, string, api.Execute) (api.ExecuteAnswer, error), list ...rules.Rule) *instance {
+func startSingle(t *testing.T, run func(context.Context, string, api.Execute) (api.ExecuteAnswer, error), list ...rules.Rule) *instance {
 	t.Helper()
 	fleet := &fakeFleet{zone: "z1", members: []string{"i1"}, servers: twoServers()}
 	i := start(t, "i1", fleet, &fakeBackend{run: run}, &fakeCaller{}, configuration(list...))
--- a/internal/request/metrics.go
+++ b/internal/request/metrics.go
@@ -10,15 +10,16 @@
 	"github.com/corianderbank/corianderbank/internal/routing"
 )
 
-// undeclared counts transitions that a chart does not declare.
-var undeclared = metrics.NewCounter("corianderbank_undeclared_transitions_total")
+// undeclaredTransitions counts events that a chart does not declare for the
+// current state.
+var undeclaredTransitions = metrics.NewCounter("corianderbank_undeclared_transitions_total")
 
 func observeAnswer(account string, outcome api.Outcome, took time.Duration) {
 	name := fmt.Sprintf("corianderbank_request_duration_seconds{client_account=%q,outcome=%q}", account, string(outcome))
 	metrics.GetOrCreateHistogram(name).Update(took.Seconds())
 }
 
-func observeTurn(account string, waited time.Duration) {
+func observeWait(account string, waited time.Duration) {
 	name := fmt.Sprintf("corianderbank_request_wait_seconds{client_account=%q}", account)
 	metrics.GetOrCreateHistogram(name).Update(waited.Seconds())
 }
--- a/internal/request/progress.go
+++ b/internal/request/progress.go
@@ -20,29 +20,29 @@
 
 var requestChart = chart.MustLoad("request")
 
-// progress is where a request is in its chart.
-type progress struct{ at chart.State }
+// progress is the state of a request in its chart.
+type progress struct{ state chart.State }
 
-func newProgress() progress { return progress{at: requestChart.Initial} }
+func newProgress() progress { return progress{state: requestChart.Initial} }
 
-// step moves along the chart. An undeclared transition is counted; the chart's
-// own test rules it out for declared events.
-func (p *progress) step(event chart.Event) {
-	next, err := requestChart.Next(p.at, event)
+// transition applies an event according to the chart. An undeclared transition
+// only increments a counter; the chart's test excludes it for declared events.
+func (p *progress) transition(event chart.Event) {
+	next, err := requestChart.Next(p.state, event)
 	if err != nil {
-		undeclared.Inc()
+		undeclaredTransitions.Inc()
 		return
 	}
-	p.at = next
+	p.state = next
 }
 
-func (p *progress) steps(events ...chart.Event) {
+func (p *progress) transitions(events ...chart.Event) {
 	for _, event := range events {
-		p.step(event)
+		p.transition(event)
 	}
 }
 
-// endEvent is the event that ends a request with err.
+// endEvent returns the event that ends a request with err.
 func endEvent(err error) chart.Event {
 	switch {
 	case mayHaveRun(err):
--- a/internal/request/sharing.go
+++ b/internal/request/sharing.go
@@ -13,29 +13,32 @@
 )
 
 const (
-	// serialBits leaves room for a million answers to slot demands a process
-	// within one step of the incarnation, which is a millisecond.
+	// serialBits is the number of low bits of a serial that count the answers of
+	// one process: about a million answers to slot demands per step of the
+	// incarnation, which is a millisecond.
 	serialBits = 20
-	// slotCallTimeout bounds a slot demand; it is below slots.SilenceLimit.
+	// slotCallTimeout bounds a slot demand. It is shorter than
+	// slots.OwnerTimeout.
 	slotCallTimeout = 500 * time.Millisecond
-	// slotCalls bounds the slot demands under way.
-	slotCalls = 16
+	// maxSlotCalls bounds the slot demands in flight.
+	maxSlotCalls = 16
 )
 
-// sharing exchanges slot demands with the owners. It belongs to the
-// dispatcher's duty, except for the calls, which report back to it.
+// sharing exchanges slot demands with the owners. It is owned by the dispatcher's
+// event loop, except for the calls, which run in a pool and send their results to
+// the event loop.
 type sharing struct {
 	dispatcher *Dispatcher
 	pool       pond.Pool
-	// running counts the calls in the pool. They are waited for here, because
-	// stopping a pool goes through one that the whole process shares.
-	running    sync.WaitGroup
-	ctx        context.Context
-	cancel     context.CancelFunc
-	lookedAt   time.Time
-	demandedAt time.Time
-	// underWay counts the calls that have not come back.
-	underWay int
+	// calls counts the calls in the pool. They are awaited here, because
+	// stopping a pool uses another pool, which the whole process shares.
+	calls       sync.WaitGroup
+	ctx         context.Context
+	cancel      context.CancelFunc
+	refreshedAt time.Time
+	demandedAt  time.Time
+	// inFlight counts the calls whose result has not been processed yet.
+	inFlight int
 	need     slots.Need
 	// lastWaiting is the number of waiting requests at the last demand.
 	lastWaiting int
@@ -45,41 +48,43 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &sharing{
 		dispatcher: d, ctx: ctx, cancel: cancel,
-		pool: pond.NewPool(slotCalls, pond.WithQueueSize(slotCalls), pond.WithNonBlocking(true)),
+		pool: pond.NewPool(maxSlotCalls, pond.WithQueueSize(maxSlotCalls), pond.WithNonBlocking(true)),
 	}
 }
 
 func (s *sharing) close() {
 	s.cancel()
-	s.running.Wait()
+	s.calls.Wait()
 }
 
-// look refreshes the members and the backend servers, and demands slots.
-func (s *sharing) look(now time.Time) {
-	s.lookedAt = now
+// refresh updates the members and the backend servers from the fleet, and demands
+// slots if due.
+func (s *sharing) refresh(now time.Time) {
+	s.refreshedAt = now
 	d := s.dispatcher
 	d.members.Set(d.options.Fleet.ZoneMembers(d.options.Zone), s.live(), now)
 	servers := d.options.Fleet.BackendServers(d.options.Zone)
 	d.table.Sync(servers, now)
-	sizes := make(map[string]int, len(servers))
+	slotCounts := make(map[string]int, len(servers))
 	for _, server := range servers {
-		sizes[server.ID] = sizeOf(server)
+		slotCounts[server.ID] = slotCount(server)
 	}
-	d.holder.SetServers(sizes, now)
+	d.holder.SetServers(slotCounts, now)
 	d.owner.Forget(now)
-	if s.due(now) {
-		s.demand(now)
+	if s.demandDue(now) {
+		s.sendDemands(now)
 	}
 }
 
-func sizeOf(server model.BackendServer) int {
+func slotCount(server model.BackendServer) int {
 	if server.Slots > 0 {
 		return server.Slots
 	}
 	return defaultSlots
 }
 
-// live returns the instances of the zone that can own backend servers.
+// live returns the instances of the zone that can own backend servers: this one
+// and those that are not leaving.
 func (s *sharing) live() []string {
 	d := s.dispatcher
 	live := []string{d.options.Instance}
@@ -91,21 +96,21 @@
 	return live
 }
 
-// due says whether slots are to be demanded now: at the interval, and sooner
-// when requests began or ceased to wait.
-func (s *sharing) due(now time.Time) bool {
-	since := now.Sub(s.demandedAt)
-	if s.underWay > 0 && since < slotCallTimeout {
+// demandDue reports whether slots are to be demanded now: after DemandInterval,
+// or after DemandMinInterval if requests have started or stopped waiting.
+func (s *sharing) demandDue(now time.Time) bool {
+	elapsed := now.Sub(s.demandedAt)
+	if s.inFlight > 0 && elapsed < slotCallTimeout {
 		return false
 	}
-	if since >= slots.DemandInterval {
+	if elapsed >= slots.DemandInterval {
 		return true
 	}
 	changed := (s.dispatcher.queue.Waiting() > 0) != (s.lastWaiting > 0)
-	return changed && since >= slots.DemandMinInterval
+	return changed && elapsed >= slots.DemandMinInterval
 }
 
-func (s *sharing) demand(now time.Time) {
+func (s *sharing) sendDemands(now time.Time) {
 	d := s.dispatcher
 	s.demandedAt, s.lastWaiting = now, d.queue.Waiting()
 	wanted := s.need.Update(d.queue.InFlight()+s.lastWaiting, d.table.Takers(nil))
@@ -116,26 +121,26 @@
 			d.holder.Granted(demand.Owner, serial, grants, now)
 			continue
 		}
-		s.start(demand, now)
+		s.startCall(demand, now)
 	}
 }
 
-// start asks another instance in the pool. A full pool leaves the demand to its
-// next time.
-func (s *sharing) start(demand slots.Demand, now time.Time) {
-	s.underWay++
-	s.running.Add(1)
+// startCall sends a demand to another instance from the pool. If the pool is
+// full, the demand is dropped until the next interval.
+func (s *sharing) startCall(demand slots.Demand, now time.Time) {
+	s.inFlight++
+	s.calls.Add(1)
 	err := s.pool.Go(func() {
-		defer s.running.Done()
+		defer s.calls.Done()
 		s.call(demand, now)
 	})
 	if err != nil {
-		s.running.Done()
-		s.underWay--
+		s.calls.Done()
+		s.inFlight--
 	}
 }
 
-// call asks another instance. It runs outside the duty.
+// call sends a demand to another instance. It runs outside the event loop.
 func (s *sharing) call(demand slots.Demand, sentAt time.Time) {
 	ctx, cancel := context.WithTimeout(s.ctx, slotCallTimeout)
 	defer cancel()
@@ -147,63 +152,63 @@
 		})
 	}
 	response, err := s.dispatcher.options.Caller.Call(ctx, demand.Owner, &peerpb.Request{Body: &peerpb.Request_Slots{Slots: message}})
-	s.dispatcher.report(granted{owner: demand.Owner, sentAt: sentAt, grants: response.GetSlots(), failed: err != nil})
+	s.dispatcher.postEvent(grantsEvent{owner: demand.Owner, sentAt: sentAt, grants: response.GetSlots(), failed: err != nil})
 }
 
-// granted is an owner's answer.
-type granted struct {
+// grantsEvent is an owner's answer to a demand, or the failure of the call.
+type grantsEvent struct {
 	owner  string
 	sentAt time.Time
 	grants *peerpb.SlotGrants
 	failed bool
 }
 
-func (g granted) apply(d *Dispatcher, now time.Time) {
-	d.sharing.underWay--
-	if g.failed || g.grants == nil {
+func (e grantsEvent) apply(d *Dispatcher, now time.Time) {
+	d.sharing.inFlight--
+	if e.failed || e.grants == nil {
 		return
 	}
-	grants := make([]slots.Grant, 0, len(g.grants.GetGrants()))
-	for _, grant := range g.grants.GetGrants() {
+	grants := make([]slots.Grant, 0, len(e.grants.GetGrants()))
+	for _, grant := range e.grants.GetGrants() {
 		grants = append(grants, slots.Grant{
 			BackendServer: grant.GetBackendServer(), Slots: int(grant.GetSlots()),
 			Validity: time.Duration(grant.GetValidMs()) * time.Millisecond,
 		})
 	}
-	d.holder.Granted(g.owner, g.grants.GetSerial(), grants, g.sentAt)
-	d.queue.SetCapacity(d.table.Capacity(d.usable(now)))
+	d.holder.Granted(e.owner, e.grants.GetSerial(), grants, e.sentAt)
+	d.queue.SetCapacity(d.table.Capacity(d.usableSlots(now)))
 }
 
-// peerDemand is the demand of another instance.
-type peerDemand struct {
+// demandEvent is a demand from another instance.
+type demandEvent struct {
 	from  string
 	call  *peerpb.SlotDemand
 	reply chan *peerpb.SlotGrants
 }
 
-func (p peerDemand) apply(d *Dispatcher, now time.Time) {
-	wants := make([]slots.Want, 0, len(p.call.GetWants()))
-	for _, want := range p.call.GetWants() {
+func (e demandEvent) apply(d *Dispatcher, now time.Time) {
+	wants := make([]slots.Want, 0, len(e.call.GetWants()))
+	for _, want := range e.call.GetWants() {
 		wants = append(wants, slots.Want{
 			BackendServer: want.GetBackendServer(), Slots: int(want.GetSlots()), InFlight: int(want.GetInFlight()),
 			Wanted: int(want.GetWanted()), Lend: want.GetLend(),
 		})
 	}
-	grants, serial := d.owner.Demand(p.from, p.call.GetEcho(), wants, now)
+	grants, serial := d.owner.Demand(e.from, e.call.GetEcho(), wants, now)
 	answer := &peerpb.SlotGrants{Serial: serial}
 	for _, grant := range grants {
 		answer.Grants = append(answer.Grants, &peerpb.SlotGrant{
 			BackendServer: grant.BackendServer, Slots: int32(grant.Slots), ValidMs: grant.Validity.Milliseconds(),
 		})
 	}
-	p.reply <- answer
+	e.reply <- answer
 }
 
-// HandleSlots answers the slot demand of another instance; nil if this one is
-// shutting down.
+// HandleSlots answers the slot demand of another instance. It returns nil if the
+// dispatcher has stopped.
 func (d *Dispatcher) HandleSlots(from string, call *peerpb.SlotDemand) *peerpb.SlotGrants {
 	reply := make(chan *peerpb.SlotGrants, 1)
-	d.report(peerDemand{from: from, call: call, reply: reply})
+	d.postEvent(demandEvent{from: from, call: call, reply: reply})
 	select {
 	case answer := <-reply:
 		return answer
--- a/internal/request/spill.go
+++ b/internal/request/spill.go
@@ -13,7 +13,7 @@
 	"github.com/corianderbank/corianderbank/internal/routing"
 )
 
-// updateSpill takes in the load levels of the zones.
+// updateSpill updates the spill decision from the load levels of the zones.
 func (d *Dispatcher) updateSpill(now time.Time) {
 	local := d.queue.Load()
 	if d.table.Takers(nil) == 0 {
@@ -30,15 +30,15 @@
 	}
 }
 
-// zoneLoads returns the mean load level of each other zone, in order of names.
+// zoneLoads returns the mean load level of each other zone, sorted by name.
 func (d *Dispatcher) zoneLoads() []routing.ZoneLoad {
 	sums, counts := map[string]float64{}, map[string]int{}
-	for _, heard := range d.options.Fleet.PeerStates() {
-		zone := heard.State.GetAvailabilityZone()
-		if zone == d.options.Zone || heard.State.GetLeaving() || !heard.Fresh {
+	for _, peerState := range d.options.Fleet.PeerStates() {
+		zone := peerState.State.GetAvailabilityZone()
+		if zone == d.options.Zone || peerState.State.GetLeaving() || !peerState.Fresh {
 			continue
 		}
-		sums[zone] += float64(heard.State.GetLoadPermille()) / 1000
+		sums[zone] += float64(peerState.State.GetLoadPermille()) / 1000
 		counts[zone]++
 	}
 	loads := make([]routing.ZoneLoad, 0, len(sums))
@@ -54,91 +54,91 @@
 	return loads
 }
 
-// target is an instance of another zone that takes a request.
+// target is an instance of another zone that receives a request.
 type target struct{ zone, instance string }
 
-// spillQuestion asks whether the next request goes to another zone; rescue is set
-// for a request that would be refused here.
-type spillQuestion struct {
+// spillQuery requests the target for the next request, empty if it stays in this
+// zone. rescue is set for a request that would otherwise be refused here.
+type spillQuery struct {
 	rescue bool
 	reply  chan target
 }
 
-func (q spillQuestion) apply(d *Dispatcher, _ time.Time) {
+func (q spillQuery) apply(d *Dispatcher, _ time.Time) {
 	zone := ""
 	if q.rescue {
 		zone = routing.Rescue(d.zoneLoads())
 	} else {
 		zone = d.spill.Next()
 	}
-	best, least := "", int64(0)
-	for id, heard := range d.options.Fleet.PeerStates() {
-		state := heard.State
-		if state.GetAvailabilityZone() != zone || state.GetLeaving() || !heard.Fresh {
+	best, minLoad := "", int64(0)
+	for id, peerState := range d.options.Fleet.PeerStates() {
+		state := peerState.State
+		if state.GetAvailabilityZone() != zone || state.GetLeaving() || !peerState.Fresh {
 			continue
 		}
 		load := state.GetLoadPermille()
-		if best == "" || load < least || (load == least && id < best) {
-			best, least = id, load
+		if best == "" || load < minLoad || (load == minLoad && id < best) {
+			best, minLoad = id, load
 		}
 	}
 	q.reply <- target{zone: zone, instance: best}
 }
 
 func (d *Dispatcher) spillTarget(rescue bool) target {
-	question := spillQuestion{rescue: rescue, reply: make(chan target, 1)}
-	d.report(question)
+	query := spillQuery{rescue: rescue, reply: make(chan target, 1)}
+	d.postEvent(query)
 	select {
-	case answer := <-question.reply:
+	case answer := <-query.reply:
 		return answer
 	case <-d.done:
 		return target{}
 	}
 }
 
-// spill runs the request in another availability zone if the load here asks for
-// it. It reports false if the request is to be run here: it stays here, did not
-// reach the other zone, or did not run there.
-func (x *Executor) spill(ctx context.Context, j *job, rescue bool) (api.RequestAnswer, bool) {
-	if j.forwarded || !j.verdict.Spill || x.Caller == nil {
+// spill runs the request in another availability zone if the load in this zone
+// requires it. It returns false if the request is to be run here, because it is
+// not spilled, did not reach the other zone, or did not run there.
+func (x *Executor) spill(ctx context.Context, r *activeRequest, rescue bool) (api.RequestAnswer, bool) {
+	if r.forwarded || !r.verdict.Spill || x.Caller == nil {
 		return api.RequestAnswer{}, false
 	}
-	to := x.Dispatcher.spillTarget(rescue)
-	if to.instance == "" {
+	destination := x.Dispatcher.spillTarget(rescue)
+	if destination.instance == "" {
 		return api.RequestAnswer{}, false
 	}
-	j.forwarded = true
-	x.decide(j, "spill", to.zone+"/"+to.instance, "this zone has more load than it carries", x.Zone)
-	countSpill(to.zone)
-	answer, err := x.forward(ctx, j, to.instance)
+	r.forwarded = true
+	x.decide(r, "spill", destination.zone+"/"+destination.instance, "this zone has more load than it carries", x.Zone)
+	countSpill(destination.zone)
+	answer, err := x.forward(ctx, r, destination.instance)
 	switch {
 	case err == nil && answer.Outcome != api.OutcomeNotRun:
 		return answer, true
-	case err != nil && mayHaveRun(err) && !j.submission.Idempotent:
-		return Refusal(j.answer.ID, j.verdict.Rule, err), true
+	case err != nil && mayHaveRun(err) && !r.submission.Idempotent:
+		return Refusal(r.answer.ID, r.verdict.Rule, err), true
 	case ctx.Err() != nil && err != nil && mayHaveRun(err):
-		return Refusal(j.answer.ID, j.verdict.Rule, err), true
+		return Refusal(r.answer.ID, r.verdict.Rule, err), true
 	}
 	if err != nil && mayHaveRun(err) {
-		j.mayRun = err
+		r.mayHaveRunErr = err
 	}
 	return api.RequestAnswer{}, false
 }
 
-// forward sends the request to an instance of another zone. An error that is not
-// of the kinds that may have run says that it did not run there.
-func (x *Executor) forward(ctx context.Context, j *job, instance string) (api.RequestAnswer, error) {
-	body, err := json.Marshal(j.submission)
+// forward sends the request to an instance of another zone. Unless mayHaveRun
+// holds for the error, the request did not run there.
+func (x *Executor) forward(ctx context.Context, r *activeRequest, instance string) (api.RequestAnswer, error) {
+	body, err := json.Marshal(r.submission)
 	if err != nil {
 		return api.RequestAnswer{}, api.NewError(api.KindInternal, "%v", err)
 	}
-	call := &peerpb.ExecuteCall{Id: j.answer.ID, Submission: body, DeadlineMs: time.Until(j.admitted.Deadline).Milliseconds()}
+	call := &peerpb.ExecuteCall{Id: r.answer.ID, Submission: body, DeadlineMs: time.Until(r.admissionRequest.Deadline).Milliseconds()}
 	response, err := x.Caller.Call(ctx, instance, &peerpb.Request{Body: &peerpb.Request_Execute{Execute: call}})
 	if err != nil {
 		return api.RequestAnswer{}, err
 	}
 	var answer api.RequestAnswer
-	if err := json.Unmarshal(response.GetExecute().GetAnswer(), &answer); err != nil || (answer.ID != j.answer.ID && !answer.Replayed) {
+	if err := json.Unmarshal(response.GetExecute().GetAnswer(), &answer); err != nil || (answer.ID != r.answer.ID && !answer.Replayed) {
 		return answer, api.NewError(api.KindResultUnknown, "instance %s answered something else", instance)
 	}
 	return answer, nil
--- a/internal/request/turns.go
+++ b/internal/request/turns.go
@@ -10,107 +10,109 @@
 	"github.com/corianderbank/corianderbank/internal/routing"
 )
 
-// acquire waits for a turn. When ctx ends first, the request is withdrawn; it
-// was then not dispatched.
-func (d *Dispatcher) acquire(ctx context.Context, asked submission) turn {
-	asked.reply = make(chan turn, 1)
-	if !d.submissions.Offer(asked) {
-		return turn{refusal: overfull(asked.request)}
+// acquireSlot waits for the assignment of a slot. If ctx ends first, the request
+// is cancelled, unless it has been assigned a slot already. A cancelled request
+// was not dispatched.
+func (d *Dispatcher) acquireSlot(ctx context.Context, req slotRequest) assignment {
+	req.reply = make(chan assignment, 1)
+	if !d.slotRequests.Offer(req) {
+		return assignment{refusal: overloadRefusal(req.request)}
 	}
 	select {
-	case result := <-asked.reply:
+	case result := <-req.reply:
 		return result
 	case <-d.done:
-		return turn{refusal: stopping(asked.request)}
+		return assignment{refusal: shutdownRefusal(req.request)}
 	case <-ctx.Done():
-		d.report(withdrawal{asked.request.ID})
-		return d.await(asked.request, asked.reply)
+		d.postEvent(cancelEvent{req.request.ID})
+		return d.awaitAssignment(req.request, req.reply)
 	}
 }
 
-// await waits for the duty's reply.
-func (d *Dispatcher) await(request admission.Request, reply chan turn) turn {
+// awaitAssignment waits for the reply of the event loop.
+func (d *Dispatcher) awaitAssignment(request admission.Request, reply chan assignment) assignment {
 	select {
 	case result := <-reply:
 		return result
 	case <-d.done:
-		return turn{refusal: stopping(request)}
+		return assignment{refusal: shutdownRefusal(request)}
 	}
 }
 
-func overfull(request admission.Request) *admission.Refusal {
+func overloadRefusal(request admission.Request) *admission.Refusal {
 	return &admission.Refusal{
 		Request: request, Kind: api.KindQueueFull, Reason: "too many requests are on their way to admission",
 		RetryAfter: time.Second,
 	}
 }
 
-// report hands an event to the duty, which may have ended.
-func (d *Dispatcher) report(e event) {
+// postEvent sends an event to the event loop. It drops the event if the loop has
+// ended.
+func (d *Dispatcher) postEvent(e event) {
 	select {
-	case d.reports <- e:
+	case d.events <- e:
 	case <-d.done:
 	}
 }
 
-// withdrawal takes back a submission whose caller waits no longer. If its turn
-// has come, the reply is on its way already.
-type withdrawal struct{ id string }
+// cancelEvent cancels a slotRequest whose caller no longer waits. It has no
+// effect if the reply has already been sent.
+type cancelEvent struct{ id string }
 
-func (w withdrawal) apply(d *Dispatcher, _ time.Time) {
-	asked, ok := d.waiting[w.id]
-	if !ok || !d.queue.Cancel(w.id) {
+func (e cancelEvent) apply(d *Dispatcher, _ time.Time) {
+	req, ok := d.waiting[e.id]
+	if !ok || !d.queue.Cancel(e.id) {
 		return
 	}
-	d.answer(w.id, turn{refusal: &admission.Refusal{
-		Request: asked.request, Kind: api.KindQueueTimeout, Reason: "the caller's time ended while the request waited",
+	d.reply(e.id, assignment{refusal: &admission.Refusal{
+		Request: req.request, Kind: api.KindQueueTimeout, Reason: "the caller's time ended while the request waited",
 		RetryAfter: time.Second,
 	}})
 }
 
-// finished gives a turn back.
-type finished struct {
+// finishedEvent records the end of an attempt and releases its slot.
+type finishedEvent struct {
 	id     string
 	choice routing.Choice
 	result routing.Result
-	// ran says that the time was spent on a backend server's run.
+	// ran reports whether the time was spent running on a backend server.
 	ran bool
-	// account is that of the request.
+	// account is the request's client account.
 	account string
 }
 
-func (f finished) apply(d *Dispatcher, _ time.Time) {
-	if !f.result.Failed {
-		d.budget.Answered(f.account)
+func (e finishedEvent) apply(d *Dispatcher, _ time.Time) {
+	if !e.result.Failed {
+		d.budget.Answered(e.account)
 	}
-	d.table.Finished(f.choice.ID, f.result)
+	d.table.Finished(e.choice.ID, e.result)
 	service := time.Duration(0)
-	if f.ran {
-		service = f.result.Took
+	if e.ran {
+		service = e.result.Took
 	}
-	d.queue.Finish(f.id, service)
+	d.queue.Finish(e.id, service)
 }
 
-// retryQuestion asks whether an attempt without a whole answer is followed by
-// another one.
-type retryQuestion struct {
+// retryQuery requests the decision whether an attempt without a whole answer is
+// retried.
+type retryQuery struct {
 	attempt retry.Attempt
 	request admission.Request
 	tried   []string
 	reply   chan retry.Decision
 }
 
-func (q retryQuestion) apply(d *Dispatcher, now time.Time) {
+func (q retryQuery) apply(d *Dispatcher, now time.Time) {
 	q.attempt.Others = d.table.Takers(q.tried)
 	q.attempt.Expected = d.queue.Expected(q.request)
 	q.reply <- d.budget.Decide(q.attempt, now)
 }
 
-func (d *Dispatcher) mayRetry(question retryQuestion) retry.Decision {
-	question.reply = make(chan retry.Decision, 1)
-	d.report(question)
+func (d *Dispatcher) mayRetry(query retryQuery) retry.Decision {
+	query.reply = make(chan retry.Decision, 1)
+	d.postEvent(query)
 	select {
-	case answer := <-question.reply:
+	case answer := <-query.reply:
 		return answer
 	case <-d.done:
 		return retry.Decision{Reason: "this instance is shutting down"}
