--- a/internal/request/fakes_test.go
+++ b/internal/request/fakes_test.go
@@ -70,7 +70,7 @@
 		case <-time.After(runTime):
 			return api.ExecuteAnswer{ID: call.ID, Payload: call.Payload}, nil
 		case <-ctx.Done():
-			return api.ExecuteAnswer{}, api.NewError(api.KindBackendTimeout, "call cancelled")
+			return api.ExecuteAnswer{}, api.NewError(api.KindBackendTimeout, "cut off")
 		}
 	}
 }
--- a/internal/slots/holder.go
+++ b/internal/slots/holder.go
@@ -48,11 +48,11 @@
 	}
 }
 
-// SetServers replaces the backend servers, given as numbers of slots by id. The
+// SetServers replaces the backend servers. slotCounts holds their slots by id. The
 // state of a removed backend server is kept until its loan has expired, so that
 // it still applies if the backend server returns before.
-func (h *Holder) SetServers(sizes map[string]int, now time.Time) {
-	for id, slots := range sizes {
+func (h *Holder) SetServers(slotCounts map[string]int, now time.Time) {
+	for id, slots := range slotCounts {
 		server, ok := h.servers[id]
 		if !ok {
 			server = &serverState{}
@@ -61,7 +61,7 @@
 		server.slots = slots
 	}
 	for id, server := range h.servers {
-		if _, ok := sizes[id]; ok {
+		if _, ok := slotCounts[id]; ok {
 			continue
 		}
 		server.slots = 0
