--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,14 +1,14 @@
-// Package ring joins duties (goroutines) by bounded queues. What happens when
-// a queue is full is part of its type: Refusing refuses the newest entry,
-// Dropping drops the oldest one. Both count what they turned away.
+// Package ring provides bounded queues between goroutines. The type determines
+// what happens when a queue is full: Refusing refuses the new entry, Dropping
+// drops the oldest one. Both count the entries that they turn away.
 package ring
 
 import (
 	"sync/atomic"
 )
 
-// Refusing is a bounded queue whose sender is told when it is full. Use it
-// where every entry matters and the sender can answer for it.
+// Refusing is a bounded queue that reports to the sender when it is full. Use
+// it where every entry matters and the sender can handle a refusal.
 type Refusing[T any] struct {
 	entries chan T
 	refused atomic.Int64
@@ -19,7 +19,7 @@
 	return &Refusing[T]{entries: make(chan T, capacity)}
 }
 
-// Offer adds entry, or returns false at once when the queue is full.
+// Offer adds entry. It returns false without blocking if the queue is full.
 func (r *Refusing[T]) Offer(entry T) bool {
 	select {
 	case r.entries <- entry:
@@ -30,7 +30,7 @@
 	}
 }
 
-// C is where the receiving duty takes entries from.
+// C returns the channel from which the consumer receives entries.
 func (r *Refusing[T]) C() <-chan T { return r.entries }
 
 // Len returns the number of waiting entries.
@@ -39,8 +39,8 @@
 // Refused returns how many entries were refused.
 func (r *Refusing[T]) Refused() int64 { return r.refused.Load() }
 
-// Dropping is a bounded queue that drops its oldest entry when full. Use it for
-// reports of which only the newest matter.
+// Dropping is a bounded queue that drops its oldest entry when full. Use it
+// where only the newest entries matter.
 type Dropping[T any] struct {
 	entries chan T
 	dropped atomic.Int64
@@ -51,7 +51,8 @@
 	return &Dropping[T]{entries: make(chan T, capacity)}
 }
 
-// Push adds entry, dropping older ones as needed. It never blocks.
+// Push adds entry and drops the oldest entries if the queue is full. It never
+// blocks.
 func (r *Dropping[T]) Push(entry T) {
 	for {
 		select {
@@ -67,7 +68,7 @@
 	}
 }
 
-// C is where the receiving duty takes entries from.
+// C returns the channel from which the consumer receives entries.
 func (r *Dropping[T]) C() <-chan T { return r.entries }
 
 // Dropped returns how many entries were dropped.
