--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
-// Package lifecycle leads one instance's process through charts/instance.json:
-// from its start, when it is not ready, to a graceful shutdown that cuts off no
-// request in flight.
+// Package lifecycle implements the state chart charts/instance.json for one
+// instance's process, from startup, when it is not ready, to a graceful
+// shutdown that interrupts no request in flight.
 package lifecycle
 
 import (
@@ -31,30 +31,34 @@
 	eventDrained    chart.Event = "drained"
 )
 
-// Step is one step of a graceful shutdown. Its context ends when its time is
-// up. A step that fails is logged, and the next one follows.
+// Step is one step of a graceful shutdown. Its context ends at the step's time
+// limit. A step that fails is logged, and the shutdown continues with the next
+// one.
 type Step func(ctx context.Context) error
 
-// Options are what a Life needs. A nil step is left out.
+// Options configures a Life. A nil step is skipped.
 type Options struct {
 	Logger *zap.Logger
 	// StopWithin bounds the whole shutdown.
 	StopWithin time.Duration
-	// Linger is how long the instance, not ready any more, still answers new
-	// calls before it drains, so that the platform's balancer can notice. It
-	// refuses them as not run. Zero takes DefaultLinger, a negative one none.
+	// Linger is how long the instance, no longer ready, still answers new calls
+	// before it drains, so that the platform's load balancer can notice. It
+	// refuses them as not run. Zero means DefaultLinger; a negative value
+	// disables it.
 	Linger time.Duration
-	// Announce tells the peers that this instance leaves.
+	// Announce notifies the peers that this instance leaves.
 	Announce Step
-	// HandOver gives up the roles: the placer lease and granted slots.
+	// HandOver releases the instance's roles: the placer lease and granted
+	// slots.
 	HandOver Step
-	// Drain waits until no request is in flight, and takes no new ones.
+	// Drain waits until no request is in flight and accepts no new ones.
 	Drain Step
-	// Close ends the duties of the process.
+	// Close stops the background goroutines of the process.
 	Close Step
 }
 
-// Life is the life of one instance's process. It is safe for concurrent use.
+// Life runs the state chart of one instance's process. It is safe for
+// concurrent use.
 type Life struct {
 	options  Options
 	logger   *zap.Logger
@@ -68,21 +72,21 @@
 	result error
 }
 
-// DefaultLinger covers a balancer that looks once a second.
+// DefaultLinger suffices for a load balancer that probes once a second.
 const DefaultLinger = 2 * time.Second
 
 const (
-	// announceShare and handOverShare bound the first two steps to a part of
-	// the whole, because the peers or the store may not answer and the requests
-	// in flight need the rest.
-	announceShare = 10
-	handOverShare = 5
-	// closeWithin bounds the last step, which waits for nothing outside the
+	// announceDivisor and handOverDivisor limit the first two steps to a
+	// fraction of the whole shutdown, because the peers or the store may not
+	// answer and the requests in flight need the remaining time.
+	announceDivisor = 10
+	handOverDivisor = 5
+	// closeTimeout bounds the last step, which depends on nothing outside the
 	// process.
-	closeWithin = 2 * time.Second
+	closeTimeout = 2 * time.Second
 )
 
-// New returns a life in its initial state.
+// New returns a Life in its initial state.
 func New(options Options) *Life {
 	machine := chart.MustLoad("instance")
 	if options.Linger == 0 {
@@ -102,18 +106,19 @@
 	}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Life) State() chart.State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
-// Ready reports whether the instance takes callers' requests.
+// Ready reports whether the instance accepts callers' requests.
 func (l *Life) Ready() bool { return l.State() == Ready }
 
-// Refusal returns why callers' work is not taken in the present state: KindStopping
-// during a shutdown, KindNotReady before the configuration, else nil.
+// Refusal returns the error with which callers' work is refused in the current
+// state: KindStopping during a shutdown, KindNotReady before the first
+// configuration, nil otherwise.
 func (l *Life) Refusal() error {
 	switch l.State() {
 	case Ready:
@@ -125,14 +130,14 @@
 	}
 }
 
-// Stopping is closed when a shutdown begins.
+// Stopping returns a channel that is closed when a shutdown begins.
 func (l *Life) Stopping() <-chan struct{} { return l.stopping }
 
-// Configured says that a configuration is in force.
-func (l *Life) Configured() { l.step(eventConfigured) }
+// Configured records that a configuration is in force.
+func (l *Life) Configured() { l.transition(eventConfigured) }
 
-// step sends an event to the chart and returns whether the state changed.
-func (l *Life) step(event chart.Event) bool {
+// transition sends an event to the chart and reports whether the state changed.
+func (l *Life) transition(event chart.Event) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next, err := l.machine.Next(l.state, event)
@@ -148,34 +153,34 @@
 	return true
 }
 
-// Stop shuts the instance down and waits for the end. A second call, also one
-// at the same time, changes nothing: it waits for the same end and returns the
-// same error. The error is nil if every request in flight was finished.
+// Stop shuts the instance down and waits until it has stopped. Further calls,
+// also concurrent ones, wait for the same shutdown and return the same error.
+// The error is nil if every request in flight was finished.
 func (l *Life) Stop() error {
-	if l.step(eventStop) {
+	if l.transition(eventStop) {
 		close(l.stopping)
 		l.result = l.shutdown()
-		l.step(eventDrained)
+		l.transition(eventDrained)
 		close(l.stopped)
 	}
 	<-l.stopped
 	return l.result
 }
 
-// StopOnSignal shuts down at the first signal and returns its result. Further
-// signals are noted and change nothing.
+// StopOnSignal calls Stop at the first signal and returns its result. Further
+// signals are logged and have no effect.
 func (l *Life) StopOnSignal(signals <-chan os.Signal) error {
 	first := <-signals
 	l.logger.Info("signal", zap.Stringer("signal", first))
-	go l.noteSignals(signals)
+	go l.logSignals(signals)
 	return l.Stop()
 }
 
-func (l *Life) noteSignals(signals <-chan os.Signal) {
+func (l *Life) logSignals(signals <-chan os.Signal) {
 	for {
 		select {
-		case again := <-signals:
-			l.logger.Info("signal during shutdown", zap.Stringer("signal", again))
+		case repeated := <-signals:
+			l.logger.Info("signal during shutdown", zap.Stringer("signal", repeated))
 		case <-l.stopped:
 			return
 		}
@@ -183,22 +188,23 @@
 }
 
 // shutdown runs the steps in order. The instance is not ready from before the
-// first one. Peers hear first, so that nobody forwards work here; then the
-// roles go, so that their next holder can start while requests finish here.
+// first step. Peers are notified first, so that none forwards work here; then
+// the roles are released, so that their next holder can start while requests
+// finish here.
 func (l *Life) shutdown() error {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), l.options.StopWithin)
 	defer cancel()
-	l.run(ctx, "announce", l.options.StopWithin/announceShare, l.options.Announce)
-	l.run(ctx, "hand over", l.options.StopWithin/handOverShare, l.options.HandOver)
+	l.runStep(ctx, "announce", l.options.StopWithin/announceDivisor, l.options.Announce)
+	l.runStep(ctx, "hand over", l.options.StopWithin/handOverDivisor, l.options.HandOver)
 	l.linger(ctx, started)
-	err := l.run(ctx, "drain", l.options.StopWithin, l.options.Drain)
-	l.run(context.Background(), "close", closeWithin, l.options.Close)
+	err := l.runStep(ctx, "drain", l.options.StopWithin, l.options.Drain)
+	l.runStep(context.Background(), "close", closeTimeout, l.options.Close)
 	l.logger.Info("shutdown", zap.Duration("took", time.Since(started)), zap.Error(err))
 	return err
 }
 
-// linger waits for what is left of the time that the balancer needs.
+// linger waits for the rest of the linger time since started.
 func (l *Life) linger(ctx context.Context, started time.Time) {
 	select {
 	case <-time.After(l.options.Linger - time.Since(started)):
@@ -206,21 +212,21 @@
 	}
 }
 
-// run runs one step within its time. A step that ignores its context is left
-// behind.
-func (l *Life) run(ctx context.Context, name string, within time.Duration, step Step) error {
+// runStep runs one step with a time limit. A step that ignores its context is
+// abandoned.
+func (l *Life) runStep(ctx context.Context, name string, timeout time.Duration, step Step) error {
 	if step == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	done := make(chan error, 1)
-	go func() { done <- l.guarded(ctx, step) }()
+	go func() { done <- l.callStep(ctx, step) }()
 	var err error
 	select {
 	case err = <-done:
 	case <-ctx.Done():
-		err = finished(done, ctx.Err())
+		err = awaitLateResult(done, ctx.Err())
 	}
 	if err != nil {
 		l.logger.Warn("shutdown step failed", zap.String("step", name), zap.Error(err))
@@ -229,23 +235,25 @@
 	return nil
 }
 
-// returnGrace is the time that a step has to return once its context ended.
-const returnGrace = 100 * time.Millisecond
+// returnGracePeriod is how long a step may take to return once its context has
+// ended.
+const returnGracePeriod = 100 * time.Millisecond
 
-// finished waits a moment for a step whose time is up, because it may have
-// succeeded at the last moment or return a better error than cause.
-func finished(done <-chan error, cause error) error {
+// awaitLateResult waits briefly for a step whose time limit has passed, because
+// it may have succeeded at the last moment or may return a more specific error
+// than timeoutErr.
+func awaitLateResult(done <-chan error, timeoutErr error) error {
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(returnGrace):
-		return cause
+	case <-time.After(returnGracePeriod):
+		return timeoutErr
 	}
 }
 
 var errPanic = errors.New("the step panicked")
 
-func (l *Life) guarded(ctx context.Context, step Step) (err error) {
+func (l *Life) callStep(ctx context.Context, step Step) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			l.logger.Error("shutdown step panicked", zap.Any("cause", cause), zap.Stack("stack"))
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -21,19 +21,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recorder notes the steps in the order of their starts.
+// recorder records the names of the steps in the order in which they start.
 type recorder struct {
 	mu    sync.Mutex
 	names []string
 }
 
-func (r *recorder) step(name string, takes time.Duration, result error) lifecycle.Step {
+func (r *recorder) step(name string, duration time.Duration, result error) lifecycle.Step {
 	return func(ctx context.Context) error {
 		r.mu.Lock()
 		r.names = append(r.names, name)
 		r.mu.Unlock()
 		select {
-		case <-time.After(takes):
+		case <-time.After(duration):
 			return result
 		case <-ctx.Done():
 			return ctx.Err()
@@ -43,7 +43,7 @@
 
 var errPlanted = errors.New("planted")
 
-func TestShutdownRunsItsStepsInOrderWithinItsTime(t *testing.T) {
+func TestShutdownRunsStepsInOrderWithinTimeLimit(t *testing.T) {
 	const (
 		never    = time.Hour
 		noLinger = -time.Second
@@ -53,19 +53,20 @@
 		announce, handOver, drain time.Duration
 		handOverErr               error
 		linger                    time.Duration
-		// took is the whole time; failed says that drain did not finish.
-		took   time.Duration
-		failed bool
+		// wantDuration is the duration of the whole shutdown; wantErr reports
+		// whether drain does not finish.
+		wantDuration time.Duration
+		wantErr      bool
 	}{
-		"every step answers":                    {announce: time.Second, handOver: time.Second, drain: 5 * time.Second, took: 7 * time.Second},
-		"no peer answers":                       {announce: never, drain: time.Second, took: 4 * time.Second},
-		"the store is down":                     {handOver: never, drain: time.Second, took: 7 * time.Second},
-		"the lease is already lost":             {handOverErr: errPlanted, drain: time.Second, took: time.Second},
-		"the balancer needs a while":            {announce: time.Second, drain: time.Second, linger: 3 * time.Second, took: 4 * time.Second},
-		"neither peers nor store answer":        {announce: never, handOver: never, drain: time.Second, took: 10 * time.Second},
-		"a request outlives the time to stop":   {drain: never, took: 30 * time.Second, failed: true},
-		"nobody answers and a request goes on":  {announce: never, handOver: never, drain: never, took: 30 * time.Second, failed: true},
-		"the balancer's time exceeds the bound": {drain: time.Second, linger: never, took: 30 * time.Second, failed: true},
+		"every step finishes":                                    {announce: time.Second, handOver: time.Second, drain: 5 * time.Second, wantDuration: 7 * time.Second},
+		"no peer answers":                                        {announce: never, drain: time.Second, wantDuration: 4 * time.Second},
+		"the store is down":                                      {handOver: never, drain: time.Second, wantDuration: 7 * time.Second},
+		"the lease is already lost":                              {handOverErr: errPlanted, drain: time.Second, wantDuration: time.Second},
+		"the load balancer needs time to notice":                 {announce: time.Second, drain: time.Second, linger: 3 * time.Second, wantDuration: 4 * time.Second},
+		"neither peers nor store answer":                         {announce: never, handOver: never, drain: time.Second, wantDuration: 10 * time.Second},
+		"a request exceeds the shutdown time":                    {drain: never, wantDuration: 30 * time.Second, wantErr: true},
+		"no peer or store answers and a request does not finish": {announce: never, handOver: never, drain: never, wantDuration: 30 * time.Second, wantErr: true},
+		"the linger time exceeds the shutdown time":              {drain: time.Second, linger: never, wantDuration: 30 * time.Second, wantErr: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -80,10 +81,10 @@
 					Close:      steps.step("close", 0, nil),
 				})
 				life.Configured()
-				started := time.Now()
+				start := time.Now()
 				err := life.Stop()
-				assert.Equal(t, err != nil, test.failed, "%v", err)
-				assert.Equal(t, time.Since(started), test.took)
+				assert.Equal(t, err != nil, test.wantErr, "%v", err)
+				assert.Equal(t, time.Since(start), test.wantDuration)
 				assert.Assert(t, slices.Equal(steps.names, all), "%v", steps.names)
 				assert.Equal(t, life.State(), lifecycle.Stopped)
 			})
@@ -94,10 +95,10 @@
 func TestStateFollowsTheChart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		var during chart.State
+		var stateDuringAnnounce chart.State
 		var life *lifecycle.Life
 		life = lifecycle.New(lifecycle.Options{StopWithin: time.Minute, Announce: func(context.Context) error {
-			during = life.State()
+			stateDuringAnnounce = life.State()
 			<-release
 			return nil
 		}})
@@ -106,7 +107,7 @@
 		assert.Assert(t, life.Ready())
 		go func() { _ = life.Stop() }()
 		synctest.Wait()
-		assert.Equal(t, during, lifecycle.Draining)
+		assert.Equal(t, stateDuringAnnounce, lifecycle.Draining)
 		life.Configured()
 		assert.Assert(t, !life.Ready(), "a draining instance never becomes ready again")
 		close(release)
@@ -114,7 +115,7 @@
 	})
 }
 
-func TestSecondStopAndSecondSignalChangeNothing(t *testing.T) {
+func TestRepeatedStopsAndSignalsHaveNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var steps recorder
 		life := lifecycle.New(lifecycle.Options{StopWithin: time.Minute, Linger: time.Second, Drain: steps.step("drain", 10*time.Second, nil)})
@@ -122,7 +123,7 @@
 		signals := make(chan os.Signal, 4)
 		signals <- syscall.SIGTERM
 		results := make(chan error, 3)
-		started := time.Now()
+		start := time.Now()
 		go func() { results <- life.StopOnSignal(signals) }()
 		go func() { results <- life.Stop() }()
 		go func() { results <- life.Stop() }()
@@ -132,12 +133,12 @@
 		for range 3 {
 			assert.NilError(t, <-results)
 		}
-		assert.Equal(t, time.Since(started), 11*time.Second)
+		assert.Equal(t, time.Since(start), 11*time.Second)
 		assert.Assert(t, slices.Equal(steps.names, []string{"drain"}), "%v", steps.names)
 	})
 }
 
-func TestStepThatPanicsOrHangsDoesNotStopTheShutdown(t *testing.T) {
+func TestPanickingOrHangingStepDoesNotBlockShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var steps recorder
 		hang := make(chan struct{})
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -1,92 +1,95 @@
-// Package zone decides what an instance may do by what it reaches: the
-// platform's store, peers of its own availability zone, peers of other zones.
+// Package zone decides what an instance may do depending on what it can reach:
+// the platform's store, peers of its own availability zone, and peers of other
+// zones.
 //
-// It answers the pattern in which a network partition cuts availability zones
-// off from each other and from the platform, in any combination. Without it an
-// instance would either stop serving what it can still serve, or go on doing
-// what only the store's row or a current epoch makes safe. There are no
-// thresholds here: how long a silence means "not reached" is the business of
-// the caller, who measures it.
+// A network partition may separate availability zones from each other and from
+// the platform, in any combination. Without these rules an instance would
+// either stop serving requests that it can still serve, or continue with
+// actions that are only safe with the store's row or a current epoch. The
+// package has no thresholds: the caller measures reachability and decides after
+// what time without an answer something counts as unreachable.
 package zone
 
-// Reach is what an instance reaches at the moment.
+// Reach describes what an instance can currently reach.
 type Reach struct {
-	// Store says that the platform's tables answer.
+	// Store reports whether the platform's tables answer.
 	Store bool
 	// ZonePeers and OtherPeers count the live peers in this availability zone
-	// and in the others.
+	// and in the other zones.
 	ZonePeers, OtherPeers int
 }
 
-// Peers reports whether any peer is reached.
+// Peers reports whether any peer is reachable.
 func (r Reach) Peers() bool { return r.ZonePeers+r.OtherPeers > 0 }
 
-// Situation is everything that the decision depends on.
+// Situation holds all inputs of Decide.
 type Situation struct {
 	Reach Reach
-	// Configured says that a configuration is in force here.
+	// Configured reports whether a configuration is in force on this instance.
 	Configured bool
-	// Leaving says that this instance is shutting down.
+	// Leaving reports whether this instance is shutting down.
 	Leaving bool
-	// Placer says that this instance took the placer lease of its zone and has
-	// not given it up.
+	// Placer reports whether this instance took the placer lease of its zone
+	// and has not released it.
 	Placer bool
-	// LeaseValid says that the lease has not lapsed by the local clock.
+	// LeaseValid reports whether the lease has not expired by the local clock.
 	LeaseValid bool
-	// Epoch is the epoch of the lease held; HighestEpoch is the highest one
-	// heard of in this zone, from peers, workers or the store.
+	// Epoch is the epoch of the lease held. HighestEpoch is the highest epoch
+	// seen in this zone, from peers, workers or the store.
 	Epoch, HighestEpoch int64
 }
 
-// Source says where the configuration comes from.
+// Source is the origin of the configuration.
 type Source string
 
 // The sources of the configuration.
 const (
-	// SourceStore reads the head row.
+	// SourceStore reads the head row of the store.
 	SourceStore Source = "store"
 	// SourcePeers takes the highest version that a peer has.
 	SourcePeers Source = "peers"
-	// SourceKeep stays with the version in force.
+	// SourceKeep keeps the version in force.
 	SourceKeep Source = "keep"
-	// SourceNone has none: the instance is not ready.
+	// SourceNone means that no configuration is available: the instance is not
+	// ready.
 	SourceNone Source = "none"
 )
 
-// Starts says which waiting jobs the placer may start.
+// Starts selects the waiting jobs that the placer may start.
 type Starts string
 
-// What the placer may start.
+// The sets of jobs that the placer may start.
 const (
-	// StartsAll starts every job.
+	// StartsAll permits every job.
 	StartsAll Starts = "all"
-	// StartsIdempotent starts accepted idempotent jobs only: starting another
-	// one needs its row.
+	// StartsIdempotent permits accepted idempotent jobs only: starting any
+	// other job requires its row.
 	StartsIdempotent Starts = "idempotent"
-	// StartsNone starts nothing new.
+	// StartsNone permits no new starts.
 	StartsNone Starts = "none"
 )
 
-// Permission is what the instance may do, with the reason.
+// Permission lists what the instance may do, with the reason.
 type Permission struct {
-	// Ready takes callers' requests that need no claim.
+	// Ready permits accepting callers' requests that need no claim.
 	Ready bool
-	// Claims takes keyed requests that are not idempotent, and new jobs: both
-	// need a row of the store.
+	// Claims permits accepting keyed requests that are not idempotent, and new
+	// jobs: both need a row in the store.
 	Claims bool
-	// Spill forwards requests to other availability zones.
+	// Spill permits forwarding requests to other availability zones.
 	Spill bool
-	// TakePlacer tries to take the placer lease, which goes by the store alone.
+	// TakePlacer permits attempts to acquire the placer lease, which depends on
+	// the store alone.
 	TakePlacer bool
-	// RenewGangs keeps running gangs alive.
+	// RenewGangs permits renewing running gangs, which keeps them alive.
 	RenewGangs bool
 	Starts     Starts
 	Config     Source
-	// Reason is one short sentence for the log, about the placer role.
+	// Reason is a short explanation of Starts for the log.
 	Reason string
 }
 
-// Decide returns what an instance may do in a situation.
+// Decide returns what an instance may do in situation s.
 func Decide(s Situation) Permission {
 	ready := s.Configured && !s.Leaving
 	p := Permission{
@@ -95,7 +98,7 @@
 		Spill:  ready && s.Reach.OtherPeers > 0,
 		Config: configSource(s),
 	}
-	p.Starts, p.Reason = starts(s)
+	p.Starts, p.Reason = allowedStarts(s)
 	p.RenewGangs = s.Placer && !superseded(s)
 	p.TakePlacer = ready && s.Reach.Store && (!s.Placer || superseded(s))
 	return p
@@ -114,10 +117,10 @@
 	}
 }
 
-// superseded reports whether another instance took the placer lease since.
+// superseded reports whether another instance has taken the placer lease since.
 func superseded(s Situation) bool { return s.HighestEpoch > s.Epoch }
 
-func starts(s Situation) (Starts, string) {
+func allowedStarts(s Situation) (Starts, string) {
 	switch {
 	case !s.Placer:
 		return StartsNone, "not the placer"
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -10,48 +10,48 @@
 
 func TestDecideByWhatIsReached(t *testing.T) {
 	var (
-		whole     = zone.Reach{Store: true, ZonePeers: 1, OtherPeers: 4}
-		noStore   = zone.Reach{ZonePeers: 1, OtherPeers: 4}
-		ownOnly   = zone.Reach{ZonePeers: 1}
-		otherOnly = zone.Reach{OtherPeers: 4}
-		storeOnly = zone.Reach{Store: true}
-		alone     = zone.Reach{}
+		allReached     = zone.Reach{Store: true, ZonePeers: 1, OtherPeers: 4}
+		noStore        = zone.Reach{ZonePeers: 1, OtherPeers: 4}
+		zonePeersOnly  = zone.Reach{ZonePeers: 1}
+		otherZonesOnly = zone.Reach{OtherPeers: 4}
+		storeOnly      = zone.Reach{Store: true}
+		isolated       = zone.Reach{}
 	)
 	placer := zone.Situation{Configured: true, Placer: true, LeaseValid: true, Epoch: 7, HighestEpoch: 7}
-	lapsed := placer
-	lapsed.LeaseValid = false
-	replaced := placer
-	replaced.HighestEpoch = 8
+	expired := placer
+	expired.LeaseValid = false
+	superseded := placer
+	superseded.HighestEpoch = 8
 	leaving := placer
 	leaving.Leaving = true
 	unconfigured := placer
 	unconfigured.Configured = false
-	other := zone.Situation{Configured: true, HighestEpoch: 7}
-	fresh := zone.Situation{}
+	notPlacer := zone.Situation{Configured: true, HighestEpoch: 7}
+	newInstance := zone.Situation{}
 
 	cases := map[string]struct {
 		situation zone.Situation
 		reach     zone.Reach
 		want      zone.Permission
 	}{
-		"the placer with everything does all":                          {placer, whole, allow("rcsg", zone.StartsAll, zone.SourceStore)},
-		"the placer with the store alone does all but spill":           {placer, storeOnly, allow("rcg", zone.StartsAll, zone.SourceStore)},
-		"the placer without the store starts idempotent jobs":          {placer, noStore, allow("rsg", zone.StartsIdempotent, zone.SourcePeers)},
-		"so does it when its lease lapses meanwhile":                   {lapsed, noStore, allow("rsg", zone.StartsIdempotent, zone.SourcePeers)},
-		"so does it in a zone cut from the others":                     {lapsed, ownOnly, allow("rg", zone.StartsIdempotent, zone.SourcePeers)},
-		"so does it with peers of other zones only":                    {lapsed, otherOnly, allow("rsg", zone.StartsIdempotent, zone.SourcePeers)},
-		"the placer alone starts nothing but renews":                   {placer, alone, allow("rg", zone.StartsNone, zone.SourceKeep)},
-		"a lapsed lease with the store back starts nothing yet":        {lapsed, whole, allow("rcsg", zone.StartsNone, zone.SourceStore)},
-		"a placer that was replaced starts and renews nothing":         {replaced, noStore, allow("rs", zone.StartsNone, zone.SourcePeers)},
-		"a placer that was replaced may stand again with the store":    {replaced, whole, allow("rcst", zone.StartsNone, zone.SourceStore)},
-		"a leaving placer starts nothing and renews until handed over": {leaving, whole, allow("g", zone.StartsNone, zone.SourceStore)},
-		"a placer without configuration starts nothing":                {unconfigured, whole, allow("g", zone.StartsNone, zone.SourceStore)},
-		"another instance stands for the lease with the store":         {other, whole, allow("rcst", zone.StartsNone, zone.SourceStore)},
-		"another instance without the store does not":                  {other, noStore, allow("rs", zone.StartsNone, zone.SourcePeers)},
-		"another instance alone serves what needs no claim":            {other, alone, allow("r", zone.StartsNone, zone.SourceKeep)},
-		"a new instance without the store asks peers":                  {fresh, noStore, allow("", zone.StartsNone, zone.SourcePeers)},
-		"a new instance with the store asks it":                        {fresh, whole, allow("", zone.StartsNone, zone.SourceStore)},
-		"a new instance with neither is not ready":                     {fresh, alone, allow("", zone.StartsNone, zone.SourceNone)},
+		"placer that reaches everything is allowed everything":                      {placer, allReached, permission("rcsg", zone.StartsAll, zone.SourceStore)},
+		"placer that reaches only the store may not spill":                          {placer, storeOnly, permission("rcg", zone.StartsAll, zone.SourceStore)},
+		"placer without the store starts idempotent jobs":                           {placer, noStore, permission("rsg", zone.StartsIdempotent, zone.SourcePeers)},
+		"placer without the store and with an expired lease starts idempotent jobs": {expired, noStore, permission("rsg", zone.StartsIdempotent, zone.SourcePeers)},
+		"placer in a zone partitioned from the others starts idempotent jobs":       {expired, zonePeersOnly, permission("rg", zone.StartsIdempotent, zone.SourcePeers)},
+		"placer that reaches only peers of other zones starts idempotent jobs":      {expired, otherZonesOnly, permission("rsg", zone.StartsIdempotent, zone.SourcePeers)},
+		"isolated placer starts nothing but renews gangs":                           {placer, isolated, permission("rg", zone.StartsNone, zone.SourceKeep)},
+		"placer with an expired lease starts nothing once the store is back":        {expired, allReached, permission("rcsg", zone.StartsNone, zone.SourceStore)},
+		"superseded placer starts and renews nothing":                               {superseded, noStore, permission("rs", zone.StartsNone, zone.SourcePeers)},
+		"superseded placer may acquire the lease again with the store":              {superseded, allReached, permission("rcst", zone.StartsNone, zone.SourceStore)},
+		"leaving placer starts nothing and renews gangs until handover":             {leaving, allReached, permission("g", zone.StartsNone, zone.SourceStore)},
+		"placer without a configuration starts nothing":                             {unconfigured, allReached, permission("g", zone.StartsNone, zone.SourceStore)},
+		"other instance with the store may acquire the lease":                       {notPlacer, allReached, permission("rcst", zone.StartsNone, zone.SourceStore)},
+		"other instance without the store may not acquire the lease":                {notPlacer, noStore, permission("rs", zone.StartsNone, zone.SourcePeers)},
+		"isolated other instance serves requests that need no claim":                {notPlacer, isolated, permission("r", zone.StartsNone, zone.SourceKeep)},
+		"new instance without the store reads the configuration from peers":         {newInstance, noStore, permission("", zone.StartsNone, zone.SourcePeers)},
+		"new instance with the store reads the configuration from it":               {newInstance, allReached, permission("", zone.StartsNone, zone.SourceStore)},
+		"new instance with neither store nor peers is not ready":                    {newInstance, isolated, permission("", zone.StartsNone, zone.SourceNone)},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -64,9 +64,9 @@
 	}
 }
 
-// allow spells a permission: r ready, c claims, s spill, t take placer, g renew
-// gangs.
-func allow(letters string, starts zone.Starts, source zone.Source) zone.Permission {
+// permission builds a Permission from letters: r ready, c claims, s spill, t
+// take placer, g renew gangs.
+func permission(letters string, starts zone.Starts, source zone.Source) zone.Permission {
 	p := zone.Permission{Starts: starts, Config: source}
 	for _, letter := range letters {
 		switch letter {
@@ -85,7 +85,7 @@
 	return p
 }
 
-// TestNothingUnsafeInAnySituation goes through every combination.
+// TestNothingUnsafeInAnySituation checks every combination of inputs.
 func TestNothingUnsafeInAnySituation(t *testing.T) {
 	for bits := range 1 << 8 {
 		bit := func(i int) bool { return bits>>i&1 == 1 }
