--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,6 +1,7 @@
-// Package claim keeps the right to run a keyed request that is not idempotent.
-// The right is a row of the platform's tables, inserted before the dispatch:
-// whoever inserted it may dispatch once; nobody else ever does.
+// Package claim provides claims, each the right to run one keyed request that
+// is not idempotent. A claim is a row in the platform's tables that is inserted
+// before the dispatch: only the process that inserted it may dispatch the
+// request, and only once.
 package claim
 
 import (
@@ -9,37 +10,40 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// Request identifies the work that a claim is for.
+// Request identifies the request that a claim is for.
 type Request struct {
 	Account string
 	// Key is the caller's idempotency key, unique within the account.
 	Key string
-	// RequestID is the id of the arrival that asks.
+	// RequestID is the id of the arrival that requests the claim.
 	RequestID string
-	// BodyDigest tells whether two arrivals of a key ask for the same work.
+	// BodyDigest is equal for two arrivals of a key if they request the same
+	// work.
 	BodyDigest string
-	// Holder is the instance that asks.
+	// Holder is the instance that requests the claim.
 	Holder string
 }
 
-// Held is a claim that this arrival holds. It is settled exactly once.
+// Held is a claim held by this arrival. It is settled or given up exactly once.
 type Held interface {
 	// Settle records the final answer for later arrivals of the key. An error
 	// means that the record may be missing; the answer stays valid.
 	Settle(ctx context.Context, answer api.RequestAnswer) error
-	// GiveUp removes the claim, so that a later arrival may run the work. The
-	// holder must not have dispatched, and must not dispatch afterwards.
+	// GiveUp releases the claim, so that a later arrival may run the work. The
+	// holder must not have dispatched it, and must not dispatch it afterwards.
 	GiveUp(ctx context.Context) error
 }
 
-// Claims gives out claims. Implementations are safe for concurrent use.
+// Claims grants claims. Implementations are safe for concurrent use.
 type Claims interface {
-	// Claim returns a held claim, or the recorded answer of an earlier
-	// arrival. It waits, within ctx, for an earlier arrival under way; if that
-	// does not end, the answer has the outcome unknown. Errors: KindKeyReused
-	// for another body, KindStoreUnavailable if this arrival has no claim and
-	// never will (whether an earlier one of the key ran cannot be known then),
-	// KindResultUnknown if the claim may have been made; it is never used, and
-	// released when the store returns.
+	// Claim returns a held claim, or the recorded answer of an earlier arrival.
+	// It waits, within ctx, for an earlier arrival in progress; if that one
+	// does not end in time, the answer has the outcome unknown.
+	//
+	// The errors are KindKeyReused if the key was used with another body,
+	// KindStoreUnavailable if this arrival has no claim and never will (whether
+	// an earlier arrival of the key ran cannot be known then), and
+	// KindResultUnknown if the claim may have been inserted; such a claim is
+	// never used, and it is released when the store returns.
 	Claim(ctx context.Context, request Request) (Held, *api.RequestAnswer, error)
 }
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -20,14 +20,14 @@
 	return claim.Request{Account: "acme", Key: "k", RequestID: id, BodyDigest: digest, Holder: "i1"}
 }
 
-// instance is one process's claims over a shared platform.
+// instance is the claim store of one process on a shared platform.
 type instance struct {
 	*claim.Store
 	stack *platform.Stack
 }
 
-// start returns a process whose missed ends are recorded until the test ends.
-func start(t *testing.T, service *fake.Platform) instance {
+// startInstance returns an instance whose sweep runs until the test ends.
+func startInstance(t *testing.T, service *fake.Platform) instance {
 	t.Helper()
 	stack := platform.NewStack(service)
 	store := claim.New(stack)
@@ -53,30 +53,30 @@
 	return held
 }
 
-var done = api.RequestAnswer{ID: "r1", Outcome: api.OutcomeDone, Payload: []byte(`1`)}
+var doneAnswer = api.RequestAnswer{ID: "r1", Outcome: api.OutcomeDone, Payload: []byte(`1`)}
 
 func TestClaim(t *testing.T) {
 	cases := map[string]func(t *testing.T, service *fake.Platform, a, b instance){
-		"a settled claim gives its answer to a later arrival elsewhere": func(t *testing.T, _ *fake.Platform, a, b instance) {
-			assert.NilError(t, mustClaim(t, a, "r1").Settle(t.Context(), done))
+		"settled claim answers a later arrival on another instance": func(t *testing.T, _ *fake.Platform, a, b instance) {
+			assert.NilError(t, mustClaim(t, a, "r1").Settle(t.Context(), doneAnswer))
 			held, answer, err := b.Claim(t.Context(), request("r2", "d"))
 			assert.NilError(t, err)
 			assert.Assert(t, held == nil && answer.Replayed)
 			assert.Equal(t, answer.ID, "r1")
 		},
-		"another body under the key is refused": func(t *testing.T, _ *fake.Platform, a, b instance) {
+		"key with another body is refused": func(t *testing.T, _ *fake.Platform, a, b instance) {
 			mustClaim(t, a, "r1")
 			_, _, err := b.Claim(t.Context(), request("r2", "other"))
 			assert.Assert(t, api.IsKind(err, api.KindKeyReused))
 		},
-		"an arrival waits for the earlier one to settle": func(t *testing.T, _ *fake.Platform, a, b instance) {
+		"arrival waits for the earlier one to settle": func(t *testing.T, _ *fake.Platform, a, b instance) {
 			held := mustClaim(t, a, "r1")
-			time.AfterFunc(3*time.Second, func() { _ = held.Settle(t.Context(), done) })
+			time.AfterFunc(3*time.Second, func() { _ = held.Settle(t.Context(), doneAnswer) })
 			_, answer, err := b.Claim(t.Context(), request("r2", "d"))
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Outcome, api.OutcomeDone)
 		},
-		"a claim whose holder died is unknown, and is never run": func(t *testing.T, _ *fake.Platform, a, b instance) {
+		"claim of a crashed holder has an unknown outcome and never runs": func(t *testing.T, _ *fake.Platform, a, b instance) {
 			mustClaim(t, a, "r1")
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
@@ -85,11 +85,11 @@
 			assert.Assert(t, held == nil)
 			assert.Equal(t, answer.Outcome, api.OutcomeUnknown)
 		},
-		"a claim given up can be taken by another": func(t *testing.T, _ *fake.Platform, a, b instance) {
+		"claim given up can be taken by another arrival": func(t *testing.T, _ *fake.Platform, a, b instance) {
 			assert.NilError(t, mustClaim(t, a, "r1").GiveUp(t.Context()))
 			mustClaim(t, b, "r2")
 		},
-		"an arrival that gave up and claims again holds a new claim": func(t *testing.T, _ *fake.Platform, a, b instance) {
+		"arrival that claims again after giving up holds a new claim": func(t *testing.T, _ *fake.Platform, a, b instance) {
 			assert.NilError(t, mustClaim(t, a, "r1").GiveUp(t.Context()))
 			mustClaim(t, a, "r1")
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -99,23 +99,23 @@
 			assert.Assert(t, held == nil)
 			assert.Equal(t, answer.Outcome, api.OutcomeUnknown)
 		},
-		"a claim ends once": func(t *testing.T, _ *fake.Platform, a, b instance) {
+		"claim ends once": func(t *testing.T, _ *fake.Platform, a, b instance) {
 			held := mustClaim(t, a, "r1")
-			assert.NilError(t, held.Settle(t.Context(), done))
+			assert.NilError(t, held.Settle(t.Context(), doneAnswer))
 			assert.Assert(t, api.IsKind(held.GiveUp(t.Context()), api.KindConflict))
 			_, answer, err := b.Claim(t.Context(), request("r2", "d"))
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Outcome, api.OutcomeDone)
 		},
-		"while the store is down nothing is claimed": func(t *testing.T, service *fake.Platform, a, _ instance) {
+		"no claim while the store is down": func(t *testing.T, service *fake.Platform, a, _ instance) {
 			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{Down: true} })
 			_, _, err := a.Claim(t.Context(), request("r1", "d"))
 			assert.Assert(t, api.IsKind(err, api.KindStoreUnavailable))
 		},
-		"an end that the store missed is recorded when it returns": func(t *testing.T, service *fake.Platform, a, b instance) {
+		"unrecorded outcome is recorded when the store returns": func(t *testing.T, service *fake.Platform, a, b instance) {
 			held := mustClaim(t, a, "r1")
 			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{Down: true} })
-			assert.Assert(t, api.IsKind(held.Settle(t.Context(), done), api.KindStoreUnavailable))
+			assert.Assert(t, api.IsKind(held.Settle(t.Context(), doneAnswer), api.KindStoreUnavailable))
 			_, answer, err := a.Claim(t.Context(), request("r2", "d"))
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Outcome, api.OutcomeDone)
@@ -126,10 +126,10 @@
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Outcome, api.OutcomeDone)
 		},
-		"a stop records what the store missed, if it can": func(t *testing.T, service *fake.Platform, a, b instance) {
+		"drain records the outcomes that the store missed": func(t *testing.T, service *fake.Platform, a, b instance) {
 			held := mustClaim(t, a, "r1")
 			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{Down: true} })
-			assert.Assert(t, api.IsKind(held.Settle(t.Context(), done), api.KindStoreUnavailable))
+			assert.Assert(t, api.IsKind(held.Settle(t.Context(), doneAnswer), api.KindStoreUnavailable))
 			assert.Assert(t, api.IsKind(a.Drain(t.Context()), api.KindStoreUnavailable))
 			service.SetFault(nil)
 			time.Sleep(300 * time.Millisecond)
@@ -138,7 +138,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Outcome, api.OutcomeDone)
 		},
-		"an insertion that may arrive late is fenced, and the key is free again": func(t *testing.T, service *fake.Platform, a, b instance) {
+		"late insertion is fenced and the key is free again": func(t *testing.T, service *fake.Platform, a, b instance) {
 			service.SetFault(func(call fake.Call) fake.Fault {
 				if call.Op == "commit" {
 					return fake.Fault{AppliesAfter: time.Minute}
@@ -158,32 +158,32 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := fake.New()
-				check(t, service, start(t, service), start(t, service))
+				check(t, service, startInstance(t, service), startInstance(t, service))
 			})
 		})
 	}
 }
 
-// TestMissedEndsAreRecordedTogether has an outage begin while many claims are
-// held, and checks that their ends share commits when the store returns.
-func TestMissedEndsAreRecordedTogether(t *testing.T) {
+// TestMissedOutcomesAreRecordedInBatches checks that the outcomes of many
+// claims held during an outage share commits when the store returns.
+func TestMissedOutcomesAreRecordedInBatches(t *testing.T) {
 	const claims = 500
 	synctest.Test(t, func(t *testing.T) {
 		service := fake.New()
-		a := start(t, service)
+		a := startInstance(t, service)
 		var calls sync.WaitGroup
 		held := make([]claim.Held, claims)
 		for i := range held {
 			calls.Go(func() {
-				got, _, err := a.Claim(t.Context(), claim.Request{Account: "acme", Key: fmt.Sprint(i), RequestID: fmt.Sprint(i)})
+				own, _, err := a.Claim(t.Context(), claim.Request{Account: "acme", Key: fmt.Sprint(i), RequestID: fmt.Sprint(i)})
 				assert.Check(t, err)
-				held[i] = got
+				held[i] = own
 			})
 		}
 		calls.Wait()
 		service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{Down: true} })
 		for i := range held {
-			calls.Go(func() { _ = held[i].Settle(t.Context(), done) })
+			calls.Go(func() { _ = held[i].Settle(t.Context(), doneAnswer) })
 		}
 		calls.Wait()
 		assert.Equal(t, a.Unsettled(), claims)
--- a/internal/claim/unsettled.go
+++ b/internal/claim/unsettled.go
@@ -11,123 +11,131 @@
 	"github.com/corianderbank/corianderbank/internal/platform"
 )
 
-// The times of the duty that records missed ends.
+// The timing of the sweep, which records the outcomes that could not be stored
+// at first, and of Drain.
 const (
 	sweepInterval = time.Second
 	sweepTimeout  = 10 * time.Second
-	// sweepBatch is the number of ends recorded side by side.
-	sweepBatch = 64
-	// drainWithin bounds Drain: a store that is out must not hold up a stop.
-	drainWithin = 3 * time.Second
+	// sweepBatchSize is the number of outcomes recorded concurrently.
+	sweepBatchSize = 64
+	// drainTimeout bounds Drain: an unavailable store must not block a
+	// shutdown.
+	drainTimeout = 3 * time.Second
 )
 
-// held is a claim of this process. Its store's mu guards end and missed.
+// held is a claim of this process. Its store's mu guards outcome and
+// unrecorded.
 type held struct {
 	store *Store
 	ref   api.Ref
 	claim claimRow
-	// ended is how the claim ended; nil while it is under way.
-	ended *endRow
-	// missed says that the store does not have the end yet, and that nobody
-	// but the sweep is writing it.
-	missed bool
+	// outcome is nil while the claim is in progress.
+	outcome *outcomeRow
+	// unrecorded reports that the store does not have the outcome yet and that
+	// only the sweep writes it.
+	unrecorded bool
 }
 
 // Settle implements Held.
 func (h *held) Settle(ctx context.Context, answer api.RequestAnswer) error {
-	return h.end(ctx, endRow{Answer: &answer})
+	return h.finish(ctx, outcomeRow{Answer: &answer})
 }
 
 // GiveUp implements Held.
 func (h *held) GiveUp(ctx context.Context) error {
-	return h.end(ctx, endRow{Released: true})
+	return h.finish(ctx, outcomeRow{Released: true})
 }
 
-// end ends the claim, once.
-func (h *held) end(ctx context.Context, end endRow) error {
-	if !h.store.ending(h, end) {
+// finish sets and records the outcome of the claim. It returns KindConflict if
+// the claim has an outcome already.
+func (h *held) finish(ctx context.Context, outcome outcomeRow) error {
+	if !h.store.setOutcome(h, outcome) {
 		return api.NewError(api.KindConflict, "the claim on %s has ended before", h.ref.Key)
 	}
-	err := h.store.record(ctx, h)
-	h.store.recorded(h, err)
+	err := h.store.recordOutcome(ctx, h)
+	h.store.applyRecordResult(h, err)
 	return err
 }
 
-// begin enters a claim before its insertion and reports true. It reports false
-// if this process holds the key already: then it returns the answer, if that
-// is known, or an error if the key is about to be released.
-func (s *Store) begin(mine *held, request Request) (bool, *api.RequestAnswer, error) {
+// register adds a claim to unsettled before its insertion and reports true. It
+// reports false if this process already has a claim of the key: it then returns
+// the answer, if that is known, or an error if the key is about to be released.
+// It also returns an error if the body differs or too many claims are unsettled.
+func (s *Store) register(own *held, request Request) (bool, *api.RequestAnswer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	present, ok := s.unsettled[mine.ref]
+	existing, ok := s.unsettled[own.ref]
 	switch {
 	case !ok && len(s.unsettled) >= maxUnsettled:
 		return false, nil, api.NewError(api.KindStoreUnavailable, "too many claims wait for the store")
 	case !ok:
-		s.unsettled[mine.ref] = mine
+		s.unsettled[own.ref] = own
 		return true, nil, nil
-	case present.claim.BodyDigest != request.BodyDigest:
+	case existing.claim.BodyDigest != request.BodyDigest:
 		return false, nil, api.NewError(api.KindKeyReused, "key %s was used with another body", request.Key)
-	case present.ended == nil:
+	case existing.outcome == nil:
 		return false, nil, nil
-	case present.ended.Released:
+	case existing.outcome.Released:
 		return false, nil, api.NewError(api.KindStoreUnavailable, "an earlier claim of the key is being released")
 	}
-	return false, replay(present.ended.Answer), nil
+	return false, replayed(existing.outcome.Answer), nil
 }
 
-// forget drops a claim that was not made, or whose end is recorded.
-func (s *Store) forget(h *held) {
+// remove removes a claim that was not inserted from unsettled.
+func (s *Store) remove(h *held) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.unsettled, h.ref)
 }
 
-// abandon gives up a claim that may have been made: it is never used, and the
-// sweep releases it.
+// abandon releases a claim that may have been inserted: it is never used, and
+// the sweep records its release.
 func (s *Store) abandon(h *held) {
-	s.ending(h, endRow{Released: true})
+	s.setOutcome(h, outcomeRow{Released: true})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.missed = true
+	h.unrecorded = true
 }
 
-// ending sets the end of a claim, and reports whether it is the first.
-func (s *Store) ending(h *held, end endRow) bool {
+// setOutcome sets the outcome of a claim. It reports false if the claim has one
+// already.
+func (s *Store) setOutcome(h *held, outcome outcomeRow) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h.ended != nil {
+	if h.outcome != nil {
 		return false
 	}
-	h.ended = &end
+	h.outcome = &outcome
 	return true
 }
 
-// recorded notes the result of writing a claim's end.
-func (s *Store) recorded(h *held, err error) {
+// applyRecordResult applies the result of recordOutcome: a claim whose outcome
+// may not be stored is left to the sweep, any other is removed.
+func (s *Store) applyRecordResult(h *held, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if api.IsKind(err, api.KindStoreUnavailable) || api.IsKind(err, api.KindResultUnknown) {
-		h.missed = true
+		h.unrecorded = true
 		return
 	}
 	delete(s.unsettled, h.ref)
 }
 
-// record inserts the end of a claim. A claim whose insertion is unknown may be
-// ended before it arrives, or though it never does: the end names the claim, so it
-// is of no effect on any other. A conflict means that an
-// earlier attempt has inserted the end.
-func (s *Store) record(ctx context.Context, h *held) error {
-	end := api.Row{Ref: endRef(h.ref, h.claim)}
-	err := platform.ErrorOf(put(ctx, s.tables, platform.PurposeOutcome, end, h.ended))
+// recordOutcome inserts the outcome of a claim. If the insertion of the claim
+// itself has an unknown result, the outcome may be stored before the claim
+// arrives, or although it never does: the outcome names its claim, so it
+// affects no other. A conflict means that an earlier attempt has inserted the
+// outcome.
+func (s *Store) recordOutcome(ctx context.Context, h *held) error {
+	outcome := api.Row{Ref: outcomeRef(h.ref, h.claim)}
+	err := platform.ErrorOf(put(ctx, s.tables, platform.PurposeOutcome, outcome, h.outcome))
 	if api.IsKind(err, api.KindConflict) {
 		return nil
 	}
 	return err
 }
 
-// Run records the ends that the store missed, until ctx ends.
+// Run records the outcomes that could not be stored at first, until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -141,65 +149,66 @@
 	}
 }
 
-// Drain records the ends that the store missed, for a process that stops. What
-// is left after drainWithin is reported as KindStoreUnavailable: later arrivals
-// of those keys get the outcome unknown.
+// Drain records the outcomes that could not be stored at first, for a process
+// that is stopping. If some remain after drainTimeout, it returns
+// KindStoreUnavailable: later arrivals of their keys get the outcome unknown.
 func (s *Store) Drain(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, drainWithin)
+	drainCtx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	for len(s.missed()) > 0 {
-		s.sweep(limited)
-		if len(s.missed()) > 0 && !pause(limited, drainWithin/10) {
-			return api.NewError(api.KindStoreUnavailable, "%d claims have no recorded end", len(s.missed()))
+	for len(s.unrecordedClaims()) > 0 {
+		s.sweep(drainCtx)
+		if len(s.unrecordedClaims()) > 0 && !sleep(drainCtx, drainTimeout/10) {
+			return api.NewError(api.KindStoreUnavailable, "%d claims have no recorded end", len(s.unrecordedClaims()))
 		}
 	}
 	return nil
 }
 
-// sweep tries to record each missed end once, a batch at a time, and stops at
-// the first batch that the store does not answer.
+// sweep tries once to record each unrecorded outcome, in batches. It stops at
+// the first batch that the store does not answer completely.
 func (s *Store) sweep(ctx context.Context) {
-	for batch := range slices.Chunk(s.missed(), sweepBatch) {
+	for batch := range slices.Chunk(s.unrecordedClaims(), sweepBatchSize) {
 		if !s.recordBatch(ctx, batch) {
 			return
 		}
 	}
 }
 
-// recordBatch records ends side by side, so that they share commits. It reports
-// whether the store answered all of them.
+// recordBatch records outcomes concurrently, so that they share commits. It
+// reports whether all of them were recorded.
 func (s *Store) recordBatch(ctx context.Context, batch []*held) bool {
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
 	var answered atomic.Bool
 	answered.Store(true)
-	var batched sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, h := range batch {
-		batched.Go(func() {
-			err := s.record(ctx, h)
-			s.recorded(h, err)
+		wg.Go(func() {
+			err := s.recordOutcome(ctx, h)
+			s.applyRecordResult(h, err)
 			if err != nil {
 				answered.Store(false)
 			}
 		})
 	}
-	batched.Wait()
+	wg.Wait()
 	return answered.Load()
 }
 
-func (s *Store) missed() []*held {
+func (s *Store) unrecordedClaims() []*held {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var missed []*held
+	var unrecorded []*held
 	for _, h := range s.unsettled {
-		if h.missed {
-			missed = append(missed, h)
+		if h.unrecorded {
+			unrecorded = append(unrecorded, h)
 		}
 	}
-	return missed
+	return unrecorded
 }
 
-// Unsettled returns how many claims of this process have no recorded end.
+// Unsettled returns the number of claims of this process without a recorded
+// outcome.
 func (s *Store) Unsettled() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
