--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -20,7 +20,7 @@
 	return response, err
 }
 
-// countCall counts the calls by the kind of their error, empty for none.
+// countCall counts a call by the kind of its error, which is empty on success.
 func countCall(err error) {
 	kind := api.Kind("")
 	if err != nil {
@@ -39,18 +39,18 @@
 	case <-ctx.Done():
 		return nil, errNotReady(instance, "too many calls under way: %w", ctx.Err())
 	}
-	message := n.sign(request)
+	message := n.withSender(request)
 	if size := proto.Size(message); size > n.limits.MaxMessageBytes {
 		return nil, api.NewError(api.KindBodyTooLarge, "peer %s: request of %d bytes", instance, size)
 	}
-	stream, c, err := n.open(ctx, l)
+	stream, c, err := n.openStream(ctx, l)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = stream.Close() }()
 	response, err := n.exchange(ctx, instance, stream, message)
 	if errors.Is(err, yamux.ErrTimeout) {
-		n.suspect(c)
+		n.probeConnection(c)
 	}
 	return response, err
 }
@@ -62,20 +62,22 @@
 	return context.WithTimeout(ctx, n.limits.CallTimeout)
 }
 
-// sign returns a copy of request that names this instance.
-func (n *Node) sign(request *peerpb.Request) *peerpb.Request {
+// withSender returns a copy of request with this instance as its sender.
+func (n *Node) withSender(request *peerpb.Request) *peerpb.Request {
 	return &peerpb.Request{From: n.options.Instance, Incarnation: n.options.Incarnation, Body: request.GetBody()}
 }
 
-// openAttempts is how often a call looks for a connection: a second time when
-// the first proves closed, which nothing was sent on.
-const openAttempts = 2
+// maxOpenAttempts is how often a call tries to open a stream. The second
+// attempt follows if the first connection turns out to be closed, when nothing
+// has been sent yet.
+const maxOpenAttempts = 2
 
-// open opens a stream for one call. Nothing of the call has left on an error.
-func (n *Node) open(ctx context.Context, l *link) (*yamux.Stream, *connection, error) {
-	var last error
-	for range openAttempts {
-		c, err := n.connection(ctx, l)
+// openStream opens a stream for one call. If it returns an error, nothing of
+// the call has been sent.
+func (n *Node) openStream(ctx context.Context, l *link) (*yamux.Stream, *connection, error) {
+	var lastErr error
+	for range maxOpenAttempts {
+		c, err := n.acquireConnection(ctx, l)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -83,14 +85,14 @@
 		if err == nil {
 			return stream, c, nil
 		}
-		last = err
+		lastErr = err
 		l.drop(c)
 	}
-	return nil, nil, errNotReady(l.instance, "no stream: %v", last)
+	return nil, nil, errNotReady(l.instance, "no stream: %v", lastErr)
 }
 
-// exchange sends the request and waits for the response. From the first byte
-// on, a failure leaves the result unknown.
+// exchange sends the request and waits for the response. Once the first byte is
+// sent, a failure leaves the result unknown.
 func (n *Node) exchange(
 	ctx context.Context, instance string, stream *yamux.Stream, request *peerpb.Request,
 ) (*peerpb.Response, error) {
@@ -100,11 +102,11 @@
 	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if err := writeMessage(stream, request, n.limits.MaxMessageBytes); err != nil {
-		return nil, errLost(instance, err)
+		return nil, errResponseLost(instance, err)
 	}
 	var response peerpb.Response
 	if err := readMessage(stream, &response, n.limits.MaxMessageBytes); err != nil {
-		return nil, errLost(instance, err)
+		return nil, errResponseLost(instance, err)
 	}
 	if kind := response.GetErrorKind(); kind != "" {
 		return nil, remoteError(instance, &response)
@@ -112,11 +114,11 @@
 	return &response, nil
 }
 
-func errLost(instance string, err error) error {
+func errResponseLost(instance string, err error) error {
 	return api.NewError(api.KindResultUnknown, "peer %s: response lost: %w", instance, err)
 }
 
-// remoteError rebuilds the error that the peer's handler returned.
+// remoteError returns the error that the peer's handler returned.
 func remoteError(instance string, response *peerpb.Response) error {
 	kind := api.AnswerFor(api.Kind(response.GetErrorKind())).Kind
 	err := api.NewError(kind, "peer %s: %w", instance, errors.New(response.GetMessage()))
--- a/internal/peer/call_bench_test.go
+++ b/internal/peer/call_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/corianderbank/corianderbank/internal/peer"
 )
 
-// BenchmarkCall measures one call after the other over loopback.
+// BenchmarkCall measures sequential calls over loopback.
 func BenchmarkCall(b *testing.B) {
-	addresses := book{}
+	addresses := addressBook{}
 	start := func(id string) *peer.Node {
 		node := peer.New(peer.Options{Instance: id, Listen: "127.0.0.1:0", Handler: handlerFunc(echo), Resolve: addresses.resolve})
 		assert.NilError(b, node.Start())
--- a/internal/peer/coalesce.go
+++ b/internal/peer/coalesce.go
@@ -8,57 +8,59 @@
 )
 
 const (
-	// coalesceYields is how often the duty lets other goroutines run before it
-	// writes, so that the next steps of an exchange go with the first. A timer
-	// would do the same for a millisecond or more at each step.
+	// coalesceYields is how often writeLoop yields to other goroutines before
+	// it writes, so that the next writes of an exchange join the first. A timer
+	// would delay each step by a millisecond or more.
 	coalesceYields = 8
-	// coalesceBytes is what a connection holds back at most; a full one makes
-	// the writer wait.
-	coalesceBytes = 64 << 10
-	// flushWithin bounds the last write when a connection closes.
-	flushWithin = time.Second
+	// maxPendingBytes bounds the bytes that a connection buffers. A writer
+	// waits while the buffer is full.
+	maxPendingBytes = 64 << 10
+	// flushTimeout bounds the last write before a connection closes.
+	flushTimeout = time.Second
 )
 
-// coalescing puts the small writes of a yamux session (a header, a body, a
-// window update) into few segments, each of which costs its own TCP and IP
-// headers. Its duty writes what gathered while it let others run.
-type coalescing struct {
+// coalescingConn combines the small writes of a yamux session (a header, a
+// body, a window update) into few segments, because each segment costs its own
+// TCP and IP headers. writeLoop writes what has accumulated while it yielded to
+// other goroutines.
+type coalescingConn struct {
 	net.Conn
-	// wake has an entry while there is something to write; room has one when
-	// something was written.
-	wake, room chan struct{}
-	closing    chan struct{}
-	once       sync.Once
-	// done is closed when the duty ended and the connection is closed.
+	// wake has an entry while there is something to write; flushed has one
+	// after a write.
+	wake, flushed chan struct{}
+	closing       chan struct{}
+	closeOnce     sync.Once
+	// done is closed once writeLoop has ended and the connection is closed.
 	done chan struct{}
 
 	// mu guards the rest.
 	mu      sync.Mutex
 	pending []byte
-	// failed connections take nothing more.
+	// failed reports that a write failed; further data is dropped.
 	failed bool
 }
 
-func newCoalescing(conn net.Conn) *coalescing {
-	c := &coalescing{
+func newCoalescingConn(conn net.Conn) *coalescingConn {
+	c := &coalescingConn{
 		Conn:    conn,
 		wake:    make(chan struct{}, 1),
-		room:    make(chan struct{}, 1),
+		flushed: make(chan struct{}, 1),
 		closing: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
-	go c.run()
+	go c.writeLoop()
 	return c
 }
 
-// Write takes data over. It never fails: a write that fails ends the reading, and
-// what comes after it is dropped. So a session always ends from its reader's side,
-// in one go: ended from elsewhere, it waits for its reader, and meanwhile each reader
-// of a stream goes round a loop that does not block.
-func (c *coalescing) Write(data []byte) (int, error) {
-	for !c.take(data) {
+// Write buffers data for writeLoop. It never returns an error: a failed write
+// makes reads fail, and later data is dropped. A session therefore always ends
+// from its read side, in one step. If it ended from elsewhere it would wait for
+// its reader, and meanwhile each reader of a stream would spin in a loop that
+// does not block.
+func (c *coalescingConn) Write(data []byte) (int, error) {
+	for !c.enqueue(data) {
 		select {
-		case <-c.room:
+		case <-c.flushed:
 		case <-c.closing:
 			return len(data), nil
 		}
@@ -66,33 +68,33 @@
 	return len(data), nil
 }
 
-// take adds data to what is pending; false if there is no room.
-func (c *coalescing) take(data []byte) bool {
+// enqueue adds data to the buffer. It returns false if the buffer is full.
+func (c *coalescingConn) enqueue(data []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.failed {
 		return true
 	}
-	if len(c.pending) > 0 && len(c.pending)+len(data) > coalesceBytes {
+	if len(c.pending) > 0 && len(c.pending)+len(data) > maxPendingBytes {
 		return false
 	}
 	c.pending = append(c.pending, data...)
-	signal(c.wake)
+	notify(c.wake)
 	return true
 }
 
-// endReading makes the reader fail, now and from now on.
-func (c *coalescing) endReading() { _ = c.Conn.SetReadDeadline(time.Unix(1, 0)) }
+// stopReading makes current and future reads fail.
+func (c *coalescingConn) stopReading() { _ = c.Conn.SetReadDeadline(time.Unix(1, 0)) }
 
-func signal(to chan<- struct{}) {
+func notify(ch chan<- struct{}) {
 	select {
-	case to <- struct{}{}:
+	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// run writes what gathered, until the connection closes or fails.
-func (c *coalescing) run() {
+// writeLoop writes buffered data until the connection closes or fails.
+func (c *coalescingConn) writeLoop() {
 	defer close(c.done)
 	defer func() { _ = c.Conn.Close() }()
 	for {
@@ -106,14 +108,14 @@
 			runtime.Gosched()
 		}
 		if c.flush() != nil {
-			c.endReading()
+			c.stopReading()
 			return
 		}
 	}
 }
 
-// flush writes what is pending. Only the duty calls it.
-func (c *coalescing) flush() error {
+// flush writes the buffered data. Only writeLoop calls it.
+func (c *coalescingConn) flush() error {
 	c.mu.Lock()
 	data := c.pending
 	c.pending = nil
@@ -127,16 +129,17 @@
 		c.failed = true
 		c.mu.Unlock()
 	}
-	signal(c.room)
+	notify(c.flushed)
 	return err
 }
 
-// Close has the duty write what is pending, for a bounded time, and close the
-// connection. It does not wait for that: the peer may be silent.
-func (c *coalescing) Close() error {
-	c.once.Do(func() {
-		c.endReading()
-		_ = c.Conn.SetWriteDeadline(time.Now().Add(flushWithin))
+// Close makes writeLoop write the buffered data, for at most flushTimeout, and
+// close the connection. It does not wait for that, because the peer may be
+// unresponsive.
+func (c *coalescingConn) Close() error {
+	c.closeOnce.Do(func() {
+		c.stopReading()
+		_ = c.Conn.SetWriteDeadline(time.Now().Add(flushTimeout))
 		close(c.closing)
 	})
 	return nil
--- a/internal/peer/end_test.go
+++ b/internal/peer/end_test.go
@@ -12,23 +12,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// silentConn takes nothing more once it is silent, like a connection to a peer behind
-// a cut whose buffers are full.
-type silentConn struct {
+// stallingConn accepts no more data while it is stalled, like a connection to a
+// partitioned peer whose buffers are full.
+type stallingConn struct {
 	net.Conn
 	mu       sync.Mutex
-	silent   bool
+	stalled  bool
 	deadline time.Time
 }
 
-func (c *silentConn) fallSilent() {
+func (c *stallingConn) stall() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent = true
+	c.stalled = true
 }
 
 // SetWriteDeadline implements net.Conn.
-func (c *silentConn) SetWriteDeadline(at time.Time) error {
+func (c *stallingConn) SetWriteDeadline(at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = at
@@ -36,12 +36,12 @@
 }
 
 // Write implements net.Conn.
-func (c *silentConn) Write(data []byte) (int, error) {
+func (c *stallingConn) Write(data []byte) (int, error) {
 	for {
 		c.mu.Lock()
-		silent, deadline := c.silent, c.deadline
+		stalled, deadline := c.stalled, c.deadline
 		c.mu.Unlock()
-		if !silent {
+		if !stalled {
 			return c.Conn.Write(data)
 		}
 		if !deadline.IsZero() && time.Now().After(deadline) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// processorTime is what this process used so far.
+// processorTime returns the processor time that this process has used.
 func processorTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
@@ -59,7 +59,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// A stream's reader waits in a loop that does not block while its session is closing.
+// While a session is closing, the reader of a stream spins in a loop that does
+// not block. This test checks that closing a session to a stalled peer does not
+// keep the readers in that loop.
 func TestASessionThatEndsTowardsASilentPeerTakesNoProcessorTime(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -69,51 +71,51 @@
 	accepted, err := listener.Accept()
 	assert.NilError(t, err)
 
-	quiet := yamux.DefaultConfig()
-	quiet.EnableKeepAlive = false
-	theirs, err := yamux.Client(dialed, quiet)
+	config := yamux.DefaultConfig()
+	config.EnableKeepAlive = false
+	client, err := yamux.Client(dialed, config)
 	assert.NilError(t, err)
-	defer func() { _ = theirs.Close() }()
-	conn := &silentConn{Conn: accepted}
-	gathered := newCoalescing(conn)
-	session, err := yamux.Server(gathered, quiet)
+	defer func() { _ = client.Close() }()
+	conn := &stallingConn{Conn: accepted}
+	coalesced := newCoalescingConn(conn)
+	session, err := yamux.Server(coalesced, config)
 	assert.NilError(t, err)
-	c := &connection{Session: session, conn: gathered}
+	c := &connection{Session: session, conn: coalesced}
 
 	var readers sync.WaitGroup
 	for range 4 {
-		stream, err := theirs.OpenStream()
+		clientStream, err := client.OpenStream()
 		assert.NilError(t, err)
-		_, err = stream.Write([]byte("x"))
+		_, err = clientStream.Write([]byte("x"))
 		assert.NilError(t, err)
-		mine, err := c.AcceptStream()
+		serverStream, err := c.AcceptStream()
 		assert.NilError(t, err)
-		var one [1]byte
-		_, err = mine.Read(one[:])
+		var first [1]byte
+		_, err = serverStream.Read(first[:])
 		assert.NilError(t, err)
 		readers.Go(func() {
-			var rest [1]byte
-			_, _ = mine.Read(rest[:])
+			var buffer [1]byte
+			_, _ = serverStream.Read(buffer[:])
 		})
-		conn.fallSilent()
-		_, _ = mine.Write([]byte("pending"))
+		conn.stall()
+		_, _ = serverStream.Write([]byte("pending"))
 		conn.mu.Lock()
-		conn.silent = false
+		conn.stalled = false
 		conn.mu.Unlock()
 	}
-	conn.fallSilent()
-	last, err := theirs.OpenStream()
+	conn.stall()
+	lastStream, err := client.OpenStream()
 	assert.NilError(t, err)
-	mine, err := c.AcceptStream()
+	serverStream, err := c.AcceptStream()
 	assert.NilError(t, err)
-	_, _ = mine.Write([]byte("never sent"))
-	_ = last
+	_, _ = serverStream.Write([]byte("never sent"))
+	_ = lastStream
 
 	before := processorTime(t)
-	c.end()
+	c.terminate()
 	<-c.CloseChan()
 	readers.Wait()
 	used := processorTime(t) - before
-	<-gathered.done
-	assert.Assert(t, used < flushWithin/4, "%v of processor time while the last bytes wait %v", used, flushWithin)
+	<-coalesced.done
+	assert.Assert(t, used < flushTimeout/4, "%v of processor time while the last bytes wait %v", used, flushTimeout)
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -14,12 +14,12 @@
 	peerpb "github.com/corianderbank/corianderbank/api/peer"
 )
 
-// lengthBytes is the size of the length before each message.
+// lengthBytes is the size of the length prefix of a message.
 const lengthBytes = 4
 
 var errTooLarge = errors.New("message exceeds the limit")
 
-// writeMessage writes the length of message and its bytes in one call.
+// writeMessage writes message with its length prefix in one call.
 func writeMessage(w io.Writer, message proto.Message, limit int) error {
 	size := proto.Size(message)
 	if size > limit {
@@ -52,38 +52,39 @@
 	return proto.Unmarshal(data, message)
 }
 
-// handshakeBytes bounds a handshake message.
-const handshakeBytes = 1 << 10
+// maxHandshakeBytes bounds a handshake message.
+const maxHandshakeBytes = 1 << 10
 
-// handshake tells the other side who this instance is and learns who it is, by
-// a Request without a body each way. The dialer speaks first and the other side
-// answers, so that a dialer knows that what it sends arrives.
+// handshake exchanges instance ids and incarnations with the peer, as a Request
+// without a body in each direction, and returns those of the peer. The dialer
+// sends first and the other side responds, so that a dialer knows that its
+// messages arrive.
 func (n *Node) handshake(conn net.Conn, dialer bool) (string, int64, error) {
 	if err := conn.SetDeadline(time.Now().Add(n.limits.DialTimeout)); err != nil {
 		return "", 0, err
 	}
-	var theirs peerpb.Request
-	hear := func() error { return readMessage(conn, &theirs, handshakeBytes) }
-	tell := func() error {
-		own := &peerpb.Request{From: n.options.Instance, Incarnation: n.options.Incarnation}
-		return writeMessage(conn, own, handshakeBytes)
+	var remote peerpb.Request
+	receive := func() error { return readMessage(conn, &remote, maxHandshakeBytes) }
+	send := func() error {
+		local := &peerpb.Request{From: n.options.Instance, Incarnation: n.options.Incarnation}
+		return writeMessage(conn, local, maxHandshakeBytes)
 	}
-	steps := []func() error{hear, tell}
+	steps := []func() error{receive, send}
 	if dialer {
-		steps = []func() error{tell, hear}
+		steps = []func() error{send, receive}
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return "", 0, err
 		}
 	}
-	if theirs.GetFrom() == "" {
+	if remote.GetFrom() == "" {
 		return "", 0, errors.New("the other side names no instance")
 	}
-	return theirs.GetFrom(), theirs.GetIncarnation(), conn.SetDeadline(time.Time{})
+	return remote.GetFrom(), remote.GetIncarnation(), conn.SetDeadline(time.Time{})
 }
 
-// yamuxLogger writes yamux's own messages as lines of this process.
+// yamuxLogger forwards the messages of yamux to the log of this process.
 type yamuxLogger struct{ logger *zap.Logger }
 
 // Print implements yamux.Logger.
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -18,82 +18,85 @@
 // connection is one established session with a peer.
 type connection struct {
 	*yamux.Session
-	conn *coalescing
-	// incarnation is the peer's.
+	conn *coalescingConn
+	// incarnation is the incarnation of the peer.
 	incarnation int64
 	// dialedBy is the id of the instance that dialed.
-	dialedBy string
-	since    time.Time
-	// probing says that a probe is under way.
+	dialedBy      string
+	establishedAt time.Time
+	// probing reports that a probe is in progress.
 	probing atomic.Bool
 }
 
-// end ends the session from its reader's side, and waits until its streams are
-// closed. It is called instead of Close, which would wait for the reader with every
-// stream's reader spinning: up to a second of processor time for each call under way
-// when a peer behind a cut was given up.
-func (c *connection) end() {
-	c.conn.endReading()
+// terminate ends the session from its read side and waits until its streams are
+// closed. It is used instead of Close, which would wait for the session's
+// reader while every stream's reader spins: up to a second of processor time
+// for each call in flight when the connection to a partitioned peer was closed.
+func (c *connection) terminate() {
+	c.conn.stopReading()
 	<-c.CloseChan()
 	_ = c.Close()
 }
 
-// link is what a node knows of the way to one peer.
+// link is the state of the connection to one peer.
 type link struct {
 	instance string
-	// calls holds one entry for each call under way.
+	// calls holds one entry for each call in flight.
 	calls chan struct{}
 
 	// mu guards the rest.
 	mu      sync.Mutex
 	current *connection
-	// dialing is closed when the dial under way ends; nil without one.
-	dialing  chan struct{}
-	dialErr  error
-	failures backoff.Backoff
-	// notBefore is the earliest time of the next dial.
-	notBefore time.Time
+	// dialing is closed when the dial in progress ends. It is nil if there is
+	// none.
+	dialing     chan struct{}
+	dialErr     error
+	dialBackoff backoff.Backoff
+	// nextDialAt is the earliest time of the next dial.
+	nextDialAt time.Time
 }
 
-// crossingWindow is how far apart two dials in opposite directions may be seen
-// to still count as crossing.
-const crossingWindow = 3 * time.Second
+// simultaneousDialWindow is the longest time between two connections dialed in
+// opposite directions that still count as dialed simultaneously.
+const simultaneousDialWindow = 3 * time.Second
 
-// register makes c the current connection, or not; it returns the surplus one.
-// A higher incarnation of the peer wins. Within one incarnation the newer
-// connection wins, because the peer dials again only when it lost the older;
-// but of two dials that crossed, both sides keep the one of the lower id.
+// register makes c the current connection if it takes precedence, and returns
+// the connection that is no longer needed, if any. A connection of a higher
+// incarnation of the peer takes precedence. Within one incarnation the newer
+// connection does, because the peer dials again only after it lost the older
+// one. Of two connections dialed simultaneously in opposite directions, both
+// sides keep the one dialed by the instance with the lower id.
 func (l *link) register(self string, c *connection, now time.Time) *connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.since = now
-	l.failures.Succeeded()
-	l.notBefore = time.Time{}
+	c.establishedAt = now
+	l.dialBackoff.Succeeded()
+	l.nextDialAt = time.Time{}
 	old := l.current
 	if old == nil || old.IsClosed() {
 		l.current = c
 		return nil
 	}
-	if !replaces(self, l.instance, old, c) {
+	if !shouldReplace(self, l.instance, old, c) {
 		return c
 	}
 	l.current = c
 	return old
 }
 
-func replaces(self, peer string, old, c *connection) bool {
+func shouldReplace(self, peer string, old, c *connection) bool {
 	if c.incarnation != old.incarnation {
 		return c.incarnation > old.incarnation
 	}
-	crossed := c.dialedBy != old.dialedBy && c.since.Sub(old.since) < crossingWindow
-	if crossed {
+	simultaneous := c.dialedBy != old.dialedBy && c.establishedAt.Sub(old.establishedAt) < simultaneousDialWindow
+	if simultaneous {
 		return c.dialedBy == min(self, peer)
 	}
 	return true
 }
 
-// connected returns the current connection if it is open.
-func (l *link) connected() *connection {
+// openConnection returns the current connection if it is open, otherwise nil.
+func (l *link) openConnection() *connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.current == nil || l.current.IsClosed() {
@@ -102,7 +105,7 @@
 	return l.current
 }
 
-// drop forgets c, so that the next call dials.
+// drop removes c from the link, so that the next call dials.
 func (l *link) drop(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,10 +114,10 @@
 	}
 }
 
-// connection returns an open connection, dialing if needed. Callers that come
-// while a dial is under way share its result.
-func (n *Node) connection(ctx context.Context, l *link) (*connection, error) {
-	if c := l.connected(); c != nil {
+// acquireConnection returns an open connection and dials if needed. Callers
+// that arrive during a dial share its result.
+func (n *Node) acquireConnection(ctx context.Context, l *link) (*connection, error) {
+	if c := l.openConnection(); c != nil {
 		return c, nil
 	}
 	done, err := n.startDial(l)
@@ -126,7 +129,7 @@
 	case <-ctx.Done():
 		return nil, errNotReady(l.instance, "no connection in time: %w", ctx.Err())
 	}
-	if c := l.connected(); c != nil {
+	if c := l.openConnection(); c != nil {
 		return c, nil
 	}
 	l.mu.Lock()
@@ -134,18 +137,18 @@
 	return nil, errNotReady(l.instance, "no connection: %v", l.dialErr)
 }
 
-// startDial starts a dial, or joins the one under way. It refuses during the
-// backoff after a failure.
+// startDial starts a dial or joins the one in progress. It fails during the
+// backoff after a failed dial.
 func (n *Node) startDial(l *link) (<-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.dialing != nil {
 		return l.dialing, nil
 	}
-	if wait := time.Until(l.notBefore); wait > 0 {
-		return nil, errNotReady(l.instance, "backing off after %d failures: %v", l.failures.Failures(), l.dialErr)
+	if wait := time.Until(l.nextDialAt); wait > 0 {
+		return nil, errNotReady(l.instance, "backing off after %d failures: %v", l.dialBackoff.Failures(), l.dialErr)
 	}
-	if !n.addDuty() {
+	if !n.addGoroutine() {
 		return nil, errNotReady(l.instance, "node is closed")
 	}
 	l.dialing = make(chan struct{})
@@ -153,19 +156,20 @@
 	return l.dialing, nil
 }
 
-// addDuty counts a new goroutine; false after Close.
-func (n *Node) addDuty() bool {
+// addGoroutine registers a new goroutine that Close waits for. It returns false
+// after Close.
+func (n *Node) addGoroutine() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
 		return false
 	}
-	n.duties.Add(1)
+	n.goroutines.Add(1)
 	return true
 }
 
 func (n *Node) dial(l *link) {
-	defer n.duties.Done()
+	defer n.goroutines.Done()
 	c, err := n.connect(l.instance)
 	if err == nil {
 		n.adopt(l.instance, c)
@@ -174,40 +178,40 @@
 	defer l.mu.Unlock()
 	l.dialErr = err
 	if err != nil {
-		l.notBefore = time.Now().Add(l.failures.Failed(rand.Float64()))
-		n.logger.Debug("dial", zap.String("peer", l.instance), zap.Int("failures", l.failures.Failures()), zap.Error(err))
+		l.nextDialAt = time.Now().Add(l.dialBackoff.Failed(rand.Float64()))
+		n.logger.Debug("dial", zap.String("peer", l.instance), zap.Int("failures", l.dialBackoff.Failures()), zap.Error(err))
 	}
 	close(l.dialing)
 	l.dialing = nil
 }
 
-// The wait after failed dials stays well under the time in which a healed cut
-// must be noticed.
+// The backoff after failed dials stays well below the time within which the end
+// of a network partition must be noticed.
 const (
-	backoffBase = 100 * time.Millisecond
-	backoffMax  = 5 * time.Second
+	minDialBackoff = 100 * time.Millisecond
+	maxDialBackoff = 5 * time.Second
 )
 
-// suspect probes a connection on which a call went unanswered, and closes it if
-// the probe goes unanswered too. A peer that is merely slow answers the probe,
-// so that its other calls live on.
-func (n *Node) suspect(c *connection) {
+// probeConnection pings a connection on which a call timed out, and closes it
+// if the ping times out too. A peer that is merely slow answers the ping, so
+// its other calls are not interrupted.
+func (n *Node) probeConnection(c *connection) {
 	if !c.probing.CompareAndSwap(false, true) {
 		return
 	}
-	if !n.addDuty() {
+	if !n.addGoroutine() {
 		return
 	}
 	go func() {
-		defer n.duties.Done()
+		defer n.goroutines.Done()
 		defer c.probing.Store(false)
 		if _, err := c.Ping(); err != nil {
-			c.end()
+			c.terminate()
 		}
 	}()
 }
 
-// connect dials the instance, shakes hands and opens the session.
+// connect dials the instance, performs the handshake and opens the session.
 func (n *Node) connect(instance string) (*connection, error) {
 	addr, ok := n.options.Resolve(instance)
 	if !ok {
@@ -227,7 +231,7 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	c, err := n.begin(conn, yamux.Client)
+	c, err := n.startSession(conn, yamux.Client)
 	if err != nil {
 		return nil, err
 	}
@@ -235,13 +239,14 @@
 	return c, nil
 }
 
-// begin begins a session on a connection after its handshake, as client or server.
-func (n *Node) begin(conn net.Conn, as func(io.ReadWriteCloser, *yamux.Config) (*yamux.Session, error)) (*connection, error) {
-	gathered := newCoalescing(conn)
-	session, err := as(gathered, n.sessionConfig())
+// startSession starts a session on a connection after its handshake, as client
+// or server.
+func (n *Node) startSession(conn net.Conn, newSession func(io.ReadWriteCloser, *yamux.Config) (*yamux.Session, error)) (*connection, error) {
+	coalesced := newCoalescingConn(conn)
+	session, err := newSession(coalesced, n.sessionConfig())
 	if err != nil {
-		_ = gathered.Close()
+		_ = coalesced.Close()
 		return nil, err
 	}
-	return &connection{Session: session, conn: gathered}, nil
+	return &connection{Session: session, conn: coalesced}, nil
 }
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -17,12 +17,12 @@
 	"github.com/corianderbank/corianderbank/internal/backoff"
 )
 
-// Limits bounds what peers may make an instance use. A zero field takes its
-// default.
+// Limits bounds the resources that peers can make an instance use. A zero field
+// means its default.
 type Limits struct {
 	// MaxMessageBytes bounds one message; default 4 MiB.
 	MaxMessageBytes int
-	// MaxCalls bounds the calls under way to one peer; default 128. A further
+	// MaxCalls bounds the calls in flight to one peer; default 128. A further
 	// call waits within its context.
 	MaxCalls int
 	// MaxControl and MaxWork bound the calls of peers being handled: state,
@@ -70,37 +70,38 @@
 	}
 }
 
-// Options are what a Node needs.
+// Options configures a Node.
 type Options struct {
 	// Instance and Incarnation identify this instance to its peers.
 	Instance    string
 	Incarnation int64
-	// Listen is the IP number and port for peers.
+	// Listen is the IP address and port on which to listen for peers.
 	Listen  string
 	Handler Handler
 	Logger  *zap.Logger
 	// Resolve returns the peer address of an instance.
 	Resolve func(instance string) (addr string, ok bool)
 	Limits  Limits
-	// WrapConn, if set, wraps each new connection; measurements count bytes by it.
+	// WrapConn, if set, wraps each new connection, for example to count bytes
+	// in measurements.
 	WrapConn func(net.Conn) net.Conn
 }
 
 // Node connects one instance with its peers. It implements Caller. One TCP
-// connection for each pair carries the calls of both sides.
+// connection for each pair of instances carries the calls in both directions.
 type Node struct {
-	options  Options
-	limits   Limits
-	logger   *zap.Logger
-	listener net.Listener
-	control  pond.Pool
-	work     pond.Pool
-	readers  pond.Pool
-	ctx      context.Context
-	cancel   context.CancelFunc
-	duties   sync.WaitGroup
-	// underWay counts the calls of peers that a shutdown waits for.
-	underWay atomic.Int64
+	options     Options
+	limits      Limits
+	logger      *zap.Logger
+	listener    net.Listener
+	controlPool pond.Pool
+	workPool    pond.Pool
+	readerPool  pond.Pool
+	ctx         context.Context
+	cancel      context.CancelFunc
+	goroutines  sync.WaitGroup
+	// inFlight counts the calls of peers that Drain waits for.
+	inFlight atomic.Int64
 
 	// mu guards links, conns and closed.
 	mu     sync.Mutex
@@ -111,7 +112,8 @@
 
 var _ Caller = (*Node)(nil)
 
-// New returns a node that does nothing until Start. Call needs no Start.
+// New returns a node that does not listen until Start. Call works without
+// Start.
 func New(options Options) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	limits := options.Limits.withDefaults()
@@ -120,42 +122,42 @@
 		logger = zap.NewNop()
 	}
 	return &Node{
-		options: options,
-		limits:  limits,
-		logger:  logger.Named("peer"),
-		control: newPool(limits.MaxControl),
-		work:    newPool(limits.MaxWork),
-		readers: newPool(limits.MaxControl + limits.MaxWork),
-		ctx:     ctx,
-		cancel:  cancel,
-		links:   make(map[string]*link),
-		conns:   make(map[*connection]struct{}),
+		options:     options,
+		limits:      limits,
+		logger:      logger.Named("peer"),
+		controlPool: newPool(limits.MaxControl),
+		workPool:    newPool(limits.MaxWork),
+		readerPool:  newPool(limits.MaxControl + limits.MaxWork),
+		ctx:         ctx,
+		cancel:      cancel,
+		links:       make(map[string]*link),
+		conns:       make(map[*connection]struct{}),
 	}
 }
 
-// newPool returns a pool whose queue is as long as its concurrency; when both
-// are full a task is refused.
+// newPool returns a pool whose queue is as long as its concurrency. It refuses
+// a task when both are full.
 func newPool(size int) pond.Pool {
 	return pond.NewPool(size, pond.WithQueueSize(size), pond.WithNonBlocking(true))
 }
 
-// Start listens for peers. It returns the error of listening.
+// Start starts listening for peers. It returns an error if that fails.
 func (n *Node) Start() error {
 	listener, err := net.Listen("tcp", n.options.Listen)
 	if err != nil {
 		return err
 	}
 	n.listener = listener
-	n.duties.Add(1)
-	go n.accept()
+	n.goroutines.Add(1)
+	go n.acceptLoop()
 	return nil
 }
 
 // Addr returns the address that the node listens on, after Start.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Close closes every connection and waits for the handlers under way, whose
-// contexts end at once. Calls after it return KindNotReady.
+// Close closes every connection and waits for the handlers in progress, whose
+// contexts are cancelled at once. Later calls return KindNotReady.
 func (n *Node) Close() {
 	n.mu.Lock()
 	if n.closed {
@@ -171,45 +173,47 @@
 		_ = n.listener.Close()
 	}
 	for _, c := range conns {
-		c.end()
+		c.terminate()
 	}
-	n.duties.Wait()
-	n.readers.StopAndWait()
-	n.control.StopAndWait()
-	n.work.StopAndWait()
+	n.goroutines.Wait()
+	n.readerPool.StopAndWait()
+	n.controlPool.StopAndWait()
+	n.workPool.StopAndWait()
 }
 
-// accept takes connections until the listener closes.
-func (n *Node) accept() {
-	defer n.duties.Done()
+// acceptLoop accepts connections until the listener closes.
+func (n *Node) acceptLoop() {
+	defer n.goroutines.Done()
 	for {
 		conn, err := n.listener.Accept()
 		if err != nil {
 			if n.ctx.Err() == nil {
 				n.logger.Warn("accept", zap.Error(err))
-				n.pause(acceptPause)
+				n.sleep(acceptRetryDelay)
 				continue
 			}
 			return
 		}
-		n.duties.Add(1)
-		go n.welcome(conn)
+		n.goroutines.Add(1)
+		go n.handleIncoming(conn)
 	}
 }
 
-// acceptPause keeps a failing listener (out of file descriptors) from spinning.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay keeps acceptLoop from spinning while the listener fails (for
+// example without free file descriptors).
+const acceptRetryDelay = 50 * time.Millisecond
 
-func (n *Node) pause(d time.Duration) {
+func (n *Node) sleep(d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-n.ctx.Done():
 	}
 }
 
-// welcome shakes hands with a peer that connected and serves its calls.
-func (n *Node) welcome(conn net.Conn) {
-	defer n.duties.Done()
+// handleIncoming performs the handshake with a peer that connected and serves
+// its calls.
+func (n *Node) handleIncoming(conn net.Conn) {
+	defer n.goroutines.Done()
 	conn = n.wrap(conn)
 	from, incarnation, err := n.handshake(conn, false)
 	if err != nil {
@@ -217,7 +221,7 @@
 		_ = conn.Close()
 		return
 	}
-	c, err := n.begin(conn, yamux.Server)
+	c, err := n.startSession(conn, yamux.Server)
 	if err != nil {
 		n.logger.Warn("session", zap.String("peer", from), zap.Error(err))
 		return
@@ -237,8 +241,9 @@
 	config := yamux.DefaultConfig()
 	config.LogOutput = nil
 	config.Logger = yamuxLogger{n.logger}
-	// Probing every idle connection would cost more than the state messages,
-	// which are probes too; suspect probes where a call went unanswered.
+	// Keepalives on every idle connection would cost more than the state
+	// messages, which detect failures as well. probeConnection checks a
+	// connection on which a call timed out.
 	config.EnableKeepAlive = false
 	config.ConnectionWriteTimeout = n.limits.IOTimeout
 	config.StreamOpenTimeout = 2 * n.limits.IOTimeout
@@ -246,36 +251,36 @@
 	return config
 }
 
-// link returns the link to an instance, making it at the first use.
+// link returns the link to an instance and creates it on first use.
 func (n *Node) link(instance string) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l, ok := n.links[instance]
 	if !ok {
 		l = &link{instance: instance, calls: make(chan struct{}, n.limits.MaxCalls)}
-		l.failures = backoff.Backoff{Base: backoffBase, Max: backoffMax}
+		l.dialBackoff = backoff.Backoff{Base: minDialBackoff, Max: maxDialBackoff}
 		n.links[instance] = l
 	}
 	return l
 }
 
-// adopt registers a new connection, starts serving it, and retires the one
-// that it replaces.
+// adopt registers a new connection, starts serving it, and retires the
+// connection that is no longer needed.
 func (n *Node) adopt(instance string, c *connection) {
 	if !n.track(c) {
-		c.end()
+		c.terminate()
 		return
 	}
 	surplus := n.link(instance).register(n.options.Instance, c, time.Now())
-	n.duties.Add(1)
+	n.goroutines.Add(1)
 	go n.serveSession(instance, c)
 	if surplus != nil {
-		n.duties.Add(1)
+		n.goroutines.Add(1)
 		go n.retire(surplus)
 	}
 }
 
-// track remembers a connection for Close; false after Close.
+// track registers a connection for Close. It returns false after Close.
 func (n *Node) track(c *connection) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -293,25 +298,26 @@
 }
 
 const (
-	// retireGrace lets a call that already chose the connection open its stream.
-	retireGrace = 2 * time.Second
-	retirePoll  = time.Second
-	// retireLimit bounds the wait for calls on a connection that was replaced.
-	retireLimit = 10 * time.Minute
+	// retireGracePeriod allows a call that already chose the connection to open
+	// its stream.
+	retireGracePeriod  = 2 * time.Second
+	retirePollInterval = time.Second
+	// retireTimeout bounds the wait for calls on a surplus connection.
+	retireTimeout = 10 * time.Minute
 )
 
-// retire closes a replaced connection once its calls ended.
+// retire closes a surplus connection once its calls have ended.
 func (n *Node) retire(c *connection) {
-	defer n.duties.Done()
-	started := time.Now()
-	n.pause(retireGrace)
-	for n.ctx.Err() == nil && c.NumStreams() > 0 && time.Since(started) < retireLimit {
-		n.pause(retirePoll)
+	defer n.goroutines.Done()
+	start := time.Now()
+	n.sleep(retireGracePeriod)
+	for n.ctx.Err() == nil && c.NumStreams() > 0 && time.Since(start) < retireTimeout {
+		n.sleep(retirePollInterval)
 	}
-	c.end()
+	c.terminate()
 }
 
-// errNotReady is the error of a call that never left.
+// errNotReady returns the error of a call that was not sent.
 func errNotReady(instance string, format string, args ...any) error {
 	return api.NewError(api.KindNotReady, "peer "+instance+": "+format, args...)
 }
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -24,7 +24,7 @@
 	return f(ctx, request)
 }
 
-// echo answers a configuration query with the version it asks for.
+// echo responds to a configuration query with the version in the query.
 func echo(_ context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	version := &peerpb.ConfigVersion{Version: request.GetConfig().GetHave()}
 	return &peerpb.Response{Body: &peerpb.Response_Config{Config: version}}, nil
@@ -34,16 +34,16 @@
 	return &peerpb.Request{Body: &peerpb.Request_Config{Config: &peerpb.ConfigQuery{Have: have}}}
 }
 
-// book is the address book of a test.
-type book map[string]string
+// addressBook maps the instances of a test to their peer addresses.
+type addressBook map[string]string
 
-func (b book) resolve(instance string) (string, bool) {
+func (b addressBook) resolve(instance string) (string, bool) {
 	addr, ok := b[instance]
 	return addr, ok
 }
 
-// startNode starts a node on a free port and enters it in the book.
-func startNode(t *testing.T, addresses book, options peer.Options) *peer.Node {
+// startNode starts a node on a free port and adds it to the address book.
+func startNode(t *testing.T, addresses addressBook, options peer.Options) *peer.Node {
 	t.Helper()
 	if options.Listen == "" {
 		options.Listen = "127.0.0.1:0"
@@ -59,12 +59,12 @@
 	return node
 }
 
-func TestCallReachesBothWaysOverOneConnection(t *testing.T) {
-	var dials atomic.Int64
-	addresses := book{}
-	counted := peer.Options{WrapConn: countDials(&dials)}
-	counted.Instance, counted.Incarnation = "a", 1
-	a := startNode(t, addresses, counted)
+func TestBothPeersCallOverOneConnection(t *testing.T) {
+	var connections atomic.Int64
+	addresses := addressBook{}
+	options := peer.Options{WrapConn: countConnections(&connections)}
+	options.Instance, options.Incarnation = "a", 1
+	a := startNode(t, addresses, options)
 	b := startNode(t, addresses, peer.Options{Instance: "b", Incarnation: 1})
 
 	for have := range int64(20) {
@@ -76,12 +76,12 @@
 		assert.NilError(t, err)
 		assert.Equal(t, response.GetConfig().GetVersion(), have)
 	}
-	assert.Equal(t, dials.Load(), int64(1))
+	assert.Equal(t, connections.Load(), int64(1))
 }
 
 func TestRemoteErrorsKeepTheirKind(t *testing.T) {
 	kinds := []api.Kind{api.KindConflict, api.KindNotFound, api.KindNoPlacer, api.KindStopping, api.KindNotReady}
-	addresses := book{}
+	addresses := addressBook{}
 	handler := func(_ context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 		err := api.NewError(kinds[request.GetConfig().GetHave()], "because")
 		return nil, api.WithRetryAfter(err, 7*time.Second)
@@ -96,25 +96,25 @@
 	}
 }
 
-func TestCallFailuresSayWhetherTheCallLeft(t *testing.T) {
+func TestCallErrorsShowWhetherTheRequestWasSent(t *testing.T) {
 	cases := map[string]struct {
-		// target is the instance called.
+		// target is the id of the called instance.
 		target  string
 		handler handlerFunc
 		request *peerpb.Request
 		timeout time.Duration
 		kind    api.Kind
 	}{
-		"an instance without address was not reached":            {"nobody", echo, configQuery(1), time.Second, api.KindNotReady},
-		"a closed port was not reached":                          {"closed", echo, configQuery(1), time.Second, api.KindNotReady},
-		"another instance at the address is not called":          {"alias", echo, configQuery(1), time.Second, api.KindNotReady},
-		"a handler slower than the deadline may have run":        {"b", stall, configQuery(1), 50 * time.Millisecond, api.KindResultUnknown},
-		"a handler that panics answers with an internal error":   {"b", panics, configQuery(1), time.Second, api.KindInternal},
-		"a request beyond the limit is refused before it leaves": {"b", echo, tooLarge(), time.Second, api.KindBodyTooLarge},
+		"instance without an address is not reached":                 {"nobody", echo, configQuery(1), time.Second, api.KindNotReady},
+		"closed port is not reached":                                 {"closed", echo, configQuery(1), time.Second, api.KindNotReady},
+		"other instance at the address is not called":                {"alias", echo, configQuery(1), time.Second, api.KindNotReady},
+		"handler slower than the deadline may have run":              {"b", stall, configQuery(1), 50 * time.Millisecond, api.KindResultUnknown},
+		"panicking handler causes an internal error":                 {"b", panicking, configQuery(1), time.Second, api.KindInternal},
+		"request beyond the size limit is refused before it is sent": {"b", echo, oversizedRequest(), time.Second, api.KindBodyTooLarge},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			addresses := book{"closed": "127.0.0.1:1"}
+			addresses := addressBook{"closed": "127.0.0.1:1"}
 			a := startNode(t, addresses, peer.Options{Instance: "a", Limits: peer.Limits{MaxMessageBytes: 1 << 10}})
 			startNode(t, addresses, peer.Options{Instance: "b", Handler: test.handler})
 			addresses["alias"] = addresses["b"]
@@ -131,15 +131,15 @@
 	return nil, ctx.Err()
 }
 
-func panics(context.Context, *peerpb.Request) (*peerpb.Response, error) { panic("planted") }
+func panicking(context.Context, *peerpb.Request) (*peerpb.Response, error) { panic("planted") }
 
-func tooLarge() *peerpb.Request {
+func oversizedRequest() *peerpb.Request {
 	submission := make([]byte, 2<<10)
 	return &peerpb.Request{Body: &peerpb.Request_Execute{Execute: &peerpb.ExecuteCall{Submission: submission}}}
 }
 
-func TestResponseLostWithItsProcessIsUnknown(t *testing.T) {
-	addresses := book{}
+func TestResultIsUnknownWhenThePeerCloses(t *testing.T) {
+	addresses := addressBook{}
 	entered := make(chan struct{})
 	handler := func(ctx context.Context, _ *peerpb.Request) (*peerpb.Response, error) {
 		close(entered)
@@ -157,12 +157,12 @@
 }
 
 func TestRestartedPeerIsReachedAgain(t *testing.T) {
-	addresses := book{}
+	addresses := addressBook{}
 	a := startNode(t, addresses, peer.Options{Instance: "a", Incarnation: 1})
-	old := startNode(t, addresses, peer.Options{Instance: "b", Incarnation: 1})
+	previous := startNode(t, addresses, peer.Options{Instance: "b", Incarnation: 1})
 	_, err := a.Call(t.Context(), "b", configQuery(1))
 	assert.NilError(t, err)
-	old.Close()
+	previous.Close()
 	startNode(t, addresses, peer.Options{Instance: "b", Incarnation: 2})
 	callUntilAnswered(t, a, "b")
 }
@@ -172,7 +172,8 @@
 	return context.WithTimeout(t.Context(), d)
 }
 
-// callUntilAnswered calls until the backoff of a lost connection is over.
+// callUntilAnswered retries a call until it succeeds, which may take as long as
+// the backoff after a lost connection.
 func callUntilAnswered(t *testing.T, node *peer.Node, target string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -187,8 +188,8 @@
 	}
 }
 
-func TestTooManyCallsAreRefusedAndStateStillPasses(t *testing.T) {
-	addresses := book{}
+func TestExcessWorkIsRefusedWhileControlCallsPass(t *testing.T) {
+	addresses := addressBook{}
 	handler := func(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 		if request.GetExecute() == nil {
 			return echo(ctx, request)
@@ -207,7 +208,8 @@
 			results <- err
 		}()
 	}
-	// One runs, one waits in the queue of the pool, the third is refused.
+	// One call runs, one waits in the queue of the pool, and the third is
+	// refused.
 	assert.Equal(t, api.KindOf(<-results), api.KindQueueFull)
 	_, err := a.Call(t.Context(), "b", configQuery(3))
 	assert.NilError(t, err)
@@ -218,7 +220,7 @@
 }
 
 func TestDrainWaitsForForwardedWork(t *testing.T) {
-	addresses := book{}
+	addresses := addressBook{}
 	entered, release := make(chan struct{}), make(chan struct{})
 	handler := func(context.Context, *peerpb.Request) (*peerpb.Response, error) {
 		close(entered)
@@ -233,9 +235,9 @@
 		called <- err
 	}()
 	<-entered
-	ended, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.ErrorContains(t, b.Drain(ended), "1 calls of peers under way")
+	assert.ErrorContains(t, b.Drain(cancelled), "1 calls of peers in flight")
 	drained := make(chan error, 1)
 	go func() { drained <- b.Drain(t.Context()) }()
 	close(release)
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -13,27 +13,27 @@
 	peerpb "github.com/corianderbank/corianderbank/api/peer"
 )
 
-// serveSession takes the peer's streams until the session ends.
+// serveSession accepts the peer's streams until the session ends.
 func (n *Node) serveSession(instance string, c *connection) {
-	defer n.duties.Done()
-	defer func() { <-c.conn.done }() // the last bytes are written, or given up
+	defer n.goroutines.Done()
+	defer func() { <-c.conn.done }() // wait until the last bytes are written or dropped
 	defer n.untrack(c)
-	defer c.end()
+	defer c.terminate()
 	for {
 		stream, err := c.AcceptStream()
 		if err != nil {
 			n.logger.Debug("session ended", zap.String("peer", instance), zap.Error(err))
 			return
 		}
-		if n.readers.Go(func() { n.read(instance, stream) }) != nil {
-			n.refuse(stream)
+		if n.readerPool.Go(func() { n.readRequest(instance, stream) }) != nil {
+			n.rejectCall(stream)
 		}
 	}
 }
 
-// read takes one request off its stream and hands it to the pool of its kind,
-// so that long forwarded work never holds up state messages.
-func (n *Node) read(instance string, stream *yamux.Stream) {
+// readRequest reads one request from its stream and passes it to the pool for
+// its type, so that long forwarded work never delays state messages.
+func (n *Node) readRequest(instance string, stream *yamux.Stream) {
 	_ = stream.SetReadDeadline(time.Now().Add(n.limits.IOTimeout))
 	var request peerpb.Request
 	if err := readMessage(stream, &request, n.limits.MaxMessageBytes); err != nil {
@@ -42,54 +42,54 @@
 		return
 	}
 	if request.GetFrom() != instance {
-		n.answer(stream, errorResponse(api.NewError(api.KindInvalidField, "request of %q on the connection of %q", request.GetFrom(), instance)))
+		n.writeResponse(stream, errorResponse(api.NewError(api.KindInvalidField, "request of %q on the connection of %q", request.GetFrom(), instance)))
 		return
 	}
 	if n.poolFor(&request).Go(func() { n.handle(stream, &request) }) != nil {
-		n.refuse(stream)
+		n.rejectCall(stream)
 	}
 }
 
 func (n *Node) poolFor(request *peerpb.Request) pond.Pool {
 	switch request.GetBody().(type) {
 	case *peerpb.Request_State, *peerpb.Request_Config, *peerpb.Request_Slots:
-		return n.control
+		return n.controlPool
 	default:
-		return n.work
+		return n.workPool
 	}
 }
 
-// refuse answers a call that was not handled and will not be.
-func (n *Node) refuse(stream *yamux.Stream) {
-	n.answer(stream, errorResponse(api.NewError(api.KindQueueFull, "too many calls from peers")))
+// rejectCall answers a call that will not be handled.
+func (n *Node) rejectCall(stream *yamux.Stream) {
+	n.writeResponse(stream, errorResponse(api.NewError(api.KindQueueFull, "too many calls from peers")))
 }
 
-// handle runs the handler. Its context ends when the node closes or the caller
-// gives up, which closes the stream.
+// handle runs the handler. The handler's context ends when the node closes, or
+// when the caller cancels the call and thereby closes the stream.
 func (n *Node) handle(stream *yamux.Stream, request *peerpb.Request) {
-	if finishes(request) {
-		n.underWay.Add(1)
-		defer n.underWay.Add(-1)
+	if blocksDrain(request) {
+		n.inFlight.Add(1)
+		defer n.inFlight.Add(-1)
 	}
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
-	watched := make(chan struct{})
+	watcherDone := make(chan struct{})
 	_ = stream.SetReadDeadline(time.Time{})
 	go func() {
-		defer close(watched)
-		var rest [1]byte
-		_, _ = stream.Read(rest[:])
+		defer close(watcherDone)
+		var buffer [1]byte
+		_, _ = stream.Read(buffer[:])
 		cancel()
 	}()
-	response := n.respond(ctx, request)
-	n.answer(stream, response)
+	response := n.callHandler(ctx, request)
+	n.writeResponse(stream, response)
 	_ = stream.SetReadDeadline(time.Unix(1, 0))
-	<-watched
+	<-watcherDone
 }
 
-// finishes reports whether a shutdown has to wait for the call: it is work, and
-// not a question that may wait long for news.
-func finishes(request *peerpb.Request) bool {
+// blocksDrain reports whether a shutdown must wait for the call: whether it is
+// work, as opposed to a query that may wait long for a change.
+func blocksDrain(request *peerpb.Request) bool {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_Execute:
 		return true
@@ -100,27 +100,28 @@
 	}
 }
 
-// drainPoll is how often Drain looks.
-const drainPoll = 10 * time.Millisecond
+// drainPollInterval is the time between the checks of Drain.
+const drainPollInterval = 10 * time.Millisecond
 
-// Drain waits until no work that peers forwarded is being handled, or ctx ends.
-// The handler must refuse new work by then.
+// Drain waits until no work forwarded by peers is being handled, or until ctx
+// ends. By then the handler must refuse new work.
 func (n *Node) Drain(ctx context.Context) error {
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for n.underWay.Load() > 0 {
+	for n.inFlight.Load() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return fmt.Errorf("%d calls of peers under way: %w", n.underWay.Load(), ctx.Err())
+			return fmt.Errorf("%d calls of peers in flight: %w", n.inFlight.Load(), ctx.Err())
 		}
 	}
 	return nil
 }
 
-// respond turns the handler's result, or its panic, into a response. What a
-// handler that was ended in the middle has done is not known.
-func (n *Node) respond(ctx context.Context, request *peerpb.Request) (response *peerpb.Response) {
+// callHandler calls the handler and converts its result, or its panic, into a
+// response. If the handler was cancelled before it finished, the result is
+// unknown.
+func (n *Node) callHandler(ctx context.Context, request *peerpb.Request) (response *peerpb.Response) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			n.logger.Error("handler panic", zap.Any("cause", cause), zap.Stack("stack"))
@@ -140,8 +141,8 @@
 	return response
 }
 
-// answer writes the response and closes the stream.
-func (n *Node) answer(stream *yamux.Stream, response *peerpb.Response) {
+// writeResponse writes the response and closes the stream.
+func (n *Node) writeResponse(stream *yamux.Stream, response *peerpb.Response) {
 	_ = stream.SetWriteDeadline(time.Now().Add(n.limits.IOTimeout))
 	if err := writeMessage(stream, response, n.limits.MaxMessageBytes); err != nil {
 		n.logger.Debug("response", zap.Error(err))
