--- a/internal/membership/backend.go
+++ b/internal/membership/backend.go
@@ -8,56 +8,62 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// backendEntry is what is known of one backend server.
+// backendEntry is the known state of one backend server.
 type backendEntry struct {
 	model.BackendServer
-	// since is when this incarnation became known.
-	since time.Time
-	// lastSeen is when the list named it or it answered.
+	// knownSince is the time at which this incarnation became known or came
+	// back.
+	knownSince time.Time
+	// lastSeen is the time at which the list last contained it or it last
+	// answered.
 	lastSeen time.Time
-	// lastAnswer is when it last answered, lastProbe when it was last asked.
+	// lastAnswer is the time of its last answer, lastProbe that of the last
+	// probe sent to it.
 	lastAnswer, lastProbe time.Time
-	// confirmed says that this incarnation answered since it became known. The
-	// list may name an incarnation that has started to leave meanwhile, so
-	// until then it is left out of the view.
-	confirmed bool
-	flaps     flapping
+	// confirmed reports that this incarnation has answered since knownSince.
+	// The list may contain an incarnation that has started to leave in the
+	// meantime, so an unconfirmed one is left out of the view.
+	confirmed  bool
+	flapDamper flapDamper
 }
 
-// backendListed takes in an entry of the instance list.
-func (s *state) backendListed(listed api.ListedInstance, now time.Time) bool {
-	entry := s.backendSeen(listed.ID, listed.Incarnation, now)
+// applyListedBackend applies an entry of the instance list. It reports whether
+// the server is newly known to leave.
+func (s *state) applyListedBackend(listed api.ListedInstance, now time.Time) bool {
+	entry := s.upsertBackend(listed.ID, listed.Incarnation, now)
 	if entry == nil {
 		return false
 	}
 	entry.Addr = listed.Addr
 	entry.Zone = listed.AvailabilityZone
 	if listed.Leaving {
-		return s.backendLeft(listed.ID, listed.Incarnation, now)
+		return s.markBackendLeaving(listed.ID, listed.Incarnation, now)
 	}
 	return false
 }
 
-// backendSaid takes in a backend server's own answer. Only the list makes a
-// backend server known, because only it has the address; a sign of leaving is
-// kept in any case.
-func (s *state) backendSaid(id string, incarnation int64, leaving bool, now time.Time) bool {
+// applyBackendAnswer applies a backend server's own answer. It reports whether
+// the server is newly known to leave. Only the list adds backend servers,
+// because only the list contains their addresses; a leaving signal is kept in
+// any case.
+func (s *state) applyBackendAnswer(id string, incarnation int64, leaving bool, now time.Time) bool {
 	if leaving {
-		return s.backendLeft(id, incarnation, now)
+		return s.markBackendLeaving(id, incarnation, now)
 	}
 	if _, known := s.backends[id]; !known {
 		return false
 	}
-	if entry := s.backendSeen(id, incarnation, now); entry != nil {
+	if entry := s.upsertBackend(id, incarnation, now); entry != nil {
 		entry.lastAnswer = now
 		entry.confirmed = true
 	}
 	return false
 }
 
-// backendSeen notes a sign of life under an incarnation and returns the entry;
-// nil if the sign is older than what is known.
-func (s *state) backendSeen(id string, incarnation int64, now time.Time) *backendEntry {
+// upsertBackend returns the entry of a backend server, created or updated for a
+// signal of the given incarnation. It returns nil if the signal belongs to an
+// earlier incarnation than the known one.
+func (s *state) upsertBackend(id string, incarnation int64, now time.Time) *backendEntry {
 	entry, ok := s.backends[id]
 	if !ok {
 		entry = s.newBackend(id, incarnation, now)
@@ -68,111 +74,117 @@
 	}
 	if incarnation > entry.Incarnation {
 		entry.Incarnation = incarnation
-		entry.begin(now)
-		s.moveBackend(entry, eventNewIncarnation)
-		s.applyLeft(entry)
+		entry.restart(now)
+		s.transitionBackend(entry, eventNewIncarnation)
+		s.applyLeavingMark(entry)
 	}
 	entry.lastSeen = now
 	if entry.State == model.BackendGone {
-		s.backendBack(entry, now)
+		s.restoreBackend(entry, now)
 	}
 	return entry
 }
 
 func (s *state) newBackend(id string, incarnation int64, now time.Time) *backendEntry {
-	entry := &backendEntry{since: now, lastSeen: now}
+	entry := &backendEntry{knownSince: now, lastSeen: now}
 	entry.ID = id
 	entry.Incarnation = incarnation
-	entry.State = model.BackendState(s.backendSM.Initial)
-	s.applyLeft(entry)
+	entry.State = model.BackendState(s.backendChart.Initial)
+	s.applyLeavingMark(entry)
 	return entry
 }
 
-// backendBack lets a backend server that was gone begin anew, unless it left
-// under this incarnation or flaps.
-func (s *state) backendBack(entry *backendEntry, now time.Time) {
-	if s.hasLeft(entry.ID, entry.Incarnation) || entry.flaps.held(now) {
+// restoreBackend returns a backend server that was gone to its initial state,
+// unless this incarnation is leaving or the server is held down because it
+// flaps.
+func (s *state) restoreBackend(entry *backendEntry, now time.Time) {
+	if s.isMarkedLeaving(entry.ID, entry.Incarnation) || entry.flapDamper.heldDown(now) {
 		return
 	}
-	entry.begin(now)
-	s.note(subjectBackend, entry.ID, entry.Incarnation, string(entry.State), string(s.backendSM.Initial))
-	entry.State = model.BackendState(s.backendSM.Initial)
+	entry.restart(now)
+	s.recordChange(subjectBackend, entry.ID, entry.Incarnation, string(entry.State), string(s.backendChart.Initial))
+	entry.State = model.BackendState(s.backendChart.Initial)
 }
 
-// moveBackend sends an event to the chart of a backend server.
-func (s *state) moveBackend(entry *backendEntry, event chart.Event) {
+// transitionBackend sends an event to the state chart of a backend server.
+func (s *state) transitionBackend(entry *backendEntry, event chart.Event) {
 	from := entry.State
-	entry.State = next(s.backendSM, from, event)
-	s.note(subjectBackend, entry.ID, entry.Incarnation, string(from), string(entry.State))
+	entry.State = nextState(s.backendChart, from, event)
+	s.recordChange(subjectBackend, entry.ID, entry.Incarnation, string(from), string(entry.State))
 }
 
-// backendHealth takes in the answer to a probe.
-func (s *state) backendHealth(health api.BackendHealth, now time.Time) bool {
-	news := s.backendSaid(health.ID, health.Incarnation, health.Leaving, now)
+// applyBackendHealth applies the answer to a probe. It reports whether the
+// server is newly known to leave.
+func (s *state) applyBackendHealth(health api.BackendHealth, now time.Time) bool {
+	newlyLeaving := s.applyBackendAnswer(health.ID, health.Incarnation, health.Leaving, now)
 	if entry, ok := s.backends[health.ID]; ok && entry.Incarnation == health.Incarnation {
 		entry.Slots = health.Slots
 	}
-	return news
+	return newlyLeaving
 }
 
-// begin starts the time of an incarnation, or of one that came back.
-func (e *backendEntry) begin(now time.Time) {
-	e.since = now
+// restart resets the times of an entry for a new incarnation, or for one that
+// came back.
+func (e *backendEntry) restart(now time.Time) {
+	e.knownSince = now
 	e.confirmed = false
 	e.lastProbe = time.Time{}
 }
 
-// usable reports whether the view names a server: it is not gone, and it
-// answered, or could not be made to for so long that the list has to do.
+// usable reports whether the view includes a backend server: it is not gone,
+// and it has answered, or it has been known without an answer for at least
+// BackendConfirmTimeout, or probes are disabled.
 func (s *state) usable(entry *backendEntry, now time.Time) bool {
-	known := entry.confirmed || !s.probing || now.Sub(entry.since) >= s.thresholds.BackendConfirm
-	return known && entry.State != model.BackendGone
+	available := entry.confirmed || !s.probesEnabled || now.Sub(entry.knownSince) >= s.thresholds.BackendConfirmTimeout
+	return available && entry.State != model.BackendGone
 }
 
-// backendLeft notes that an incarnation leaves. It returns whether that is new.
-func (s *state) backendLeft(id string, incarnation int64, now time.Time) bool {
-	mark, known := s.leftBackends[id]
+// markBackendLeaving records that an incarnation leaves. It reports whether
+// that is new.
+func (s *state) markBackendLeaving(id string, incarnation int64, now time.Time) bool {
+	mark, known := s.leavingBackends[id]
 	if known && mark.incarnation >= incarnation {
 		return false
 	}
-	s.leftBackends[id] = leftMark{incarnation: incarnation, at: now}
+	s.leavingBackends[id] = leavingMark{incarnation: incarnation, at: now}
 	if entry, ok := s.backends[id]; ok {
-		s.applyLeft(entry)
+		s.applyLeavingMark(entry)
 	}
 	return true
 }
 
-func (s *state) hasLeft(id string, incarnation int64) bool {
-	mark, ok := s.leftBackends[id]
+func (s *state) isMarkedLeaving(id string, incarnation int64) bool {
+	mark, ok := s.leavingBackends[id]
 	return ok && incarnation <= mark.incarnation
 }
 
-func (s *state) applyLeft(entry *backendEntry) {
-	if s.hasLeft(entry.ID, entry.Incarnation) {
-		s.moveBackend(entry, eventLeave)
+func (s *state) applyLeavingMark(entry *backendEntry) {
+	if s.isMarkedLeaving(entry.ID, entry.Incarnation) {
+		s.transitionBackend(entry, eventLeave)
 	}
 }
 
-// backendTick judges the silence of one backend server. A list that is not
-// being read says nothing, so nobody is gone by it.
-func (s *state) backendTick(id string, entry *backendEntry, listFresh bool, now time.Time) {
-	silent := now.Sub(entry.lastSeen)
-	if silent > s.thresholds.Forget && listFresh {
+// checkBackendTimeout applies the timeouts of one backend server. A server is
+// only considered gone while the instance list is being read, because an
+// outdated list is no evidence.
+func (s *state) checkBackendTimeout(id string, entry *backendEntry, listFresh bool, now time.Time) {
+	unseen := now.Sub(entry.lastSeen)
+	if unseen > s.thresholds.Retention && listFresh {
 		delete(s.backends, id)
 		return
 	}
-	if listFresh && silent > s.thresholds.BackendSilence && entry.State != model.BackendGone {
-		s.moveBackend(entry, eventSilence)
-		entry.flaps.lost(now)
+	if listFresh && unseen > s.thresholds.BackendTimeout && entry.State != model.BackendGone {
+		s.transitionBackend(entry, eventSilence)
+		entry.flapDamper.recordLoss(now)
 		return
 	}
-	if entry.State == model.BackendRamping && now.Sub(entry.since) >= s.thresholds.BackendRamp {
-		s.moveBackend(entry, eventRamped)
+	if entry.State == model.BackendRamping && now.Sub(entry.knownSince) >= s.thresholds.BackendRampTime {
+		s.transitionBackend(entry, eventRamped)
 	}
 }
 
-// backendServers returns the usable backend servers of a zone, and the leaving
-// ones.
+// backendServers returns the usable backend servers of a zone, including
+// leaving ones.
 func (s *state) backendServers(zone string, now time.Time) []model.BackendServer {
 	var servers []model.BackendServer
 	for _, id := range sortedKeys(s.backends) {
--- a/internal/membership/calls.go
+++ b/internal/membership/calls.go
@@ -6,31 +6,31 @@
 	"github.com/alitto/pond/v2"
 )
 
-// calls runs the outgoing calls of one duty on a bounded pool. When the pool
-// and a queue of the same length are full, a call is refused.
+// callPool runs the outgoing calls of one background loop on a bounded pool.
+// When the pool and a queue of the same length are full, a call is refused.
 //
-// The end is waited for here and not by stopping the pool, because that goes
-// through a pool that the whole process shares.
-type calls struct {
-	pool    pond.Pool
-	running sync.WaitGroup
+// It waits for calls with a WaitGroup of its own and does not stop the pool,
+// because stopping goes through a pool that the whole process shares.
+type callPool struct {
+	pool     pond.Pool
+	inFlight sync.WaitGroup
 }
 
-func newCalls(size int) *calls {
-	return &calls{pool: pond.NewPool(size, pond.WithQueueSize(size), pond.WithNonBlocking(true))}
+func newCallPool(size int) *callPool {
+	return &callPool{pool: pond.NewPool(size, pond.WithQueueSize(size), pond.WithNonBlocking(true))}
 }
 
-// start runs call, or returns false.
-func (c *calls) start(call func()) bool {
-	c.running.Add(1)
+// start runs call in the pool. It returns false if the pool is full.
+func (c *callPool) start(call func()) bool {
+	c.inFlight.Add(1)
 	err := c.pool.Go(func() {
-		defer c.running.Done()
+		defer c.inFlight.Done()
 		call()
 	})
 	if err != nil {
-		c.running.Done()
+		c.inFlight.Done()
 	}
 	return err == nil
 }
 
-func (c *calls) wait() { c.running.Wait() }
+func (c *callPool) wait() { c.inFlight.Wait() }
--- a/internal/membership/control_bench_test.go
+++ b/internal/membership/control_bench_test.go
@@ -20,16 +20,16 @@
 	"github.com/corianderbank/corianderbank/internal/settings"
 )
 
-// Times and sizes of the measurement.
+// Durations and sizes of the measurement.
 const (
 	benchWarmUp   = 5 * time.Second
 	benchMeasure  = 20 * time.Second
 	benchInterval = 500 * time.Millisecond
-	// benchPerZone is "a few" entry instances for each availability zone.
+	// benchPerZone stands for the few entry instances of an availability zone.
 	benchPerZone = 6
 )
 
-// countingConn counts the bytes that one side writes, and the writes, each of
+// countingConn counts the bytes that one side writes, and its writes, each of
 // which is a segment with its own headers.
 type countingConn struct {
 	net.Conn
@@ -55,9 +55,9 @@
 	return &peerpb.Response{Body: &peerpb.Response_State{State: state}}, nil
 }
 
-// BenchmarkControl measures what membership costs an instance with a number of
-// other instances: bytes sent, processor time and memory for each of them. All
-// run in this process over loopback.
+// BenchmarkControl measures the cost of membership for an instance by the
+// number of instances: bytes and writes sent, processor time and memory. All
+// instances run in this process and communicate over loopback.
 func BenchmarkControl(b *testing.B) {
 	for _, count := range []int{2, 4, 8, 16, 32, 64} {
 		b.Run(fmt.Sprintf("instances=%d", count), func(b *testing.B) {
@@ -70,26 +70,26 @@
 
 func measureControl(b *testing.B, count int) {
 	var written, writes atomic.Int64
-	before := heap()
+	before := heapBytes()
 	ctx, cancel := context.WithCancel(b.Context())
 	members := startMembers(b, count, &written, &writes)
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, m := range members {
-		running.Go(func() { m.fleet.Run(ctx) })
+		wg.Go(func() { m.fleet.Run(ctx) })
 	}
 	time.Sleep(benchWarmUp)
 	bytesBefore, writesBefore, cpuBefore := written.Load(), writes.Load(), processorTime(b)
 	time.Sleep(benchMeasure)
-	share := float64(count) * benchMeasure.Seconds()
-	b.ReportMetric(float64(written.Load()-bytesBefore)/share, "B/s/instance")
-	b.ReportMetric(float64(writes.Load()-writesBefore)/share, "writes/s/instance")
-	b.ReportMetric(100*(processorTime(b)-cpuBefore)/share, "%core/instance")
-	b.ReportMetric((heap()-before)/float64(count)/(1<<20), "heapMB/instance")
+	instanceSeconds := float64(count) * benchMeasure.Seconds()
+	b.ReportMetric(float64(written.Load()-bytesBefore)/instanceSeconds, "B/s/instance")
+	b.ReportMetric(float64(writes.Load()-writesBefore)/instanceSeconds, "writes/s/instance")
+	b.ReportMetric(100*(processorTime(b)-cpuBefore)/instanceSeconds, "%core/instance")
+	b.ReportMetric((heapBytes()-before)/float64(count)/(1<<20), "heapMB/instance")
 	for _, m := range members {
 		assert.Equal(b, len(m.fleet.Instances()), count-1)
 	}
 	cancel()
-	running.Wait()
+	wg.Wait()
 	for _, m := range members {
 		m.node.Close()
 	}
@@ -125,7 +125,7 @@
 	return members
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/membership/flapping.go
+++ b/internal/membership/flapping.go
@@ -2,50 +2,51 @@
 
 import "time"
 
-// This file answers the pattern in which a server comes and goes in quick
-// succession, because its network or the list flickers. Without it work would
-// follow each return and be cut off by each loss. Each loss doubles the time
-// for which a return is not believed; a calm time of ten holds forgives one
-// loss. The first loss costs nothing, because one loss is no pattern.
+// A server may disappear and return in quick succession, because its network or
+// the instance list is unstable. Without damping, work would be sent to it
+// after each return and interrupted by each loss. Each loss doubles the
+// hold-down time during which a return is ignored, and each stable interval of
+// ten initial hold-down times discounts one loss. The first loss causes no
+// hold-down, because a single loss is not flapping.
 
 const (
-	flapHold    = 5 * time.Second
-	flapHoldMax = time.Minute
-	flapForgive = 10 * flapHold
+	initialHoldDown   = 5 * time.Second
+	maxHoldDown       = time.Minute
+	lossDecayInterval = 10 * initialHoldDown
 )
 
-// flapping counts the losses of one server.
-type flapping struct {
-	losses int
-	last   time.Time
+// flapDamper counts the losses of one server.
+type flapDamper struct {
+	losses   int
+	lastLoss time.Time
 }
 
-// lost notes that the server went silent.
-func (f *flapping) lost(now time.Time) {
-	f.forgive(now)
+// recordLoss records that the server was lost.
+func (f *flapDamper) recordLoss(now time.Time) {
+	f.decay(now)
 	f.losses++
-	f.last = now
+	f.lastLoss = now
 }
 
-// held reports whether a return at this time is not believed yet.
-func (f *flapping) held(now time.Time) bool { return now.Sub(f.last) < f.hold() }
+// heldDown reports whether a return at time now is ignored.
+func (f *flapDamper) heldDown(now time.Time) bool { return now.Sub(f.lastLoss) < f.holdDown() }
 
-// hold returns how long after the last loss a return is not believed.
-func (f *flapping) hold() time.Duration {
+// holdDown returns how long after the last loss a return is ignored.
+func (f *flapDamper) holdDown() time.Duration {
 	if f.losses <= 1 {
 		return 0
 	}
-	hold := flapHold
-	for i := 2; i < f.losses && hold < flapHoldMax; i++ {
-		hold *= 2
+	duration := initialHoldDown
+	for i := 2; i < f.losses && duration < maxHoldDown; i++ {
+		duration *= 2
 	}
-	return min(hold, flapHoldMax)
+	return min(duration, maxHoldDown)
 }
 
-func (f *flapping) forgive(now time.Time) {
+func (f *flapDamper) decay(now time.Time) {
 	if f.losses == 0 {
 		return
 	}
-	calm := int(now.Sub(f.last) / flapForgive)
-	f.losses = max(0, f.losses-calm)
+	decayed := int(now.Sub(f.lastLoss) / lossDecayInterval)
+	f.losses = max(0, f.losses-decayed)
 }
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -20,7 +20,8 @@
 	"github.com/corianderbank/corianderbank/internal/settings"
 )
 
-// Local is what an instance says of itself besides its identity.
+// Local holds the properties of this instance, apart from its identity, that it
+// sends in state messages.
 type Local struct {
 	ConfigVersion int64
 	ConfigAge     time.Duration
@@ -31,30 +32,31 @@
 	LoadPermille int64
 }
 
-// Options are what a Fleet needs.
+// Options configures a Fleet.
 type Options struct {
 	Self model.Instance
-	// Seeds are the peers that the settings name.
+	// Seeds are the peers listed in the settings.
 	Seeds []settings.Peer
-	// Lister reads the instance list; nil for none.
+	// Lister reads the instance list. It may be nil.
 	Lister platform.InstanceLister
-	// Caller reaches peers; nil for none.
+	// Caller calls peers. It may be nil.
 	Caller peer.Caller
-	// Prober asks backend servers of this zone for their health; nil for none.
+	// Prober queries the health of the backend servers of this zone. It may be
+	// nil.
 	Prober Prober
-	// Local returns the present figures for state messages; nil for none. It
-	// is called from several goroutines.
+	// Local returns the current values for state messages. It may be nil. It is
+	// called from several goroutines.
 	Local  func() Local
 	Logger *zap.Logger
-	// PeerInterval is the shortest time between exchanges with a peer of the
+	// PeerInterval is the minimum time between exchanges with a peer of the
 	// same availability zone; ListInterval is that between reads of the list.
 	PeerInterval time.Duration
 	ListInterval time.Duration
-	// Thresholds may be left zero for the defaults.
+	// Thresholds defaults to DefaultThresholds.
 	Thresholds Thresholds
 }
 
-// Fleet is what this instance knows of the fleet. It implements View and is
+// Fleet maintains this instance's view of the fleet. It implements View and is
 // safe for concurrent use.
 type Fleet struct {
 	options Options
@@ -69,7 +71,7 @@
 
 var _ View = (*Fleet)(nil)
 
-// New returns a fleet that knows its seeds. Run keeps it fresh.
+// New returns a fleet that contains the seeds. Run keeps it up to date.
 func New(options Options) *Fleet {
 	if options.Thresholds == (Thresholds{}) {
 		options.Thresholds = DefaultThresholds()
@@ -83,10 +85,10 @@
 		state:   newState(options.Self, options.PeerInterval, options.Thresholds),
 		self:    options.Self,
 	}
-	f.state.probing = options.Prober != nil
+	f.state.probesEnabled = options.Prober != nil
 	now := time.Now()
 	for _, seed := range options.Seeds {
-		f.state.seeded(model.Instance{
+		f.state.addSeed(model.Instance{
 			ID: seed.Instance, Addr: seed.Addr, PeerAddr: seed.PeerAddr, Zone: seed.AvailabilityZone,
 		}, now)
 	}
@@ -94,30 +96,30 @@
 	return f
 }
 
-// Run polls the instance list, talks to peers, asks backend servers and judges
-// silence until ctx ends.
+// Run polls the instance list, exchanges states with peers, probes backend
+// servers and checks timeouts until ctx ends.
 func (f *Fleet) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	for _, duty := range []func(context.Context){f.pollList, f.gossip.run, f.judge, f.probe} {
-		duties.Go(func() { duty(ctx) })
+	var wg sync.WaitGroup
+	for _, run := range []func(context.Context){f.pollList, f.gossip.run, f.timeoutLoop, f.probeLoop} {
+		wg.Go(func() { run(ctx) })
 	}
-	duties.Wait()
+	wg.Wait()
 }
 
-// pollList reads the instance list at its interval, and less often while it
-// cannot be read.
+// pollList reads the instance list at its interval, and less often while reads
+// fail.
 func (f *Fleet) pollList(ctx context.Context) {
 	if f.options.Lister == nil {
 		return
 	}
-	failing := backoff.Backoff{Base: 2 * f.options.ListInterval, Max: listBackoffFactor * f.options.ListInterval}
+	retry := backoff.Backoff{Base: 2 * f.options.ListInterval, Max: maxListBackoffFactor * f.options.ListInterval}
 	for ctx.Err() == nil {
 		wait := backoff.Spread(f.options.ListInterval, rand.Float64())
 		if err := f.readList(ctx); err == nil {
-			failing.Succeeded()
+			retry.Succeeded()
 		} else {
-			wait = failing.Failed(rand.Float64())
-			f.logger.Warn("instance list unavailable", zap.Int("failures", failing.Failures()), zap.Error(err))
+			wait = retry.Failed(rand.Float64())
+			f.logger.Warn("instance list unavailable", zap.Int("failures", retry.Failures()), zap.Error(err))
 		}
 		select {
 		case <-time.After(wait):
@@ -126,11 +128,12 @@
 	}
 }
 
-// listBackoffFactor bounds the wait between reads during an outage, in
-// intervals: the list is back in force soon after the platform is.
-const listBackoffFactor = 5
+// maxListBackoffFactor bounds the wait between reads during an outage, in list
+// intervals, so that the list is current again soon after the platform
+// recovers.
+const maxListBackoffFactor = 5
 
-// readList reads the list once. A failure leaves everything as it is.
+// readList reads the list once. A failure changes nothing.
 func (f *Fleet) readList(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -142,19 +145,20 @@
 	return nil
 }
 
-// listTimeout bounds one read; a slow list is better than none.
+// listTimeout bounds one read. It is long because a slow list is better than
+// none.
 const listTimeout = 3 * time.Second
 
-// judge judges silence once in a while.
-func (f *Fleet) judge(ctx context.Context) {
+// timeoutLoop checks timeouts at the peer interval.
+func (f *Fleet) timeoutLoop(ctx context.Context) {
 	ticker := time.NewTicker(f.options.PeerInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
 			f.mu.Lock()
-			f.state.tick(now)
-			changes := f.state.drainChanges()
+			f.state.checkTimeouts(now)
+			changes := f.state.takeChanges()
 			f.mu.Unlock()
 			f.logChanges(changes)
 		case <-ctx.Done():
@@ -163,44 +167,45 @@
 	}
 }
 
-// ObserveList takes in one read of the instance list.
+// ObserveList applies one read of the instance list.
 func (f *Fleet) ObserveList(list api.InstanceList) {
-	f.observe(func(now time.Time) bool { return f.state.listed(list, now) })
+	f.observe(func(now time.Time) bool { return f.state.applyList(list, now) })
 }
 
-// ObserveBackend takes in what a backend server said of itself. The sign of
-// leaving holds from here on, and goes to every peer at once.
+// ObserveBackend applies what a backend server reported about itself. A leaving
+// signal takes effect at once and is sent to every peer without delay.
 func (f *Fleet) ObserveBackend(id string, incarnation int64, leaving bool) {
-	f.observe(func(now time.Time) bool { return f.state.backendSaid(id, incarnation, leaving, now) })
+	f.observe(func(now time.Time) bool { return f.state.applyBackendAnswer(id, incarnation, leaving, now) })
 }
 
-// ObserveWorker takes in a worker's report.
+// ObserveWorker applies a worker's report.
 func (f *Fleet) ObserveWorker(report api.WorkerReport) {
 	f.observe(func(now time.Time) bool {
-		f.state.workerReported(report, now)
+		f.state.applyWorkerReport(report, now)
 		return false
 	})
 }
 
-// HandleState takes in a peer's state message and returns this instance's own.
+// HandleState applies a peer's state message and returns this instance's own.
 func (f *Fleet) HandleState(message *peerpb.State) *peerpb.State {
-	f.observe(func(now time.Time) bool { return f.state.peerSaid(message, now) })
+	f.observe(func(now time.Time) bool { return f.state.applyPeerState(message, now) })
 	return f.OwnState()
 }
 
-// observe applies an event; news goes to the peers at once.
+// observe applies an event. If apply reports an urgent change, it is sent to
+// the peers at once.
 func (f *Fleet) observe(apply func(now time.Time) bool) {
 	f.mu.Lock()
-	news := apply(time.Now())
-	changes := f.state.drainChanges()
+	urgent := apply(time.Now())
+	changes := f.state.takeChanges()
 	f.mu.Unlock()
 	f.logChanges(changes)
-	if news {
-		f.gossip.urge()
+	if urgent {
+		f.gossip.triggerRound()
 	}
 }
 
-// logChanges writes one line for each change of what is known.
+// logChanges logs one line for each change.
 func (f *Fleet) logChanges(changes []change) {
 	for _, c := range changes {
 		f.logger.Info("member", zap.String("subject", c.subject), zap.String("id", c.id),
@@ -208,42 +213,43 @@
 	}
 }
 
-// Announce tells every peer of this instance's present state at once, for
+// Announce sends this instance's current state to every peer at once, for
 // example after a change of the configuration or of the placer role.
-func (f *Fleet) Announce() { f.gossip.urge() }
+func (f *Fleet) Announce() { f.gossip.triggerRound() }
 
-// AnnounceLeaving says that this instance leaves, and waits until every live
-// peer was told or ctx ends. The error then counts those that were not reached.
+// AnnounceLeaving marks this instance as leaving and waits until every live
+// peer has been notified or ctx ends. The error then contains the number of
+// peers that were not reached.
 func (f *Fleet) AnnounceLeaving(ctx context.Context) error {
 	f.SetLeaving()
 	if f.options.Caller == nil {
 		return nil
 	}
 	peers := f.Instances()
-	var told sync.WaitGroup
-	var missed atomic.Int64
+	var wg sync.WaitGroup
+	var failed atomic.Int64
 	for _, target := range peers {
-		told.Go(func() {
-			if f.gossip.talk(ctx, target) != nil {
-				missed.Add(1)
+		wg.Go(func() {
+			if f.gossip.exchange(ctx, target) != nil {
+				failed.Add(1)
 			}
 		})
 	}
-	told.Wait()
-	if missed.Load() > 0 {
-		return api.NewError(api.KindNotReady, "%d of %d peers were not told", missed.Load(), len(peers))
+	wg.Wait()
+	if failed.Load() > 0 {
+		return api.NewError(api.KindNotReady, "%d of %d peers were not told", failed.Load(), len(peers))
 	}
 	return nil
 }
 
-// SetLeaving says that this instance starts to leave; the gossip duty tells
-// the peers at once.
+// SetLeaving marks this instance as leaving; the gossip loop notifies the peers
+// at once.
 func (f *Fleet) SetLeaving() {
 	f.mu.Lock()
 	f.self.Leaving = true
 	f.state.leaving = true
 	f.mu.Unlock()
-	f.gossip.urge()
+	f.gossip.triggerRound()
 }
 
 // Self returns this instance.
@@ -279,15 +285,16 @@
 	}
 }
 
-// Instances implements View. Leaving instances are among them, marked so.
+// Instances implements View. The result includes leaving instances, marked as
+// such.
 func (f *Fleet) Instances() []model.Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.liveInstances(time.Now())
 }
 
-// BackendServers implements View. Those that are gone, or have
-// not answered a first probe yet, are left out.
+// BackendServers implements View. It leaves out servers that are gone, and new
+// ones that have not answered a probe yet.
 func (f *Fleet) BackendServers(zone string) []model.BackendServer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -301,35 +308,36 @@
 	return f.state.zoneWorkers(zone)
 }
 
-// PeerStates returns the latest state message of each peer that was heard.
+// PeerStates returns the latest state message of each peer that has sent one.
 func (f *Fleet) PeerStates() map[string]HeardState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now, every := time.Now(), f.state.intervals()
-	heard := make(map[string]HeardState, len(f.state.instances))
+	now, intervals := time.Now(), f.state.intervals()
+	states := make(map[string]HeardState, len(f.state.instances))
 	for id, entry := range f.state.instances {
-		if entry.heard.State != nil {
-			latest := entry.heard
-			latest.Fresh = f.state.heardLately(entry, every, now)
-			heard[id] = latest
+		if entry.lastState.State != nil {
+			latest := entry.lastState
+			latest.Fresh = f.state.hasRecentState(entry, intervals, now)
+			states[id] = latest
 		}
 	}
-	return heard
+	return states
 }
 
-// Reach returns how many instances of this zone and of the others were heard of
-// lately, and the highest placer epoch heard of in this zone.
+// Reach returns the numbers of instances of this zone and of the other zones
+// that sent a state message recently, and the highest placer epoch received
+// from this zone.
 func (f *Fleet) Reach() (zonePeers, otherPeers int, epoch int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now, every := time.Now(), f.state.intervals()
+	now, intervals := time.Now(), f.state.intervals()
 	for _, entry := range f.state.instances {
 		sameZone := entry.Zone == f.self.Zone
 		if sameZone {
-			epoch = max(epoch, entry.heard.State.GetEpoch())
+			epoch = max(epoch, entry.lastState.State.GetEpoch())
 		}
 		switch {
-		case !f.state.heardLately(entry, every, now):
+		case !f.state.hasRecentState(entry, intervals, now):
 		case sameZone:
 			zonePeers++
 		default:
@@ -351,8 +359,9 @@
 }
 
 // peersAndIntervals returns every known peer, those of this zone first, the
-// configuration versions heard of them, and the times between exchanges.
-func (f *Fleet) peersAndIntervals() ([]model.Instance, map[string]int64, intervals) {
+// last configuration version received from each, and the times between
+// exchanges.
+func (f *Fleet) peersAndIntervals() ([]model.Instance, map[string]int64, exchangeIntervals) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	peers := make([]model.Instance, 0, len(f.state.instances))
@@ -360,7 +369,7 @@
 	for _, id := range sortedKeys(f.state.instances) {
 		entry := f.state.instances[id]
 		peers = append(peers, entry.Instance)
-		versions[id] = entry.heard.State.GetConfigVersion()
+		versions[id] = entry.lastState.State.GetConfigVersion()
 	}
 	slices.SortStableFunc(peers, func(a, b model.Instance) int {
 		return cmp.Compare(zoneRank(a, f.self), zoneRank(b, f.self))
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -17,14 +17,15 @@
 	"github.com/corianderbank/corianderbank/internal/settings"
 )
 
-// network joins fleets in the process.
+// network connects the fleets of a test in one process.
 type network struct {
 	mu     sync.Mutex
 	fleets map[string]*membership.Fleet
-	// down holds the instances that answer nothing.
+	// down contains the instances that do not respond.
 	down map[string]bool
 	list api.InstanceList
-	// listDown says that the list cannot be read; reads counts the tries.
+	// listDown makes reads of the list fail; reads contains the time of each
+	// read.
 	listDown bool
 	reads    []time.Time
 }
@@ -61,8 +62,8 @@
 	n.down[id] = down
 }
 
-// start starts count instances, three to a zone, and returns their fleets in
-// order, and a function that ends them.
+// start starts count instances, three per zone. It returns their fleets in
+// order and a function that stops them.
 func (n *network) start(t *testing.T, count int, local func(i int) membership.Local) ([]*membership.Fleet, func()) {
 	n.fleets, n.down = make(map[string]*membership.Fleet), make(map[string]bool)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -71,7 +72,7 @@
 		seeds = append(seeds, settings.Peer{Instance: fmt.Sprintf("e%d", i), AvailabilityZone: fmt.Sprintf("z%d", i/3), PeerAddr: "-"})
 	}
 	var fleets []*membership.Fleet
-	var duties sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, seed := range seeds {
 		fleet := membership.New(membership.Options{
 			Self:  model.Instance{ID: seed.Instance, Zone: seed.AvailabilityZone, Incarnation: 1},
@@ -82,22 +83,22 @@
 		n.fleets[seed.Instance] = fleet
 		n.mu.Unlock()
 		fleets = append(fleets, fleet)
-		duties.Go(func() { fleet.Run(ctx) })
+		wg.Go(func() { fleet.Run(ctx) })
 	}
 	return fleets, func() {
 		cancel()
-		duties.Wait()
+		wg.Wait()
 	}
 }
 
-func plain(int) membership.Local { return membership.Local{} }
+func zeroLocal(int) membership.Local { return membership.Local{} }
 
-func TestNewsReachesEveryoneAtOnce(t *testing.T) {
+func TestUrgentChangesReachAllPeersAtOnce(t *testing.T) {
 	const listed = "b1"
 	cases := map[string]struct {
-		news func(first *membership.Fleet, raise func())
-		// known reports whether a fleet knows the news.
-		known func(fleet *membership.Fleet) bool
+		announce func(first *membership.Fleet, raise func())
+		// received reports whether a fleet has received the change.
+		received func(fleet *membership.Fleet) bool
 	}{
 		"a backend server leaves": {
 			func(first *membership.Fleet, _ func()) { first.ObserveBackend(listed, 1, true) },
@@ -135,24 +136,24 @@
 				})
 				defer end()
 				time.Sleep(30 * time.Second)
-				test.news(fleets[0], func() {
+				test.announce(fleets[0], func() {
 					mu.Lock()
 					defer mu.Unlock()
 					version = 2
 				})
 				time.Sleep(time.Second)
 				for i, fleet := range fleets[1:] {
-					assert.Assert(t, test.known(fleet), "instance %d does not know", i+1)
+					assert.Assert(t, test.received(fleet), "instance %d has not received the change", i+1)
 				}
 			})
 		})
 	}
 }
 
-func TestSilentInstanceIsNotLiveAndComesBack(t *testing.T) {
+func TestUnresponsiveInstanceIsNotLiveUntilItReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &network{}
-		fleets, end := n.start(t, 6, plain)
+		fleets, end := n.start(t, 6, zeroLocal)
 		defer end()
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, len(fleets[0].Instances()), 5)
@@ -168,12 +169,13 @@
 	})
 }
 
-// TestListReadsStayFewWhenInstancesReturnTogether plays eight instances that
-// start at the same moment while the platform is down for a minute.
+// TestListReadsStayFewWhenInstancesReturnTogether checks that eight instances
+// that start at the same time, while the platform is unavailable for a minute,
+// read the list rarely.
 func TestListReadsStayFewWhenInstancesReturnTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &network{listDown: true}
-		_, end := n.start(t, 8, plain)
+		_, end := n.start(t, 8, zeroLocal)
 		time.Sleep(time.Minute)
 		end()
 		perSecond := make(map[int64]int)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -14,129 +14,134 @@
 )
 
 const (
-	// gossipCalls bounds the state messages under way.
-	gossipCalls = 64
-	// gossipTimeout bounds one of them; a peer that takes longer is asked again.
+	// maxGossipCalls bounds the state messages in flight.
+	maxGossipCalls = 64
+	// gossipTimeout bounds one exchange. A peer that takes longer is tried
+	// again.
 	gossipTimeout = time.Second
-	// roundsPerInterval is how often in an interval the duty looks who is due.
+	// roundsPerInterval is the number of rounds per peer interval.
 	roundsPerInterval = 5
 )
 
-// gossip exchanges states with the peers that are due; with every peer at once
-// when there is news of leaving or of the placer role; and with those that lack
-// it when a new configuration is in force here.
+// gossip exchanges states with peers: with those that are due; with every peer
+// at once when a server or an instance starts to leave or the placer role
+// changes; and, when a new configuration is in force here, with those that lack
+// it.
 type gossip struct {
 	fleet    *Fleet
 	schedule *schedule
-	// urgent wakes the duty; one waiting entry stands for all later ones.
-	urgent *ring.Dropping[struct{}]
-	// epoch is the placer epoch last told, and told the configuration version
-	// last told to each peer. They belong to the duty.
-	epoch int64
-	told  map[string]int64
+	// wake starts a round at once; one pending entry stands for all later ones.
+	wake *ring.Dropping[struct{}]
+	// lastEpoch is the placer epoch sent last, and sentVersions holds the
+	// configuration version sent last to each peer. Only the gossip loop uses
+	// them.
+	lastEpoch    int64
+	sentVersions map[string]int64
 
-	// mu guards talking: the peers with a message under way, with whether news
-	// came meanwhile.
-	mu      sync.Mutex
-	talking map[string]bool
+	// mu guards inProgress, which has an entry for each peer with an exchange
+	// in progress; the value reports whether another one must follow.
+	mu         sync.Mutex
+	inProgress map[string]bool
 }
 
 func newGossip(fleet *Fleet) *gossip {
 	return &gossip{
-		fleet:    fleet,
-		schedule: newSchedule(fleet.options.Self),
-		urgent:   ring.NewDropping[struct{}](1),
-		told:     make(map[string]int64),
-		talking:  make(map[string]bool),
+		fleet:        fleet,
+		schedule:     newSchedule(fleet.options.Self),
+		wake:         ring.NewDropping[struct{}](1),
+		sentVersions: make(map[string]int64),
+		inProgress:   make(map[string]bool),
 	}
 }
 
-// urge makes the next round start now and go to every peer.
-func (g *gossip) urge() { g.urgent.Push(struct{}{}) }
+// triggerRound starts a round with every peer at once.
+func (g *gossip) triggerRound() { g.wake.Push(struct{}{}) }
 
 func (g *gossip) run(ctx context.Context) {
 	if g.fleet.options.Caller == nil {
 		return
 	}
-	exchanges := newCalls(gossipCalls)
+	exchanges := newCallPool(maxGossipCalls)
 	defer exchanges.wait()
 	ticker := time.NewTicker(g.fleet.options.PeerInterval / roundsPerInterval)
 	defer ticker.Stop()
-	news := true
+	toAll := true
 	for {
-		g.round(ctx, exchanges, news)
+		g.round(ctx, exchanges, toAll)
 		select {
 		case <-ticker.C:
-			news = false
-		case <-g.urgent.C():
-			news = true
+			toAll = false
+		case <-g.wake.C():
+			toAll = true
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// round starts an exchange with every peer that is due. A full pool leaves a
-// peer to its next time.
-func (g *gossip) round(ctx context.Context, exchanges *calls, news bool) {
+// round starts an exchange with every peer that is due. If the pool is full, a
+// peer waits for its next turn.
+func (g *gossip) round(ctx context.Context, exchanges *callPool, toAll bool) {
 	own := g.fleet.OwnState()
-	news = news || own.GetEpoch() != g.epoch
-	g.epoch = own.GetEpoch()
-	peers, versions, every := g.fleet.peersAndIntervals()
-	urgent := func(id string) bool { return news || g.lacks(id, versions[id], own.GetConfigVersion()) }
-	for _, target := range g.schedule.due(time.Now(), peers, every, urgent, rand.Float64) {
-		if !g.begin(target.ID, urgent(target.ID)) {
+	toAll = toAll || own.GetEpoch() != g.lastEpoch
+	g.lastEpoch = own.GetEpoch()
+	peers, versions, intervals := g.fleet.peersAndIntervals()
+	urgent := func(id string) bool { return toAll || g.needsConfig(id, versions[id], own.GetConfigVersion()) }
+	for _, target := range g.schedule.due(time.Now(), peers, intervals, urgent, rand.Float64) {
+		if !g.reserve(target.ID, urgent(target.ID)) {
 			continue
 		}
-		g.told[target.ID] = own.GetConfigVersion()
-		if !exchanges.start(func() { g.talkOut(ctx, target) }) {
-			g.end(target.ID)
+		g.sentVersions[target.ID] = own.GetConfigVersion()
+		if !exchanges.start(func() { g.exchangeUntilCurrent(ctx, target) }) {
+			g.finish(target.ID)
 		}
 	}
 }
 
-// lacks reports whether a peer that was heard has an older configuration than
-// this instance and was not told of the present one.
-func (g *gossip) lacks(id string, theirs, own int64) bool {
-	return theirs > 0 && theirs < own && g.told[id] < own
+// needsConfig reports whether a peer has an older configuration than this
+// instance, according to its last message, and has not been sent the current
+// version.
+func (g *gossip) needsConfig(id string, peerVersion, ownVersion int64) bool {
+	return peerVersion > 0 && peerVersion < ownVersion && g.sentVersions[id] < ownVersion
 }
 
-// begin reserves the talk with a peer; false if one is under way, which then
-// repeats itself if there is news.
-func (g *gossip) begin(id string, news bool) bool {
+// reserve reserves the exchange with a peer. It returns false if one is in
+// progress, which is then repeated if urgent is set.
+func (g *gossip) reserve(id string, urgent bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	again, talking := g.talking[id]
-	if talking {
-		g.talking[id] = again || news
+	repeat, inProgress := g.inProgress[id]
+	if inProgress {
+		g.inProgress[id] = repeat || urgent
 		return false
 	}
-	g.talking[id] = false
+	g.inProgress[id] = false
 	return true
 }
 
-// end ends the talk with a peer; true if it must be repeated.
-func (g *gossip) end(id string) bool {
+// finish ends the exchange with a peer. It returns true if it must be repeated.
+func (g *gossip) finish(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.talking[id] {
-		g.talking[id] = false
+	if g.inProgress[id] {
+		g.inProgress[id] = false
 		return true
 	}
-	delete(g.talking, id)
+	delete(g.inProgress, id)
 	return false
 }
 
-// talkOut talks to a peer until no news came meanwhile.
-func (g *gossip) talkOut(ctx context.Context, target model.Instance) {
-	_ = g.talk(ctx, target)
-	for g.end(target.ID) && ctx.Err() == nil {
-		_ = g.talk(ctx, target)
+// exchangeUntilCurrent exchanges states with a peer until no urgent change
+// arrived during the last exchange.
+func (g *gossip) exchangeUntilCurrent(ctx context.Context, target model.Instance) {
+	_ = g.exchange(ctx, target)
+	for g.finish(target.ID) && ctx.Err() == nil {
+		_ = g.exchange(ctx, target)
 	}
 }
 
-// talk exchanges states with one peer.
-func (g *gossip) talk(ctx context.Context, target model.Instance) error {
+// exchange exchanges states with one peer once.
+func (g *gossip) exchange(ctx context.Context, target model.Instance) error {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
 	request := &peerpb.Request{Body: &peerpb.Request_State{State: g.fleet.OwnState()}}
@@ -146,7 +151,7 @@
 		return err
 	}
 	if state := response.GetState(); state != nil {
-		g.fleet.observe(func(now time.Time) bool { return g.fleet.state.peerSaid(state, now) })
+		g.fleet.observe(func(now time.Time) bool { return g.fleet.state.applyPeerState(state, now) })
 	}
 	return nil
 }
--- a/internal/membership/instance.go
+++ b/internal/membership/instance.go
@@ -8,51 +8,53 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// HeardState is the latest state message of a peer.
+// HeardState is the latest state message received from a peer.
 type HeardState struct {
 	State *peerpb.State
-	// HeardAt is the local time of its arrival.
+	// HeardAt is the local time at which it arrived.
 	HeardAt time.Time
-	// Fresh says that it is no older than silence is allowed to be.
+	// Fresh reports whether it is no older than the timeout for a peer.
 	Fresh bool
 }
 
-// names of what is known of a peer, for the log.
+// The states of a peer, for the log.
 const (
-	instanceLive    = "live"
-	instanceSilent  = "silent"
-	instanceLeaving = "leaving"
+	instanceLive         = "live"
+	instanceUnresponsive = "silent"
+	instanceLeaving      = "leaving"
 )
 
-// instanceEntry is what is known of one peer.
+// instanceEntry is the known state of one peer.
 type instanceEntry struct {
 	model.Instance
-	// named is when the settings or the list first named it.
-	named time.Time
-	// listedAt is when the list last named it; zero for never.
+	// knownSince is the time at which this incarnation was first named by the
+	// settings, the list or a message of its own.
+	knownSince time.Time
+	// listedAt is the time at which the list last contained it; zero for never.
 	listedAt time.Time
-	// seed says that the settings name it; a seed is never forgotten.
-	seed  bool
-	heard HeardState
-	flaps flapping
-	lost  bool
+	// seed reports that the settings name it. A seed is never removed.
+	seed         bool
+	lastState    HeardState
+	flapDamper   flapDamper
+	unresponsive bool
 }
 
-// seeded takes in an instance that the settings name.
-func (s *state) seeded(instance model.Instance, now time.Time) {
+// addSeed adds an instance that the settings name.
+func (s *state) addSeed(instance model.Instance, now time.Time) {
 	if instance.ID == s.self.ID {
 		return
 	}
-	s.instances[instance.ID] = &instanceEntry{Instance: instance, named: now, seed: true}
+	s.instances[instance.ID] = &instanceEntry{Instance: instance, knownSince: now, seed: true}
 }
 
-// instanceListed takes in an entry of the instance list. The list says where a
-// peer is and that it leaves; only the peer itself says that it lives.
-func (s *state) instanceListed(listed api.ListedInstance, now time.Time) {
+// applyListedInstance applies an entry of the instance list. The list provides
+// a peer's addresses and whether it is leaving; only the peer's own messages
+// show that it is live.
+func (s *state) applyListedInstance(listed api.ListedInstance, now time.Time) {
 	if listed.ID == s.self.ID {
 		return
 	}
-	entry := s.instanceSeen(listed.ID, listed.Incarnation, now)
+	entry := s.upsertInstance(listed.ID, listed.Incarnation, now)
 	if entry == nil {
 		return
 	}
@@ -63,13 +65,13 @@
 	entry.Leaving = entry.Leaving || listed.Leaving
 }
 
-// instanceSaid takes in a peer's own message.
-func (s *state) instanceSaid(message *peerpb.State, now time.Time) {
+// applyInstanceState applies a peer's own state message.
+func (s *state) applyInstanceState(message *peerpb.State, now time.Time) {
 	id := message.GetInstance()
 	if id == "" || id == s.self.ID {
 		return
 	}
-	entry := s.instanceSeen(id, message.GetIncarnation(), now)
+	entry := s.upsertInstance(id, message.GetIncarnation(), now)
 	if entry == nil {
 		return
 	}
@@ -77,23 +79,24 @@
 	entry.PeerAddr = message.GetPeerAddr()
 	entry.Zone = message.GetAvailabilityZone()
 	if message.GetLeaving() && !entry.Leaving {
-		s.note(subjectInstance, id, entry.Incarnation, instanceLive, instanceLeaving)
+		s.recordChange(subjectInstance, id, entry.Incarnation, instanceLive, instanceLeaving)
 	}
 	entry.Leaving = entry.Leaving || message.GetLeaving()
 	entry.LastSeen = now
-	entry.heard = HeardState{State: message, HeardAt: now, Fresh: true}
-	if entry.lost && !entry.flaps.held(now) {
-		entry.lost = false
-		s.note(subjectInstance, id, entry.Incarnation, instanceSilent, instanceLive)
+	entry.lastState = HeardState{State: message, HeardAt: now, Fresh: true}
+	if entry.unresponsive && !entry.flapDamper.heldDown(now) {
+		entry.unresponsive = false
+		s.recordChange(subjectInstance, id, entry.Incarnation, instanceUnresponsive, instanceLive)
 	}
 }
 
-// instanceSeen returns the entry of a peer under an incarnation; nil if the
-// sign is older than what is known.
-func (s *state) instanceSeen(id string, incarnation int64, now time.Time) *instanceEntry {
+// upsertInstance returns the entry of a peer, created or updated for a signal
+// of the given incarnation. It returns nil if the signal belongs to an earlier
+// incarnation than the known one.
+func (s *state) upsertInstance(id string, incarnation int64, now time.Time) *instanceEntry {
 	entry, ok := s.instances[id]
 	if !ok {
-		entry = &instanceEntry{named: now}
+		entry = &instanceEntry{knownSince: now}
 		entry.ID = id
 		entry.Incarnation = incarnation
 		s.instances[id] = entry
@@ -104,41 +107,43 @@
 	if incarnation > entry.Incarnation {
 		entry.Incarnation = incarnation
 		entry.Leaving = false
-		entry.named = now
+		entry.knownSince = now
 	}
 	return entry
 }
 
-// instanceLive reports whether a peer was heard of lately, or was named so
-// lately that it could not have been heard yet.
-func (s *state) instanceLive(entry *instanceEntry, every intervals, now time.Time) bool {
-	if entry.lost {
+// isLive reports whether a peer sent a message recently, or became known so
+// recently that it could not have sent one yet.
+func (s *state) isLive(entry *instanceEntry, intervals exchangeIntervals, now time.Time) bool {
+	if entry.unresponsive {
 		return false
 	}
 	latest := entry.LastSeen
-	if entry.named.After(latest) {
-		latest = entry.named
+	if entry.knownSince.After(latest) {
+		latest = entry.knownSince
 	}
-	return now.Sub(latest) <= every.silence(entry.Zone == s.self.Zone)
+	return now.Sub(latest) <= intervals.timeout(entry.Zone == s.self.Zone)
 }
 
-// heardLately reports whether the peer itself was heard within the silence that
-// is allowed.
-func (s *state) heardLately(entry *instanceEntry, every intervals, now time.Time) bool {
-	return !entry.LastSeen.IsZero() && now.Sub(entry.LastSeen) <= every.silence(entry.Zone == s.self.Zone)
+// hasRecentState reports whether the peer itself sent a message within its
+// timeout.
+func (s *state) hasRecentState(entry *instanceEntry, intervals exchangeIntervals, now time.Time) bool {
+	return !entry.LastSeen.IsZero() && now.Sub(entry.LastSeen) <= intervals.timeout(entry.Zone == s.self.Zone)
 }
 
-// instancesTick notes losses and forgets peers that nothing names any more.
-func (s *state) instancesTick(now time.Time) {
-	every := s.intervals()
+// checkInstanceTimeouts marks peers that stopped responding and removes peers
+// that neither the settings, the list nor a message has named for the retention
+// time.
+func (s *state) checkInstanceTimeouts(now time.Time) {
+	intervals := s.intervals()
 	for id, entry := range s.instances {
-		if !entry.lost && !s.instanceLive(entry, every, now) {
-			entry.lost = true
-			s.note(subjectInstance, id, entry.Incarnation, instanceLive, instanceSilent)
-			entry.flaps.lost(now)
+		if !entry.unresponsive && !s.isLive(entry, intervals, now) {
+			entry.unresponsive = true
+			s.recordChange(subjectInstance, id, entry.Incarnation, instanceLive, instanceUnresponsive)
+			entry.flapDamper.recordLoss(now)
 		}
-		quiet := now.Sub(entry.LastSeen) > s.thresholds.Forget && now.Sub(entry.listedAt) > s.thresholds.Forget
-		if quiet && !entry.seed && now.Sub(entry.named) > s.thresholds.Forget {
+		expired := now.Sub(entry.LastSeen) > s.thresholds.Retention && now.Sub(entry.listedAt) > s.thresholds.Retention
+		if expired && !entry.seed && now.Sub(entry.knownSince) > s.thresholds.Retention {
 			delete(s.instances, id)
 		}
 	}
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// listFreshFor is how long the last list that was read says who is there.
-const listFreshFor = 10 * time.Second
+// listMaxAge is how long the last list is considered to show the current
+// instances.
+const listMaxAge = 10 * time.Second
 
-// ZoneMembers returns the ids of the instances of a zone, this one included,
-// that may be running, whether they are heard of or not: those that the newest
-// list names, and those heard of lately. While the list cannot be read, nobody
-// is ruled out. They are in the order of ids.
+// ZoneMembers returns the ids of the instances of a zone that may be running,
+// including this one: those in the newest list and those that sent a message
+// recently. While the list cannot be read, no known instance is excluded. The
+// ids are sorted.
 func (f *Fleet) ZoneMembers(zone string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -20,14 +21,14 @@
 	if selfZone == zone {
 		members[self] = true
 	}
-	every := s.intervals()
-	listFresh := !s.listAt.IsZero() && now.Sub(s.listAt) <= listFreshFor
+	intervals := s.intervals()
+	listFresh := !s.listReceivedAt.IsZero() && now.Sub(s.listReceivedAt) <= listMaxAge
 	for id, entry := range s.instances {
 		if entry.Zone != zone {
 			continue
 		}
-		named := entry.listedAt.Equal(s.listAt)
-		if named || !listFresh || s.instanceLive(entry, every, now) {
+		listed := entry.listedAt.Equal(s.listReceivedAt)
+		if listed || !listFresh || s.isLive(entry, intervals, now) {
 			members[id] = true
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,18 +1,21 @@
-// Package membership knows the instances, backend servers and workers of the
-// fleet from several signals that lag: the platform's instance list, peers'
-// states, and what each server says of itself. Incarnation numbers order the
-// signals, so that a late one brings nothing back.
+// Package membership tracks the instances, backend servers and workers of the
+// fleet. It combines several signals that may lag: the platform's instance
+// list, the state messages of peers, and what each server reports about itself.
+// Incarnation numbers order the signals, so that an outdated signal does not
+// bring back an earlier incarnation.
 package membership
 
 import "github.com/corianderbank/corianderbank/internal/model"
 
-// View is what an instance knows of the fleet. Implementations are safe for
-// concurrent use; the returned slices are the caller's, in the order of ids.
+// View provides an instance's current view of the fleet. Implementations are
+// safe for concurrent use. The returned slices are sorted by id and belong to
+// the caller.
 type View interface {
 	// Instances returns the live entry instances other than this one.
 	Instances() []model.Instance
-	// BackendServers returns the backend servers of a zone, leaving ones too.
+	// BackendServers returns the backend servers of a zone, including leaving
+	// ones.
 	BackendServers(zone string) []model.BackendServer
-	// Workers returns the workers of a zone that the instance list names.
+	// Workers returns the workers of a zone that the instance list contains.
 	Workers(zone string) []model.Worker
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -13,36 +13,39 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// This file answers the pattern of a backend server that is idle when it starts
-// to leave, while the instance list lags or cannot be read. Without it nobody
-// knows until the list catches up, and the first request after that long would
-// still go there. A list that lags may also name an incarnation for the first
-// time after that has started to leave, so every instance asks a server that is
-// new to it before it sends work there. From then on each server is asked by one instance of its zone, chosen by
-// rendezvous hashing, and the others hear the answer as news; a server that
-// answered work within the interval is not asked. The interval is below the two
-// seconds in which the whole fleet must know, with room for the answer and for
-// one exchange with the peers.
+// A backend server may be idle when it starts to leave, while the instance list
+// lags or cannot be read. Without probes, no instance would notice until the
+// list is updated, and the first request after a long idle time would still be
+// sent there. A list that lags may also contain an incarnation for the first
+// time after that has started to leave, so every instance probes a server that
+// is new to it before it sends work there. From then on each server is probed
+// by one instance of its zone, chosen by rendezvous hashing, and the others
+// receive the result as an urgent state message. A server that answered a work
+// request within the interval is not probed. The interval is below the two
+// seconds within which the whole fleet must be informed, with time left for the
+// answer and for one exchange with the peers.
 
 const (
-	// probeInterval is the longest time without an answer of a backend server.
+	// probeInterval is the maximum time without an answer of a backend server.
 	probeInterval = 1500 * time.Millisecond
-	// probeRound is how often the duty looks who is to be asked.
-	probeRound = 250 * time.Millisecond
-	// probeTimeout bounds one question.
+	// probeCheckInterval is the time between checks for servers that are due.
+	probeCheckInterval = 250 * time.Millisecond
+	// probeTimeout bounds one probe.
 	probeTimeout = time.Second
-	// confirmRetry is the time between the first questions to a new server.
-	confirmRetry = 500 * time.Millisecond
-	// probeCalls bounds the questions under way.
-	probeCalls = 32
+	// confirmRetryInterval is the time between probes of a server that has not
+	// answered yet.
+	confirmRetryInterval = 500 * time.Millisecond
+	// maxProbeCalls bounds the probes in flight.
+	maxProbeCalls = 32
 )
 
-// Prober asks a backend server for its health.
+// Prober queries the health of a backend server.
 type Prober interface {
 	Health(ctx context.Context, server model.BackendServer) (api.BackendHealth, error)
 }
 
-// HTTPProber asks by GET /v1/health. It is safe for concurrent use.
+// HTTPProber implements Prober with GET /v1/health. It is safe for concurrent
+// use.
 type HTTPProber struct{ client *resty.Client }
 
 // NewHTTPProber returns a prober that keeps one connection to each server.
@@ -65,13 +68,13 @@
 	return health, nil
 }
 
-// probeTargets returns the backend servers that this instance is to ask now,
-// and notes that it does.
+// probeTargets returns the backend servers that this instance must probe now,
+// and records the time of the probe.
 func (s *state) probeTargets(now time.Time) []model.BackendServer {
 	if s.leaving {
 		return nil
 	}
-	members := s.probeMembers(now)
+	members := s.probingInstances(now)
 	var targets []model.BackendServer
 	for _, id := range sortedKeys(s.backends) {
 		entry := s.backends[id]
@@ -83,22 +86,23 @@
 	return targets
 }
 
-// probeDue reports whether a server of this zone is to be asked by someone.
+// probeDue reports whether a server of this zone is due for a probe by any
+// instance.
 func (s *state) probeDue(entry *backendEntry, now time.Time) bool {
-	stays := entry.State != model.BackendGone && entry.State != model.BackendLeaving
-	if entry.Zone != s.self.Zone || !stays {
+	active := entry.State != model.BackendGone && entry.State != model.BackendLeaving
+	if entry.Zone != s.self.Zone || !active {
 		return false
 	}
 	if !entry.confirmed {
-		return now.Sub(entry.lastProbe) >= confirmRetry
+		return now.Sub(entry.lastProbe) >= confirmRetryInterval
 	}
-	const quiet = probeInterval - probeRound
-	return now.Sub(entry.lastAnswer) >= quiet && now.Sub(entry.lastProbe) >= quiet
+	const minInterval = probeInterval - probeCheckInterval
+	return now.Sub(entry.lastAnswer) >= minInterval && now.Sub(entry.lastProbe) >= minInterval
 }
 
-// probeMembers returns the ids of the live instances of this zone that stay,
-// this one among them.
-func (s *state) probeMembers(now time.Time) []string {
+// probingInstances returns the ids of the live instances of this zone that are
+// not leaving, including this one.
+func (s *state) probingInstances(now time.Time) []string {
 	members := []string{s.self.ID}
 	for _, instance := range s.liveInstances(now) {
 		if instance.Zone == s.self.Zone && !instance.Leaving {
@@ -108,8 +112,8 @@
 	return members
 }
 
-// rendezvous returns the member with the highest hash for key. A member that
-// comes or goes moves only its own keys.
+// rendezvous returns the member with the highest hash for key. When a member is
+// added or removed, only its own keys move.
 func rendezvous(key string, members []string) string {
 	best, highest := "", uint64(0)
 	for _, member := range members {
@@ -120,40 +124,41 @@
 	return best
 }
 
-// probe asks the backend servers that are due until ctx ends.
-func (f *Fleet) probe(ctx context.Context) {
+// probeLoop probes the backend servers that are due until ctx ends.
+func (f *Fleet) probeLoop(ctx context.Context) {
 	if f.options.Prober == nil {
 		return
 	}
-	questions := newCalls(probeCalls)
-	defer questions.wait()
-	ticker := time.NewTicker(probeRound)
+	probes := newCallPool(maxProbeCalls)
+	defer probes.wait()
+	ticker := time.NewTicker(probeCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			f.probeRound(ctx, questions, now)
+			f.sendProbes(ctx, probes, now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// probeRound asks who is due. A full pool leaves a server to its next time.
-func (f *Fleet) probeRound(ctx context.Context, questions *calls, now time.Time) {
+// sendProbes probes the servers that are due. If the pool is full, a server
+// waits for its next turn.
+func (f *Fleet) sendProbes(ctx context.Context, probes *callPool, now time.Time) {
 	f.mu.Lock()
 	targets := f.state.probeTargets(now)
 	f.mu.Unlock()
 	for _, server := range targets {
-		if !questions.start(func() { f.ask(ctx, server) }) {
+		if !probes.start(func() { f.probeServer(ctx, server) }) {
 			f.logger.Warn("probe not sent", zap.String("backend_server", server.ID))
 		}
 	}
 }
 
-// ask takes in a server's answer. No answer says nothing here: the decisions on
-// routing eject a server that fails its work.
-func (f *Fleet) ask(ctx context.Context, server model.BackendServer) {
+// probeServer probes a server and applies its answer. A failed probe has no
+// effect here: the routing decisions eject a server that fails its work.
+func (f *Fleet) probeServer(ctx context.Context, server model.BackendServer) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	health, err := f.options.Prober.Health(ctx, server)
@@ -161,5 +166,5 @@
 		f.logger.Debug("probe", zap.String("backend_server", server.ID), zap.Error(err))
 		return
 	}
-	f.observe(func(now time.Time) bool { return f.state.backendHealth(health, now) })
+	f.observe(func(now time.Time) bool { return f.state.applyBackendHealth(health, now) })
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -9,100 +9,101 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// This file answers the pattern in which several signals about one server
-// arrive late, twice, and in any order. Without it a list that lags would bring
-// a leaving backend server back, and a list that flickers would empty the
-// fleet. A sign of leaving is kept by incarnation and never undone within it.
-// Silence is judged only while the instance list is being read: a list that
-// cannot be read says nothing. Thresholds are in Thresholds, with reasons.
-
-// Thresholds are the times after which silence counts.
+// Several signals about one server may arrive late, twice, and in any order.
+// Without ordering rules a list that lags would bring a leaving backend server
+// back, and a list that is unstable would empty the fleet. A leaving signal is
+// kept per incarnation and never revoked within it. A missing list entry only
+// counts while the instance list is being read, because a list that cannot be
+// read is no evidence. The timeouts are in Thresholds, with their reasons.
+
+// Thresholds holds the timeouts for members that stop responding.
 type Thresholds struct {
-	// BackendSilence is how long a backend server that the list no longer names
-	// counts as there without an answer of its own. Longer than a list read
-	// that skips a beat, shorter than a caller's patience.
-	BackendSilence time.Duration
-	// BackendConfirm is how long a backend server that the list names may leave
-	// a probe unanswered before it is used all the same. Several probes, so that
-	// a slow answer is waited for.
-	BackendConfirm time.Duration
-	// BackendRamp is how long a backend server counts as ramping.
-	BackendRamp time.Duration
-	// WorkerSilence and WorkerLoss are the silences after which a worker is
-	// suspect and lost. A lost worker is silent longer than any worker lease.
-	WorkerSilence, WorkerLoss time.Duration
-	// Forget is how long signs of leaving and dead entries are kept. Longer
-	// than the list lags by far.
-	Forget time.Duration
+	// BackendTimeout is how long a backend server that is no longer listed
+	// counts as present without an answer of its own. It is longer than a list
+	// read that misses one interval, and shorter than callers wait.
+	BackendTimeout time.Duration
+	// BackendConfirmTimeout is how long a listed backend server may leave
+	// probes unanswered before it is used anyway. It allows several probes, so
+	// that a slow answer is awaited.
+	BackendConfirmTimeout time.Duration
+	// BackendRampTime is how long a backend server counts as ramping.
+	BackendRampTime time.Duration
+	// WorkerSuspectTimeout and WorkerLossTimeout are the times without a report
+	// after which a worker is suspect and lost. WorkerLossTimeout is longer
+	// than any worker lease.
+	WorkerSuspectTimeout, WorkerLossTimeout time.Duration
+	// Retention is how long leaving signals and entries of lost members are
+	// kept. It is far longer than the list lags.
+	Retention time.Duration
 }
 
 // DefaultThresholds returns the thresholds for the default timing.
 func DefaultThresholds() Thresholds {
 	return Thresholds{
-		BackendSilence: 5 * time.Second,
-		BackendConfirm: 5 * time.Second,
-		BackendRamp:    10 * time.Second,
-		WorkerSilence:  3 * time.Second,
-		WorkerLoss:     20 * time.Second,
-		Forget:         time.Hour,
+		BackendTimeout:        5 * time.Second,
+		BackendConfirmTimeout: 5 * time.Second,
+		BackendRampTime:       10 * time.Second,
+		WorkerSuspectTimeout:  3 * time.Second,
+		WorkerLossTimeout:     20 * time.Second,
+		Retention:             time.Hour,
 	}
 }
 
-// leftMark is a sign of leaving: every incarnation up to this one has left.
-type leftMark struct {
+// leavingMark is a leaving signal: every incarnation up to this one is leaving.
+type leavingMark struct {
 	incarnation int64
 	at          time.Time
 }
 
-// state is everything known of the fleet. It is pure: events and the local time
-// go in, and the views read it. It is not safe for concurrent use.
+// state is the known state of the fleet. It does no I/O: events and the local
+// time are passed in, and the views read it. It is not safe for concurrent use.
 type state struct {
-	self       model.Instance
-	interval   time.Duration
-	thresholds Thresholds
-	// leaving says that this instance leaves, probing that it asks backend
-	// servers for their health.
-	leaving, probing bool
-	backendSM        *chart.Chart
-	workerSM         *chart.Chart
-
-	// listAt is the local time of the last list that was taken in, listAsOf the
+	self         model.Instance
+	baseInterval time.Duration
+	thresholds   Thresholds
+	// leaving reports that this instance is leaving, probesEnabled that it
+	// probes backend servers.
+	leaving, probesEnabled bool
+	backendChart           *chart.Chart
+	workerChart            *chart.Chart
+
+	// listReceivedAt is the local time of the last applied list, listAsOf the
 	// platform's time of the newest one.
-	listAt   time.Time
-	listAsOf time.Time
+	listReceivedAt time.Time
+	listAsOf       time.Time
 
 	instances map[string]*instanceEntry
 	backends  map[string]*backendEntry
 	workers   map[string]*workerEntry
-	// leftBackends holds the signs of leaving of backend servers, also of those
-	// that nothing else is known of yet.
-	leftBackends map[string]leftMark
-	// changes are those since the last drain, for the log.
+	// leavingBackends holds the leaving signals of backend servers, including
+	// those of servers that are not known otherwise yet.
+	leavingBackends map[string]leavingMark
+	// changes are the changes since the last call of takeChanges, for the log.
 	changes []change
 }
 
-// change is one change of what is known of a server or an instance.
+// change is a change in the known state of a server or an instance.
 type change struct {
 	subject, id string
 	incarnation int64
 	from, to    string
 }
 
-// subjects of changes.
+// The subjects of changes.
 const (
 	subjectBackend  = "backend_server"
 	subjectInstance = "instance"
 )
 
-// note records a change for the log.
-func (s *state) note(subject, id string, incarnation int64, from, to string) {
+// recordChange records a change for the log.
+func (s *state) recordChange(subject, id string, incarnation int64, from, to string) {
 	if from != to {
 		s.changes = append(s.changes, change{subject, id, incarnation, from, to})
 	}
 }
 
-// drainChanges returns the changes since the last call.
-func (s *state) drainChanges() []change {
+// takeChanges returns the changes since the last call.
+func (s *state) takeChanges() []change {
 	changes := s.changes
 	s.changes = nil
 	return changes
@@ -110,73 +111,75 @@
 
 func newState(self model.Instance, interval time.Duration, thresholds Thresholds) *state {
 	return &state{
-		self:         self,
-		interval:     interval,
-		thresholds:   thresholds,
-		backendSM:    chart.MustLoad("backend_server"),
-		workerSM:     chart.MustLoad("worker"),
-		instances:    make(map[string]*instanceEntry),
-		backends:     make(map[string]*backendEntry),
-		workers:      make(map[string]*workerEntry),
-		leftBackends: make(map[string]leftMark),
+		self:            self,
+		baseInterval:    interval,
+		thresholds:      thresholds,
+		backendChart:    chart.MustLoad("backend_server"),
+		workerChart:     chart.MustLoad("worker"),
+		instances:       make(map[string]*instanceEntry),
+		backends:        make(map[string]*backendEntry),
+		workers:         make(map[string]*workerEntry),
+		leavingBackends: make(map[string]leavingMark),
 	}
 }
 
-// listed takes in one read of the instance list. It returns whether a backend
+// applyList applies one read of the instance list. It reports whether a backend
 // server is newly known to leave.
-func (s *state) listed(list api.InstanceList, now time.Time) bool {
+func (s *state) applyList(list api.InstanceList, now time.Time) bool {
 	if list.AsOf.Before(s.listAsOf) {
 		return false
 	}
 	s.listAsOf = list.AsOf
-	s.listAt = now
-	news := false
+	s.listReceivedAt = now
+	newlyLeaving := false
 	for _, entry := range list.Instances {
 		switch entry.Role {
 		case api.RoleEntry:
-			s.instanceListed(entry, now)
+			s.applyListedInstance(entry, now)
 		case api.RoleBackendServer:
-			news = s.backendListed(entry, now) || news
+			newlyLeaving = s.applyListedBackend(entry, now) || newlyLeaving
 		case api.RoleWorker:
-			s.workerListed(entry, now)
+			s.applyListedWorker(entry, now)
 		}
 	}
-	return news
+	return newlyLeaving
 }
 
-// peerSaid takes in a state message of a peer. It returns whether a backend
-// server is newly known to leave.
-func (s *state) peerSaid(message *peerpb.State, now time.Time) bool {
-	s.instanceSaid(message, now)
-	news := false
+// applyPeerState applies a state message of a peer. It reports whether a
+// backend server is newly known to leave.
+func (s *state) applyPeerState(message *peerpb.State, now time.Time) bool {
+	s.applyInstanceState(message, now)
+	newlyLeaving := false
 	for _, signal := range message.GetBackends() {
 		if signal.GetLeaving() {
-			news = s.backendLeft(signal.GetBackendServer(), signal.GetIncarnation(), now) || news
+			newlyLeaving = s.markBackendLeaving(signal.GetBackendServer(), signal.GetIncarnation(), now) || newlyLeaving
 		}
 	}
-	return news
+	return newlyLeaving
 }
 
-// tick judges silence.
-func (s *state) tick(now time.Time) {
-	listFresh := now.Sub(s.listAt) < s.thresholds.BackendSilence
+// checkTimeouts applies the timeouts of all members and removes outdated
+// leaving signals.
+func (s *state) checkTimeouts(now time.Time) {
+	listFresh := now.Sub(s.listReceivedAt) < s.thresholds.BackendTimeout
 	for id, entry := range s.backends {
-		s.backendTick(id, entry, listFresh, now)
+		s.checkBackendTimeout(id, entry, listFresh, now)
 	}
 	for id, entry := range s.workers {
-		s.workerTick(id, entry, listFresh, now)
+		s.checkWorkerTimeout(id, entry, listFresh, now)
 	}
-	s.instancesTick(now)
-	for id, mark := range s.leftBackends {
-		if now.Sub(mark.at) > s.thresholds.Forget {
-			delete(s.leftBackends, id)
+	s.checkInstanceTimeouts(now)
+	for id, mark := range s.leavingBackends {
+		if now.Sub(mark.at) > s.thresholds.Retention {
+			delete(s.leavingBackends, id)
 		}
 	}
 }
 
-// next interprets a chart. The charts answer every event in every state, which
-// a test of package chart holds, so an error keeps the state.
-func next[S ~string](machine *chart.Chart, from S, event chart.Event) S {
+// nextState returns the state of a chart after an event. The charts handle
+// every event in every state, which a test of package chart checks, so an error
+// leaves the state unchanged.
+func nextState[S ~string](machine *chart.Chart, from S, event chart.Event) S {
 	to, err := machine.Next(chart.State(from), event)
 	if err != nil {
 		return from
@@ -184,7 +187,7 @@
 	return S(to)
 }
 
-// events of the charts that this package sends.
+// The chart events that this package sends.
 const (
 	eventRamped         chart.Event = "ramped"
 	eventLeave          chart.Event = "leave"
@@ -194,12 +197,13 @@
 	eventNewIncarnation chart.Event = "new_incarnation"
 )
 
-// leavingSignals lists the backend servers known to leave, for state messages.
+// leavingSignals returns the backend servers known to be leaving, for state
+// messages.
 func (s *state) leavingSignals() []*peerpb.BackendSignal {
-	signals := make([]*peerpb.BackendSignal, 0, len(s.leftBackends))
-	for _, id := range sortedKeys(s.leftBackends) {
+	signals := make([]*peerpb.BackendSignal, 0, len(s.leavingBackends))
+	for _, id := range sortedKeys(s.leavingBackends) {
 		signals = append(signals, &peerpb.BackendSignal{
-			BackendServer: id, Incarnation: s.leftBackends[id].incarnation, Leaving: true,
+			BackendServer: id, Incarnation: s.leavingBackends[id].incarnation, Leaving: true,
 		})
 	}
 	return signals
@@ -207,22 +211,23 @@
 
 func (s *state) liveInstances(now time.Time) []model.Instance {
 	var live []model.Instance
-	every := s.intervals()
+	intervals := s.intervals()
 	for _, id := range sortedKeys(s.instances) {
-		if entry := s.instances[id]; s.instanceLive(entry, every, now) {
+		if entry := s.instances[id]; s.isLive(entry, intervals, now) {
 			live = append(live, entry.Instance)
 		}
 	}
 	return live
 }
 
-// intervals returns the times between exchanges for the present fleet.
-func (s *state) intervals() intervals {
-	own := 0
+// intervals returns the times between exchanges for the current size of the
+// fleet.
+func (s *state) intervals() exchangeIntervals {
+	sameZonePeers := 0
 	for _, entry := range s.instances {
 		if entry.Zone == s.self.Zone {
-			own++
+			sameZonePeers++
 		}
 	}
-	return planIntervals(s.interval, own, len(s.instances)-own)
+	return planIntervals(s.baseInterval, sameZonePeers, len(s.instances)-sameZonePeers)
 }
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -14,9 +14,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// step is one event of a table test, at a time after its start.
+// step is an event of a table test at a time after its start.
 type step struct {
 	after time.Duration
 	do    func(s *state, now time.Time)
@@ -24,67 +24,70 @@
 
 func at(after time.Duration, do func(*state, time.Time)) step { return step{after, do} }
 
-func listing(incarnation int64, leaving bool) func(*state, time.Time) {
+func listBackend(incarnation int64, leaving bool) func(*state, time.Time) {
 	return func(s *state, now time.Time) {
-		s.listed(api.InstanceList{AsOf: now, Instances: []api.ListedInstance{{
+		s.applyList(api.InstanceList{AsOf: now, Instances: []api.ListedInstance{{
 			ID: "b1", Role: api.RoleBackendServer, AvailabilityZone: "z1", Incarnation: incarnation, Leaving: leaving,
 		}}}, now)
 	}
 }
 
-func emptyList(s *state, now time.Time) { s.listed(api.InstanceList{AsOf: now}, now) }
+func applyEmptyList(s *state, now time.Time) { s.applyList(api.InstanceList{AsOf: now}, now) }
 
-func staleList(s *state, now time.Time) { s.listed(api.InstanceList{AsOf: epoch.Add(-time.Hour)}, now) }
+func applyStaleList(s *state, now time.Time) {
+	s.applyList(api.InstanceList{AsOf: startTime.Add(-time.Hour)}, now)
+}
 
-func said(incarnation int64, leaving bool) func(*state, time.Time) {
-	return func(s *state, now time.Time) { s.backendSaid("b1", incarnation, leaving, now) }
+func backendAnswers(incarnation int64, leaving bool) func(*state, time.Time) {
+	return func(s *state, now time.Time) { s.applyBackendAnswer("b1", incarnation, leaving, now) }
 }
 
-func peerLeft(incarnation int64) func(*state, time.Time) {
+func peerReportsLeaving(incarnation int64) func(*state, time.Time) {
 	return func(s *state, now time.Time) {
-		s.peerSaid(&peerpb.State{Instance: "p", Incarnation: 1, Backends: []*peerpb.BackendSignal{
+		s.applyPeerState(&peerpb.State{Instance: "p", Incarnation: 1, Backends: []*peerpb.BackendSignal{
 			{BackendServer: "b1", Incarnation: incarnation, Leaving: true},
 		}}, now)
 	}
 }
 
-func tick(s *state, now time.Time) { s.tick(now) }
+func checkTimeouts(s *state, now time.Time) { s.checkTimeouts(now) }
 
 const second = time.Second
 
-func TestBackendServerStateFollowsTheSignals(t *testing.T) {
+func TestBackendServerStateFollowsSignals(t *testing.T) {
 	cases := map[string]struct {
 		steps []step
-		// want is the state, or empty when the view leaves the server out.
+		// want is the expected state, or empty if the view leaves the server
+		// out.
 		want model.BackendState
 	}{
-		"a listed one ramps":                            {[]step{at(0, listing(1, false))}, model.BackendRamping},
-		"a listed one is ready after the ramp":          {[]step{at(0, listing(1, false)), at(10*second, listing(1, false)), at(10*second, tick)}, model.BackendReady},
-		"the list says that it leaves":                  {[]step{at(0, listing(1, true))}, model.BackendLeaving},
-		"its own answer says that it leaves":            {[]step{at(0, listing(1, false)), at(1, said(1, true))}, model.BackendLeaving},
-		"a peer says that it leaves":                    {[]step{at(0, listing(1, false)), at(1, peerLeft(1))}, model.BackendLeaving},
-		"a peer says so before the list names it":       {[]step{at(0, peerLeft(1)), at(1, listing(1, false))}, model.BackendLeaving},
-		"a list that lags does not bring it back":       {[]step{at(0, listing(1, false)), at(1, said(1, true)), at(second, listing(1, false))}, model.BackendLeaving},
-		"nor does its own late answer":                  {[]step{at(0, listing(1, true)), at(1, said(1, false))}, model.BackendLeaving},
-		"nor a list that drops and names it again":      {[]step{at(0, listing(1, true)), at(6*second, emptyList), at(6*second, tick), at(7*second, listing(1, false))}, ""},
-		"a new incarnation comes back":                  {[]step{at(0, listing(1, true)), at(second, listing(2, false))}, model.BackendRamping},
-		"an old sign does not touch a new incarnation":  {[]step{at(0, listing(2, false)), at(second, said(1, true))}, model.BackendRamping},
-		"an old list does not touch a new incarnation":  {[]step{at(0, listing(2, false)), at(second, listing(1, true))}, model.BackendRamping},
-		"a fresh list without it ends it after a while": {[]step{at(0, listing(1, false)), at(6*second, emptyList), at(6*second, tick)}, ""},
-		"its own answers keep it without the list":      {[]step{at(0, listing(1, false)), at(5*second, said(1, false)), at(6*second, emptyList), at(6*second, tick)}, model.BackendRamping},
-		"a list that cannot be read ends nobody":        {[]step{at(0, listing(1, false)), at(60*second, tick)}, model.BackendReady},
-		"a list older than the last says nothing":       {[]step{at(0, listing(1, false)), at(6*second, staleList), at(6*second, tick)}, model.BackendRamping},
-		"one loss is no pattern":                        {[]step{at(0, listing(1, false)), at(6*second, emptyList), at(6*second, tick), at(7*second, listing(1, false))}, model.BackendRamping},
-		"a second loss is held down":                    {flapTwice(at(14*second, listing(1, false))), ""},
-		"and let back after the hold":                   {flapTwice(at(20*second, listing(1, false))), model.BackendRamping},
+		"listed server ramps":                                                  {[]step{at(0, listBackend(1, false))}, model.BackendRamping},
+		"listed server is ready after the ramp time":                           {[]step{at(0, listBackend(1, false)), at(10*second, listBackend(1, false)), at(10*second, checkTimeouts)}, model.BackendReady},
+		"list marks it as leaving":                                             {[]step{at(0, listBackend(1, true))}, model.BackendLeaving},
+		"its own answer marks it as leaving":                                   {[]step{at(0, listBackend(1, false)), at(1, backendAnswers(1, true))}, model.BackendLeaving},
+		"peer reports it as leaving":                                           {[]step{at(0, listBackend(1, false)), at(1, peerReportsLeaving(1))}, model.BackendLeaving},
+		"peer reports it as leaving before it is listed":                       {[]step{at(0, peerReportsLeaving(1)), at(1, listBackend(1, false))}, model.BackendLeaving},
+		"lagging list does not revoke the leaving signal":                      {[]step{at(0, listBackend(1, false)), at(1, backendAnswers(1, true)), at(second, listBackend(1, false))}, model.BackendLeaving},
+		"late answer does not revoke the leaving signal":                       {[]step{at(0, listBackend(1, true)), at(1, backendAnswers(1, false))}, model.BackendLeaving},
+		"list that drops and adds it again does not revoke the leaving signal": {[]step{at(0, listBackend(1, true)), at(6*second, applyEmptyList), at(6*second, checkTimeouts), at(7*second, listBackend(1, false))}, ""},
+		"new incarnation returns":                                              {[]step{at(0, listBackend(1, true)), at(second, listBackend(2, false))}, model.BackendRamping},
+		"earlier leaving signal does not affect a new incarnation":             {[]step{at(0, listBackend(2, false)), at(second, backendAnswers(1, true))}, model.BackendRamping},
+		"earlier list does not affect a new incarnation":                       {[]step{at(0, listBackend(2, false)), at(second, listBackend(1, true))}, model.BackendRamping},
+		"server missing from a current list is removed after the timeout":      {[]step{at(0, listBackend(1, false)), at(6*second, applyEmptyList), at(6*second, checkTimeouts)}, ""},
+		"its own answers keep a server that is not listed":                     {[]step{at(0, listBackend(1, false)), at(5*second, backendAnswers(1, false)), at(6*second, applyEmptyList), at(6*second, checkTimeouts)}, model.BackendRamping},
+		"unreadable list removes no server":                                    {[]step{at(0, listBackend(1, false)), at(60*second, checkTimeouts)}, model.BackendReady},
+		"list older than the last one is ignored":                              {[]step{at(0, listBackend(1, false)), at(6*second, applyStaleList), at(6*second, checkTimeouts)}, model.BackendRamping},
+		"single loss causes no hold-down":                                      {[]step{at(0, listBackend(1, false)), at(6*second, applyEmptyList), at(6*second, checkTimeouts), at(7*second, listBackend(1, false))}, model.BackendRamping},
+		"second loss causes a hold-down":                                       {flapTwiceThen(at(14*second, listBackend(1, false))), ""},
+		"server returns after the hold-down":                                   {flapTwiceThen(at(20*second, listBackend(1, false))), model.BackendRamping},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := newState(model.Instance{ID: "self", Zone: "z1"}, 500*time.Millisecond, DefaultThresholds())
 			for _, step := range test.steps {
-				step.do(s, epoch.Add(step.after))
+				step.do(s, startTime.Add(step.after))
 			}
-			servers := s.backendServers("z1", epoch.Add(time.Minute))
+			servers := s.backendServers("z1", startTime.Add(time.Minute))
 			if test.want == "" {
 				assert.Equal(t, len(servers), 0)
 				return
@@ -95,9 +98,9 @@
 	}
 }
 
-func flapTwice(last step) []step {
+func flapTwiceThen(last step) []step {
 	return []step{
-		at(0, listing(1, false)), at(6*second, emptyList), at(6*second, tick),
-		at(7*second, listing(1, false)), at(13*second, emptyList), at(13*second, tick), last,
+		at(0, listBackend(1, false)), at(6*second, applyEmptyList), at(6*second, checkTimeouts),
+		at(7*second, listBackend(1, false)), at(13*second, applyEmptyList), at(13*second, checkTimeouts), last,
 	}
 }
--- a/internal/membership/worker.go
+++ b/internal/membership/worker.go
@@ -7,53 +7,55 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// workerEntry is what is known of one worker.
+// workerEntry is the known state of one worker.
 type workerEntry struct {
 	model.Worker
-	// lastSeen is when the list named it or it reported.
+	// lastSeen is the time at which the list last contained it or it last
+	// reported.
 	lastSeen time.Time
 }
 
-// workerListed takes in an entry of the instance list.
-func (s *state) workerListed(listed api.ListedInstance, now time.Time) {
-	entry := s.workerSeen(listed.ID, listed.Incarnation, now)
+// applyListedWorker applies an entry of the instance list.
+func (s *state) applyListedWorker(listed api.ListedInstance, now time.Time) {
+	entry := s.upsertWorker(listed.ID, listed.Incarnation, now)
 	if entry == nil {
 		return
 	}
 	entry.Addr = listed.Addr
 	entry.Zone = listed.AvailabilityZone
 	if listed.Leaving {
-		entry.Health = next(s.workerSM, entry.Health, eventLeave)
+		entry.Health = nextState(s.workerChart, entry.Health, eventLeave)
 	}
 }
 
-// workerReported takes in a worker's own report.
-func (s *state) workerReported(report api.WorkerReport, now time.Time) {
+// applyWorkerReport applies a worker's own report. Only the list adds workers.
+func (s *state) applyWorkerReport(report api.WorkerReport, now time.Time) {
 	if _, ok := s.workers[report.ID]; !ok {
 		return
 	}
-	entry := s.workerSeen(report.ID, report.Incarnation, now)
+	entry := s.upsertWorker(report.ID, report.Incarnation, now)
 	if entry == nil {
 		return
 	}
 	entry.Rack = report.Rack
 	entry.Accelerators = report.Accelerators
 	entry.LastReport = now
-	entry.Health = next(s.workerSM, entry.Health, eventReport)
+	entry.Health = nextState(s.workerChart, entry.Health, eventReport)
 	if report.Leaving {
-		entry.Health = next(s.workerSM, entry.Health, eventLeave)
+		entry.Health = nextState(s.workerChart, entry.Health, eventLeave)
 	}
 }
 
-// workerSeen notes a sign of life and returns the entry; nil if the sign is
-// older than what is known.
-func (s *state) workerSeen(id string, incarnation int64, now time.Time) *workerEntry {
+// upsertWorker returns the entry of a worker, created or updated for a signal
+// of the given incarnation. It returns nil if the signal belongs to an earlier
+// incarnation than the known one.
+func (s *state) upsertWorker(id string, incarnation int64, now time.Time) *workerEntry {
 	entry, ok := s.workers[id]
 	if !ok {
 		entry = &workerEntry{}
 		entry.ID = id
 		entry.Incarnation = incarnation
-		entry.Health = model.WorkerHealth(s.workerSM.Initial)
+		entry.Health = model.WorkerHealth(s.workerChart.Initial)
 		s.workers[id] = entry
 	}
 	if incarnation < entry.Incarnation {
@@ -62,28 +64,29 @@
 	if incarnation > entry.Incarnation {
 		entry.Incarnation = incarnation
 		entry.LastReport = time.Time{}
-		entry.Health = next(s.workerSM, entry.Health, eventNewIncarnation)
+		entry.Health = nextState(s.workerChart, entry.Health, eventNewIncarnation)
 	}
 	entry.lastSeen = now
 	return entry
 }
 
-// workerTick judges the silence of a worker that reported here before. Only
-// the placer hears reports; elsewhere a worker stays suspect.
-func (s *state) workerTick(id string, entry *workerEntry, listFresh bool, now time.Time) {
-	if listFresh && now.Sub(entry.lastSeen) > s.thresholds.WorkerLoss {
+// checkWorkerTimeout applies the timeouts of a worker. Those for reports only
+// apply to a worker that has reported here. Only the placer receives reports;
+// on other instances a worker stays suspect.
+func (s *state) checkWorkerTimeout(id string, entry *workerEntry, listFresh bool, now time.Time) {
+	if listFresh && now.Sub(entry.lastSeen) > s.thresholds.WorkerLossTimeout {
 		delete(s.workers, id)
 		return
 	}
 	if entry.LastReport.IsZero() {
 		return
 	}
-	silent := now.Sub(entry.LastReport)
-	if silent > s.thresholds.WorkerSilence {
-		entry.Health = next(s.workerSM, entry.Health, eventSilence)
+	sinceReport := now.Sub(entry.LastReport)
+	if sinceReport > s.thresholds.WorkerSuspectTimeout {
+		entry.Health = nextState(s.workerChart, entry.Health, eventSilence)
 	}
-	if silent > s.thresholds.WorkerLoss {
-		entry.Health = next(s.workerSM, entry.Health, eventLongSilence)
+	if sinceReport > s.thresholds.WorkerLossTimeout {
+		entry.Health = nextState(s.workerChart, entry.Health, eventLongSilence)
 	}
 }
 
