--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -13,85 +13,85 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// The size of a backend server, as the brief gives it.
+// The size of a backend server, as required by the specification.
 const (
 	DefaultSlots          = 8
 	DefaultMaxConnections = 60
 )
 
-// BackendFaults is the body of POST /v1/faults on a backend server. The whole
-// set is replaced. A negative count means every answer.
+// BackendFaults is the body of POST /v1/faults on a backend server. It replaces
+// all faults. A negative count applies to every answer.
 type BackendFaults struct {
-	// SlowMS is added to the time of every execution.
+	// SlowMS is added to the duration of every execution, in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
-	// Truncate is how many answers break off in the middle.
+	// Truncate is the number of answers that are cut off in the middle.
 	Truncate int `json:"truncate"`
-	// SwapAnswers is how many callers get the answer to another request.
+	// SwapAnswers is the number of callers that get the answer to another request.
 	SwapAnswers int `json:"swap_answers"`
-	// Fail is how many executions fail.
+	// Fail is the number of executions that fail.
 	Fail int `json:"fail"`
-	// Leave makes the backend server say that it is leaving.
+	// Leave makes the backend server report that it is leaving.
 	Leave bool `json:"leave"`
 }
 
-// WorkPayload is the payload that the stand-ins understand.
+// WorkPayload is the request and job payload that the stand-ins interpret.
 type WorkPayload struct {
-	// Key names the piece of work, so that a check can count its runs.
+	// Key identifies the work, so that checks can count its runs.
 	Key string `json:"key"`
-	// WorkMS is how long a backend server takes, in milliseconds.
+	// WorkMS is the execution time on a backend server, in milliseconds.
 	WorkMS int64 `json:"work_ms,omitempty"`
-	// RunMS is how long a worker's tasks take, in milliseconds.
+	// RunMS is the run time of the tasks on a worker, in milliseconds.
 	RunMS int64 `json:"run_ms,omitempty"`
 	// Fail makes the work fail.
 	Fail bool `json:"fail,omitempty"`
 }
 
-// WorkResult is the payload of a backend server's answer.
+// WorkResult is the payload of an answer of a backend server.
 type WorkResult struct {
 	Key string `json:"key"`
 	// Digest is the SHA-256 of the request's payload, in hexadecimal.
 	Digest string `json:"digest"`
-	// BackendServer is the id of the backend server that ran the request.
+	// BackendServer is the id of the backend server that executed the request.
 	BackendServer string `json:"backend_server"`
 }
 
-// PayloadDigest returns the digest that a backend server answers with.
+// PayloadDigest returns the digest that a backend server returns for payload.
 func PayloadDigest(payload []byte) string {
 	sum := sha256.Sum256(payload)
 	return hex.EncodeToString(sum[:])
 }
 
-// Execution is one run of a request, as GET /v1/executions shows it.
+// Execution is one execution of a request, as returned by GET /v1/executions.
 type Execution struct {
 	ID        string    `json:"id"`
 	Account   string    `json:"account"`
 	Key       string    `json:"key"`
 	StartedAt time.Time `json:"started_at"`
-	// LeavingForMS is how long the backend server had been leaving when the
-	// request arrived, in milliseconds; zero if it was not.
+	// LeavingForMS is the time for which the backend server had been leaving
+	// when the request arrived, in milliseconds; zero if it was not leaving.
 	LeavingForMS int64 `json:"leaving_for_ms"`
-	// Finished is whether the work came to its end.
+	// Finished reports whether the execution completed.
 	Finished bool `json:"finished"`
 }
 
-// Backend is a stand-in for a backend server. It is safe for concurrent use.
+// Backend simulates a backend server. It is safe for concurrent use.
 type Backend struct {
 	id          string
 	incarnation int64
 	slots       chan struct{}
-	// onLeave is told when the faults change whether the server is leaving.
-	onLeave func(leaving bool)
+	onLeave     func(leaving bool)
 
 	mu         sync.Mutex // guards the fields below
 	faults     BackendFaults
 	leavingAt  time.Time
 	executions []Execution
-	// last is the answer to the request before, for SwapAnswers.
-	last *api.ExecuteAnswer
+	// previousAnswer is the answer to the previous request, for SwapAnswers.
+	previousAnswer *api.ExecuteAnswer
 }
 
-// NewBackend returns a backend server with the given number of slots. onLeave
-// may be nil.
+// NewBackend returns a backend server with the given number of slots. onLeave is
+// called after each SetFaults and Leave with whether the backend server is
+// leaving; it may be nil.
 func NewBackend(id string, incarnation int64, slots int, onLeave func(leaving bool)) *Backend {
 	if onLeave == nil {
 		onLeave = func(bool) {}
@@ -102,21 +102,21 @@
 // Handler returns the backend server's HTTP interface.
 func (b *Backend) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/execute", b.execute)
-	mux.HandleFunc("GET /v1/health", b.health)
+	mux.HandleFunc("POST /v1/execute", b.handleExecute)
+	mux.HandleFunc("GET /v1/health", b.handleHealth)
 	mux.HandleFunc("GET /v1/executions", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, b.Executions()) })
-	mux.HandleFunc("POST /v1/faults", b.setFaults)
+	mux.HandleFunc("POST /v1/faults", b.handleFaults)
 	return mux
 }
 
-// Executions returns what the backend server ran, in order of arrival.
+// Executions returns all executions so far, in order of arrival.
 func (b *Backend) Executions() []Execution {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Execution{}, b.executions...)
 }
 
-// SetFaults replaces the faults that the backend server plays.
+// SetFaults replaces the injected faults.
 func (b *Backend) SetFaults(faults BackendFaults) {
 	b.mu.Lock()
 	b.faults = faults
@@ -125,7 +125,7 @@
 	b.onLeave(faults.Leave)
 }
 
-// Leave makes the backend server say that it is leaving.
+// Leave makes the backend server report that it is leaving.
 func (b *Backend) Leave() {
 	b.mu.Lock()
 	b.setLeavingLocked(true)
@@ -142,7 +142,7 @@
 	}
 }
 
-func (b *Backend) setFaults(w http.ResponseWriter, r *http.Request) {
+func (b *Backend) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var faults BackendFaults
 	if readJSON(w, r, &faults) {
 		b.SetFaults(faults)
@@ -150,15 +150,16 @@
 	}
 }
 
-func (b *Backend) health(w http.ResponseWriter, _ *http.Request) {
-	leaving := b.markLeaving(w)
+func (b *Backend) handleHealth(w http.ResponseWriter, _ *http.Request) {
+	leaving := b.setLeavingHeader(w)
 	writeJSON(w, http.StatusOK, api.BackendHealth{
 		ID: b.id, Incarnation: b.incarnation, Leaving: leaving, InFlight: len(b.slots), Slots: cap(b.slots),
 	})
 }
 
-// markLeaving sets the header on the answer if the backend server is leaving.
-func (b *Backend) markLeaving(w http.ResponseWriter) bool {
+// setLeavingHeader sets api.HeaderLeaving if the backend server is leaving, and
+// reports whether it is.
+func (b *Backend) setLeavingHeader(w http.ResponseWriter) bool {
 	b.mu.Lock()
 	leaving := !b.leavingAt.IsZero()
 	b.mu.Unlock()
@@ -168,12 +169,12 @@
 	return leaving
 }
 
-func (b *Backend) execute(w http.ResponseWriter, r *http.Request) {
+func (b *Backend) handleExecute(w http.ResponseWriter, r *http.Request) {
 	var request api.Execute
 	if !readJSON(w, r, &request) {
 		return
 	}
-	b.markLeaving(w)
+	b.setLeavingHeader(w)
 	select {
 	case b.slots <- struct{}{}:
 		defer func() { <-b.slots }()
@@ -183,22 +184,22 @@
 		return
 	}
 	var work WorkPayload
-	_ = json.Unmarshal(request.Payload, &work) // any payload is served; only these fields have a meaning
-	index, plan := b.begin(request, work)
-	// The work goes on when its caller has gone: that is what makes a second
-	// dispatch a second run.
-	time.Sleep(milliseconds(work.WorkMS + plan.slowMS))
-	b.finish(index)
-	b.answer(w, request, work, plan)
+	_ = json.Unmarshal(request.Payload, &work) // any payload is accepted; only the fields of WorkPayload are interpreted
+	index, faults := b.beginExecution(request, work)
+	// The work continues after the caller disconnects, so that dispatching the
+	// request again executes it a second time.
+	time.Sleep(milliseconds(work.WorkMS + faults.slowMS))
+	b.finishExecution(index)
+	b.writeAnswer(w, request, work, faults)
 }
 
-// answerPlan is what the faults have in store for one answer.
-type answerPlan struct {
+// answerFaults are the faults that apply to one answer.
+type answerFaults struct {
 	slowMS         int64
 	fail, truncate bool
 }
 
-func (b *Backend) begin(request api.Execute, work WorkPayload) (int, answerPlan) {
+func (b *Backend) beginExecution(request api.Execute, work WorkPayload) (int, answerFaults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	execution := Execution{ID: request.ID, Account: request.Account, Key: work.Key, StartedAt: time.Now()}
@@ -206,12 +207,13 @@
 		execution.LeavingForMS = max(time.Since(b.leavingAt).Milliseconds(), 1)
 	}
 	b.executions = append(b.executions, execution)
-	plan := answerPlan{slowMS: b.faults.SlowMS, fail: work.Fail || use(&b.faults.Fail), truncate: use(&b.faults.Truncate)}
-	return len(b.executions) - 1, plan
+	faults := answerFaults{slowMS: b.faults.SlowMS, fail: work.Fail || consume(&b.faults.Fail), truncate: consume(&b.faults.Truncate)}
+	return len(b.executions) - 1, faults
 }
 
-// use takes one off a count of faults, and reports whether there was one left.
-func use(count *int) bool {
+// consume decrements a positive count of faults and reports whether the fault
+// applies. A negative count always applies and is not decremented.
+func consume(count *int) bool {
 	if *count > 0 {
 		*count--
 		return true
@@ -219,25 +221,25 @@
 	return *count < 0
 }
 
-func (b *Backend) finish(index int) {
+func (b *Backend) finishExecution(index int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.executions[index].Finished = true
 }
 
-func (b *Backend) answer(w http.ResponseWriter, request api.Execute, work WorkPayload, plan answerPlan) {
-	answer := api.ExecuteAnswer{ID: request.ID, Failed: plan.fail}
-	if plan.fail {
+func (b *Backend) writeAnswer(w http.ResponseWriter, request api.Execute, work WorkPayload, faults answerFaults) {
+	answer := api.ExecuteAnswer{ID: request.ID, Failed: faults.fail}
+	if faults.fail {
 		answer.Message = "the work failed"
 	} else {
 		answer.Payload = mustJSON(WorkResult{Key: work.Key, Digest: PayloadDigest(request.Payload), BackendServer: b.id})
 	}
-	answer = b.swapped(answer)
+	answer = b.swapAnswer(answer)
 	data := mustJSON(answer)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(api.HeaderRequestID, answer.ID)
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	if !plan.truncate {
+	if !faults.truncate {
 		_, _ = w.Write(data)
 		return
 	}
@@ -246,20 +248,20 @@
 	dropConnection()
 }
 
-// swapped remembers the answer, and returns the one before it in its place if
-// the faults say so.
-func (b *Backend) swapped(answer api.ExecuteAnswer) api.ExecuteAnswer {
+// swapAnswer records the answer and returns it, or the previous answer if
+// SwapAnswers applies.
+func (b *Backend) swapAnswer(answer api.ExecuteAnswer) api.ExecuteAnswer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	before := b.last
-	b.last = &answer
-	if before != nil && use(&b.faults.SwapAnswers) {
-		return *before
+	previous := b.previousAnswer
+	b.previousAnswer = &answer
+	if previous != nil && consume(&b.faults.SwapAnswers) {
+		return *previous
 	}
 	return answer
 }
 
-// mustJSON encodes a value of this package, which cannot fail.
+// mustJSON encodes value, whose encoding must not fail.
 func mustJSON(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -268,15 +270,15 @@
 	return data
 }
 
-// LimitConnections returns a listener that closes connections beyond limit as
-// soon as they are accepted.
+// LimitConnections returns a listener that closes new connections immediately
+// while limit connections are open.
 func LimitConnections(listener net.Listener, limit int) net.Listener {
-	return &limitedListener{Listener: listener, open: make(chan struct{}, limit)}
+	return &limitedListener{Listener: listener, openConns: make(chan struct{}, limit)}
 }
 
 type limitedListener struct {
 	net.Listener
-	open chan struct{}
+	openConns chan struct{}
 }
 
 // Accept implements net.Listener.
@@ -287,8 +289,8 @@
 			return nil, err
 		}
 		select {
-		case l.open <- struct{}{}:
-			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.open })}, nil
+		case l.openConns <- struct{}{}:
+			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.openConns })}, nil
 		default:
 			_ = conn.Close()
 		}
--- a/internal/standin/checkpoint.go
+++ b/internal/standin/checkpoint.go
@@ -9,26 +9,27 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// checkpointTimeout bounds a call to the platform's object store.
+// checkpointTimeout bounds one call to the platform's object store.
 const checkpointTimeout = 2 * time.Second
 
-// Progress is the content of a checkpoint.
+// Progress is the content of a checkpoint: how far the tasks had run.
 type Progress struct {
 	ProgressMS int64 `json:"progress_ms"`
 }
 
-// Checkpoints keeps progress under immutable names.
+// Checkpoints stores progress under names that are written once.
 type Checkpoints interface {
 	Save(ctx context.Context, name string, progress Progress) error
 	Load(ctx context.Context, name string) (Progress, error)
 }
 
-// ObjectCheckpoints keeps checkpoints in the platform's object store.
+// ObjectCheckpoints stores checkpoints in the platform's object store.
 type ObjectCheckpoints struct {
 	client *resty.Client
 }
 
-// NewObjectCheckpoints returns checkpoints in the object store at addr.
+// NewObjectCheckpoints returns checkpoints that are stored at the platform at
+// addr.
 func NewObjectCheckpoints(addr string) *ObjectCheckpoints {
 	return &ObjectCheckpoints{client: resty.New().SetBaseURL("http://" + addr).SetTimeout(checkpointTimeout)}
 }
--- a/internal/standin/drive/check.go
+++ b/internal/standin/drive/check.go
@@ -9,144 +9,148 @@
 	"github.com/corianderbank/corianderbank/internal/standin"
 )
 
-// Tolerance says what a run that is disturbed on purpose may show.
+// Tolerance lists the deviations that are allowed in a run with injected faults.
 type Tolerance struct {
-	// MissingAnswers are right where an instance was killed or frozen.
+	// MissingAnswers allows missing answers, for runs in which an instance was
+	// killed or suspended.
 	MissingAnswers bool
-	// StoppedParts are right where a placer or worker was disturbed: parts of a
-	// gang that were started and then stopped or lapsed, without an end.
+	// StoppedParts allows attempts in which only a part of the gang was started
+	// and all started tasks were stopped or expired, for runs in which a placer or
+	// worker was disturbed.
 	StoppedParts bool
 }
 
-// Check compares the answers with the records and returns every fault found,
-// one line each.
+// Check compares the answers with the records and returns all problems found,
+// one line each, sorted.
 func Check(answers []Answer, records Records, tolerance Tolerance) []string {
 	c := &checker{
-		tolerance: tolerance,
-		byKey:     make(map[string][]standin.Execution),
-		byID:      make(map[string]int),
-		byGang:    make(map[string]map[int][]standin.TaskStart),
+		tolerance:       tolerance,
+		executionsByKey: make(map[string][]standin.Execution),
+		executionCounts: make(map[string]int),
+		startsByGang:    make(map[string]map[int][]standin.TaskStart),
 	}
 	c.index(records)
 	for i := range answers {
-		c.answer(&answers[i])
+		c.checkAnswer(&answers[i])
 	}
-	for name, deliveries := range byName(answers) {
-		c.piece(name, deliveries)
+	for name, deliveries := range groupByName(answers) {
+		c.checkDeliveries(name, deliveries)
 	}
-	sort.Strings(c.faults)
-	return c.faults
+	sort.Strings(c.problems)
+	return c.problems
 }
 
 type checker struct {
-	tolerance Tolerance
-	byKey     map[string][]standin.Execution
-	byID      map[string]int
-	byGang    map[string]map[int][]standin.TaskStart
-	faults    []string
+	tolerance       Tolerance
+	executionsByKey map[string][]standin.Execution
+	executionCounts map[string]int
+	startsByGang    map[string]map[int][]standin.TaskStart
+	problems        []string
 }
 
-func (c *checker) fault(name, format string, args ...any) {
-	c.faults = append(c.faults, name+": "+fmt.Sprintf(format, args...))
+func (c *checker) addProblem(name, format string, args ...any) {
+	c.problems = append(c.problems, name+": "+fmt.Sprintf(format, args...))
 }
 
 func (c *checker) index(records Records) {
 	for _, execution := range records.Executions {
-		c.byKey[execution.Key] = append(c.byKey[execution.Key], execution)
-		c.byID[execution.ID]++
+		c.executionsByKey[execution.Key] = append(c.executionsByKey[execution.Key], execution)
+		c.executionCounts[execution.ID]++
 	}
 	for _, start := range records.Starts {
-		if c.byGang[start.Gang] == nil {
-			c.byGang[start.Gang] = make(map[int][]standin.TaskStart)
+		if c.startsByGang[start.Gang] == nil {
+			c.startsByGang[start.Gang] = make(map[int][]standin.TaskStart)
 		}
-		c.byGang[start.Gang][start.Attempt] = append(c.byGang[start.Gang][start.Attempt], start)
+		c.startsByGang[start.Gang][start.Attempt] = append(c.startsByGang[start.Gang][start.Attempt], start)
 	}
 }
 
-func byName(answers []Answer) map[string][]Answer {
-	names := make(map[string][]Answer)
+func groupByName(answers []Answer) map[string][]Answer {
+	groups := make(map[string][]Answer)
 	for _, answer := range answers {
-		names[answer.Name] = append(names[answer.Name], answer)
+		groups[answer.Name] = append(groups[answer.Name], answer)
 	}
-	return names
+	return groups
 }
 
-// answer checks one delivery by itself.
-func (c *checker) answer(a *Answer) {
+// checkAnswer checks the answer of a single delivery.
+func (c *checker) checkAnswer(a *Answer) {
 	switch {
-	case a.Missing != "" && c.tolerance.MissingAnswers:
-	case a.Missing != "":
-		c.fault(a.Name, "answer is missing: %s", a.Missing)
+	case a.MissingReason != "" && c.tolerance.MissingAnswers:
+	case a.MissingReason != "":
+		c.addProblem(a.Name, "answer is missing: %s", a.MissingReason)
 	case a.Request != nil:
-		c.requestAnswer(a)
+		c.checkRequestAnswer(a)
 	case a.Job != nil:
-		c.jobAnswer(a)
+		c.checkJobAnswer(a)
 	}
 }
 
-func (c *checker) requestAnswer(a *Answer) {
+func (c *checker) checkRequestAnswer(a *Answer) {
 	got := a.Request
-	c.outcome(a, got.ID, got.Outcome, got.ErrorKind, got.RetryAfterS)
+	c.checkOutcome(a, got.ID, got.Outcome, got.ErrorKind, got.RetryAfterS)
 	switch got.Outcome {
 	case api.OutcomeDone:
-		c.whole(a)
+		c.checkPayload(a)
 	case api.OutcomeNotRun:
-		if c.byID[got.ID] > 0 {
-			c.fault(a.Name, "said not_run, but ran as %s", got.ID)
+		if c.executionCounts[got.ID] > 0 {
+			c.addProblem(a.Name, "reported as not_run, but ran as %s", got.ID)
 		}
 	}
 }
 
-// outcome checks what every answer must have.
-func (c *checker) outcome(a *Answer, id string, outcome api.Outcome, kind api.Kind, retryAfterS float64) {
+// checkOutcome checks the fields that requests and jobs have in common.
+func (c *checker) checkOutcome(a *Answer, id string, outcome api.Outcome, kind api.Kind, retryAfterS float64) {
 	if id == "" && outcome != api.OutcomeNotRun {
-		c.fault(a.Name, "answer has no id")
+		c.addProblem(a.Name, "answer has no id")
 	}
-	if !a.piece.expects(outcome) {
-		c.fault(a.Name, "outcome %q (%s) is not the expected one", outcome, kind)
+	if !a.unit.allowsOutcome(outcome) {
+		c.addProblem(a.Name, "unexpected outcome %q (%s)", outcome, kind)
 	}
-	if a.piece.item.ExpectKind != "" && kind != a.piece.item.ExpectKind {
-		c.fault(a.Name, "error kind %q in place of %q", kind, a.piece.item.ExpectKind)
+	if a.unit.item.ExpectKind != "" && kind != a.unit.item.ExpectKind {
+		c.addProblem(a.Name, "error kind %q, expected %q", kind, a.unit.item.ExpectKind)
 	}
 	if outcome == api.OutcomeNotRun && api.AnswerFor(kind).RetryAfterS > 0 && retryAfterS <= 0 {
-		c.fault(a.Name, "refusal (%s) without a time to come back", kind)
+		c.addProblem(a.Name, "refusal (%s) without a retry time", kind)
 	}
 }
 
-// whole checks that the answer's payload is the whole answer to this request.
-func (c *checker) whole(a *Answer) {
+// checkPayload checks that the payload is the complete answer to this request.
+func (c *checker) checkPayload(a *Answer) {
 	var result standin.WorkResult
 	if err := json.Unmarshal(a.Request.Payload, &result); err != nil {
-		c.fault(a.Name, "answer is not whole: %v", err)
+		c.addProblem(a.Name, "answer payload is incomplete: %v", err)
 		return
 	}
-	if result.Key != a.Name || result.Digest != standin.PayloadDigest(a.Sent) {
-		c.fault(a.Name, "answer belongs to %q", result.Key)
+	if result.Key != a.Name || result.Digest != standin.PayloadDigest(a.SentPayload) {
+		c.addProblem(a.Name, "answer belongs to %q", result.Key)
 	}
 }
 
-func (c *checker) jobAnswer(a *Answer) {
+func (c *checker) checkJobAnswer(a *Answer) {
 	got := a.Job
-	c.outcome(a, got.ID, got.Outcome, got.ErrorKind, got.RetryAfterS)
-	attempts := c.byGang[got.ID]
+	c.checkOutcome(a, got.ID, got.Outcome, got.ErrorKind, got.RetryAfterS)
+	attempts := c.startsByGang[got.ID]
 	switch got.Outcome {
 	case api.OutcomeNotRun:
 		if len(attempts) > 0 {
-			c.fault(a.Name, "said not_run, but was started")
+			c.addProblem(a.Name, "reported as not_run, but was started")
 		}
 	case api.OutcomeDone:
-		c.gang(a, attempts)
+		c.checkGang(a, attempts)
 	}
 }
 
-// gang checks that a job that is done ran whole, in one rack if it asked so.
-func (c *checker) gang(a *Answer, attempts map[int][]standin.TaskStart) {
+// checkGang checks that each attempt of a completed job started the whole gang,
+// and that a job that is neither idempotent nor checkpointable had one attempt
+// only.
+func (c *checker) checkGang(a *Answer, attempts map[int][]standin.TaskStart) {
 	if len(attempts) == 0 {
-		c.fault(a.Name, "said done, but was never started")
+		c.addProblem(a.Name, "reported as done, but was never started")
 	}
-	job := a.piece.item.Job
+	job := a.unit.item.Job
 	if len(attempts) > 1 && !job.Idempotent && !job.Checkpointable {
-		c.fault(a.Name, "started in %d attempts, but is not idempotent", len(attempts))
+		c.addProblem(a.Name, "started in %d attempts, but is not idempotent", len(attempts))
 	}
 	for number, starts := range attempts {
 		tasks, accelerators, stopped := 0, 0, true
@@ -155,41 +159,41 @@
 			accelerators += start.Accelerators
 			stopped = stopped && (start.State == api.TaskStopped || start.State == api.TaskLapsed)
 		}
-		whole := tasks == job.Shape.Tasks && accelerators == job.Shape.Accelerators()
-		if !whole && !(stopped && c.tolerance.StoppedParts) {
-			c.fault(a.Name, "attempt %d ran %d of %d tasks", number, tasks, job.Shape.Tasks)
+		complete := tasks == job.Shape.Tasks && accelerators == job.Shape.Accelerators()
+		if !complete && !(stopped && c.tolerance.StoppedParts) {
+			c.addProblem(a.Name, "attempt %d ran %d of %d tasks", number, tasks, job.Shape.Tasks)
 		}
 	}
 }
 
-// piece checks all deliveries of one piece of work together.
-func (c *checker) piece(name string, deliveries []Answer) {
-	if deliveries[0].piece.item.Request == nil {
-		c.sameJob(name, deliveries)
+// checkDeliveries checks all deliveries of one request or job together.
+func (c *checker) checkDeliveries(name string, deliveries []Answer) {
+	if deliveries[0].unit.item.Request == nil {
+		c.checkSameJob(name, deliveries)
 		return
 	}
-	ran := len(c.byKey[name])
+	runs := len(c.executionsByKey[name])
 	done := 0
 	for _, delivery := range deliveries {
 		if delivery.Request != nil && delivery.Request.Outcome == api.OutcomeDone {
 			done++
 		}
 	}
-	if done > 0 && ran == 0 {
-		c.fault(name, "said done, but never ran")
+	if done > 0 && runs == 0 {
+		c.addProblem(name, "reported as done, but never ran")
 	}
-	allowed := len(deliveries)
-	if deliveries[0].piece.item.Keyed {
-		allowed = 1
+	maxRuns := len(deliveries)
+	if deliveries[0].unit.item.Keyed {
+		maxRuns = 1
 	}
-	if !deliveries[0].piece.item.Request.Idempotent && ran > allowed {
-		c.fault(name, "ran %d times, at most %d allowed", ran, allowed)
+	if !deliveries[0].unit.item.Request.Idempotent && runs > maxRuns {
+		c.addProblem(name, "ran %d times, at most %d allowed", runs, maxRuns)
 	}
 }
 
-// sameJob checks that deliveries with one idempotency key became one job.
-func (c *checker) sameJob(name string, deliveries []Answer) {
-	if !deliveries[0].piece.item.Keyed {
+// checkSameJob checks that deliveries with one idempotency key created one job.
+func (c *checker) checkSameJob(name string, deliveries []Answer) {
+	if !deliveries[0].unit.item.Keyed {
 		return
 	}
 	ids := make(map[string]bool)
@@ -199,6 +203,6 @@
 		}
 	}
 	if len(ids) > 1 {
-		c.fault(name, "one idempotency key became %d jobs", len(ids))
+		c.addProblem(name, "one idempotency key created %d jobs", len(ids))
 	}
 }
--- a/internal/standin/drive/check_test.go
+++ b/internal/standin/drive/check_test.go
@@ -20,87 +20,87 @@
 
 func requestDelivery(item Item, answer api.RequestAnswer) Answer {
 	item.Request = &api.RequestSubmission{}
-	return Answer{Name: "p", Sent: sentPayload, Request: &answer, piece: piece{name: "p", item: item}}
+	return Answer{Name: "p", SentPayload: sentPayload, Request: &answer, unit: workUnit{name: "p", item: item}}
 }
 
 func jobDelivery(item Item, answer api.JobAnswer) Answer {
 	item.Job = &api.JobSubmission{Shape: api.Shape{Tasks: 2, AcceleratorsPerTask: 4}}
-	return Answer{Name: "p", Job: &answer, piece: piece{name: "p", item: item}}
+	return Answer{Name: "p", Job: &answer, unit: workUnit{name: "p", item: item}}
 }
 
-func taskStart(attempt, tasks int) standin.TaskStart {
+func newTaskStart(attempt, tasks int) standin.TaskStart {
 	return standin.TaskStart{GangRef: api.GangRef{Gang: "j", Attempt: attempt}, Tasks: tasks, Accelerators: 4 * tasks}
 }
 
 func TestCheckFindsPlantedFaults(t *testing.T) {
-	done := api.RequestAnswer{ID: "r", Outcome: api.OutcomeDone, Payload: resultPayload("p")}
-	ran := standin.Execution{ID: "r", Key: "p", Finished: true}
-	notRun := api.RequestAnswer{ID: "r", Outcome: api.OutcomeNotRun, ErrorKind: api.KindQueueFull, RetryAfterS: 1}
-	jobDone := api.JobAnswer{ID: "j", Outcome: api.OutcomeDone}
-	refusals := Item{Expect: []api.Outcome{api.OutcomeNotRun}}
+	doneAnswer := api.RequestAnswer{ID: "r", Outcome: api.OutcomeDone, Payload: resultPayload("p")}
+	execution := standin.Execution{ID: "r", Key: "p", Finished: true}
+	notRunAnswer := api.RequestAnswer{ID: "r", Outcome: api.OutcomeNotRun, ErrorKind: api.KindQueueFull, RetryAfterS: 1}
+	doneJob := api.JobAnswer{ID: "j", Outcome: api.OutcomeDone}
+	refusedItem := Item{Expect: []api.Outcome{api.OutcomeNotRun}}
 	cases := map[string]struct {
 		answers []Answer
 		records Records
-		fault   string
+		problem string
 	}{
-		"a whole answer that ran once is no fault": {
-			[]Answer{requestDelivery(Item{}, done)}, Records{Executions: []standin.Execution{ran}}, "",
+		"a complete answer to a request that ran once": {
+			[]Answer{requestDelivery(Item{}, doneAnswer)}, Records{Executions: []standin.Execution{execution}}, "",
 		},
-		"a missing answer": {[]Answer{{Name: "p", Missing: "EOF", piece: piece{item: Item{Request: &api.RequestSubmission{}}}}}, Records{}, "missing"},
-		"an answer that belongs to other work": {
+		"a missing answer": {[]Answer{{Name: "p", MissingReason: "EOF", unit: workUnit{item: Item{Request: &api.RequestSubmission{}}}}}, Records{}, "missing"},
+		"an answer to another request": {
 			[]Answer{requestDelivery(Item{}, api.RequestAnswer{ID: "r", Outcome: api.OutcomeDone, Payload: resultPayload("q")})},
-			Records{Executions: []standin.Execution{ran}},
+			Records{Executions: []standin.Execution{execution}},
 			"belongs to",
 		},
 		"an answer without a payload": {
 			[]Answer{requestDelivery(Item{}, api.RequestAnswer{ID: "r", Outcome: api.OutcomeDone})},
-			Records{Executions: []standin.Execution{ran}},
-			"not whole",
+			Records{Executions: []standin.Execution{execution}},
+			"payload is incomplete",
 		},
 		"a keyed request that ran twice": {
-			[]Answer{requestDelivery(Item{Keyed: true}, done), requestDelivery(Item{Keyed: true}, done)},
-			Records{Executions: []standin.Execution{ran, ran}},
+			[]Answer{requestDelivery(Item{Keyed: true}, doneAnswer), requestDelivery(Item{Keyed: true}, doneAnswer)},
+			Records{Executions: []standin.Execution{execution, execution}},
 			"ran 2 times",
 		},
 		"a refused request that ran": {
-			[]Answer{requestDelivery(refusals, notRun)}, Records{Executions: []standin.Execution{ran}}, "said not_run, but ran",
+			[]Answer{requestDelivery(refusedItem, notRunAnswer)}, Records{Executions: []standin.Execution{execution}}, "reported as not_run, but ran",
 		},
-		"a refusal without a time to come back": {
-			[]Answer{requestDelivery(refusals, api.RequestAnswer{ID: "r", Outcome: api.OutcomeNotRun, ErrorKind: api.KindQueueFull})},
+		"a refusal without a retry time": {
+			[]Answer{requestDelivery(refusedItem, api.RequestAnswer{ID: "r", Outcome: api.OutcomeNotRun, ErrorKind: api.KindQueueFull})},
 			Records{},
-			"time to come back",
+			"without a retry time",
 		},
-		"an answer to what never ran": {[]Answer{requestDelivery(Item{}, done)}, Records{}, "never ran"},
-		"an unexpected outcome":       {[]Answer{requestDelivery(Item{}, notRun)}, Records{}, "not the expected one"},
-		"a whole gang is no fault": {
-			[]Answer{jobDelivery(Item{}, jobDone)}, Records{Starts: []standin.TaskStart{taskStart(1, 1), taskStart(1, 1)}}, "",
+		"an answer to a request that never ran": {[]Answer{requestDelivery(Item{}, doneAnswer)}, Records{}, "never ran"},
+		"an unexpected outcome":                 {[]Answer{requestDelivery(Item{}, notRunAnswer)}, Records{}, "unexpected outcome"},
+		"a complete gang": {
+			[]Answer{jobDelivery(Item{}, doneJob)}, Records{Starts: []standin.TaskStart{newTaskStart(1, 1), newTaskStart(1, 1)}}, "",
 		},
-		"a gang in part": {[]Answer{jobDelivery(Item{}, jobDone)}, Records{Starts: []standin.TaskStart{taskStart(1, 1)}}, "ran 1 of 2 tasks"},
+		"a partly started gang": {[]Answer{jobDelivery(Item{}, doneJob)}, Records{Starts: []standin.TaskStart{newTaskStart(1, 1)}}, "ran 1 of 2 tasks"},
 		"a second attempt of a job that is not idempotent": {
-			[]Answer{jobDelivery(Item{}, jobDone)}, Records{Starts: []standin.TaskStart{taskStart(1, 2), taskStart(2, 2)}}, "2 attempts",
+			[]Answer{jobDelivery(Item{}, doneJob)}, Records{Starts: []standin.TaskStart{newTaskStart(1, 2), newTaskStart(2, 2)}}, "2 attempts",
 		},
-		"one key that became two jobs": {
-			[]Answer{jobDelivery(Item{Keyed: true}, jobDone), jobDelivery(Item{Keyed: true}, api.JobAnswer{ID: "k", Outcome: api.OutcomeDone})},
-			Records{Starts: []standin.TaskStart{taskStart(1, 2)}},
-			"became 2 jobs",
+		"one idempotency key that created two jobs": {
+			[]Answer{jobDelivery(Item{Keyed: true}, doneJob), jobDelivery(Item{Keyed: true}, api.JobAnswer{ID: "k", Outcome: api.OutcomeDone})},
+			Records{Starts: []standin.TaskStart{newTaskStart(1, 2)}},
+			"created 2 jobs",
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			found := strings.Join(Check(tc.answers, tc.records, Tolerance{}), "\n")
-			if tc.fault == "" {
+			if tc.problem == "" {
 				assert.Equal(t, found, "")
 				return
 			}
-			assert.Assert(t, strings.Contains(found, tc.fault), "found %q", found)
+			assert.Assert(t, strings.Contains(found, tc.problem), "found %q", found)
 		})
 	}
 }
 
-func TestDemoInputIsSound(t *testing.T) {
+func TestDemoInputIsValid(t *testing.T) {
 	input, err := Load("../../../examples/demo.json")
 	assert.NilError(t, err)
-	pieces, err := input.pieces()
+	units, err := input.expand()
 	assert.NilError(t, err)
-	assert.Assert(t, len(pieces) > 50)
+	assert.Assert(t, len(units) > 50)
 }
--- a/internal/standin/drive/input.go
+++ b/internal/standin/drive/input.go
@@ -1,6 +1,7 @@
-// Package drive sends a file of work through entry instances, follows it to its
-// end, and checks the answers against the records of the backend servers and
-// workers: no answer missing, doubled or not whole, no gang in part.
+// Package drive submits the work in an input file to entry instances, waits for
+// it to complete, and checks the answers against the records of the backend
+// servers and workers: every delivery has one complete answer, and no gang runs
+// in part.
 package drive
 
 import (
@@ -14,39 +15,41 @@
 	"github.com/corianderbank/corianderbank/internal/standin"
 )
 
-// Input is a file of work.
+// Input is the content of an input file.
 type Input struct {
 	Items []Item `json:"items"`
 }
 
-// Item is one piece of work, or a number of equal ones. Exactly one of Request
+// Item describes one or more identical requests or jobs. Exactly one of Request
 // and Job is set.
 type Item struct {
-	// Name is unique; it becomes the key of the payload.
+	// Name is unique in the input. It is used as the key of the payload.
 	Name string `json:"name"`
-	// AtMS is the time of the first arrival, in milliseconds from the start.
+	// AtMS is the time of the first arrival, in milliseconds from the start of
+	// the run.
 	AtMS int64 `json:"at_ms,omitempty"`
-	// Count makes that many pieces of work, SpacingMS apart; zero means one.
+	// Count is the number of requests or jobs, which arrive SpacingMS apart; zero
+	// means one.
 	Count     int   `json:"count,omitempty"`
 	SpacingMS int64 `json:"spacing_ms,omitempty"`
-	// Deliveries is how often each piece is sent, to one instance after the
-	// other; zero means once.
+	// Deliveries is the number of times each request or job is sent, to the entry
+	// instances in turn; zero means once.
 	Deliveries int `json:"deliveries,omitempty"`
-	// Keyed gives the piece its name as idempotency key.
+	// Keyed uses the name as the idempotency key.
 	Keyed bool `json:"keyed,omitempty"`
 	// DeadlineInS is a job's deadline, in seconds from its arrival.
 	DeadlineInS float64 `json:"deadline_in_s,omitempty"`
-	// Expect lists the outcomes that are right; empty means done only.
+	// Expect lists the allowed outcomes; empty means only done.
 	Expect []api.Outcome `json:"expect,omitempty"`
-	// ExpectKind is the error kind that is right, if there is to be one.
+	// ExpectKind is the expected error kind; empty means that it is not checked.
 	ExpectKind api.Kind `json:"expect_kind,omitempty"`
-	// Work is the payload; its key is filled in.
+	// Work is the payload. Its key is set from Name.
 	Work    standin.WorkPayload    `json:"work"`
 	Request *api.RequestSubmission `json:"request,omitempty"`
 	Job     *api.JobSubmission     `json:"job,omitempty"`
 }
 
-// Load reads a file of work.
+// Load reads and validates an input file.
 func Load(file string) (Input, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -58,35 +61,35 @@
 	if err := decoder.Decode(&input); err != nil {
 		return Input{}, fmt.Errorf("%s: %w", file, err)
 	}
-	return input, input.check()
+	return input, input.validate()
 }
 
-func (in Input) check() error {
+func (in Input) validate() error {
 	seen := make(map[string]bool)
 	for _, item := range in.Items {
 		if item.Name == "" || seen[item.Name] {
-			return fmt.Errorf("name %q is empty or given twice", item.Name)
+			return fmt.Errorf("name %q is empty or duplicate", item.Name)
 		}
 		seen[item.Name] = true
 		if (item.Request == nil) == (item.Job == nil) {
-			return fmt.Errorf("%s: exactly one of request and job is needed", item.Name)
+			return fmt.Errorf("%s: exactly one of request and job is required", item.Name)
 		}
 	}
 	return nil
 }
 
-// piece is one piece of work to send.
-type piece struct {
+// workUnit is one request or job to send.
+type workUnit struct {
 	name       string
-	at         time.Duration
+	arrival    time.Duration
 	deliveries int
 	item       Item
 	payload    json.RawMessage
 }
 
-// pieces spells out the counts of the input.
-func (in Input) pieces() ([]piece, error) {
-	var pieces []piece
+// expand returns the work units of all items, one for each of an item's Count.
+func (in Input) expand() ([]workUnit, error) {
+	var units []workUnit
 	for _, item := range in.Items {
 		count := max(item.Count, 1)
 		for i := range count {
@@ -100,44 +103,44 @@
 			if err != nil {
 				return nil, err
 			}
-			at := time.Duration(item.AtMS+int64(i)*item.SpacingMS) * time.Millisecond
-			pieces = append(pieces, piece{name: name, at: at, deliveries: max(item.Deliveries, 1), item: item, payload: payload})
+			arrival := time.Duration(item.AtMS+int64(i)*item.SpacingMS) * time.Millisecond
+			units = append(units, workUnit{name: name, arrival: arrival, deliveries: max(item.Deliveries, 1), item: item, payload: payload})
 		}
 	}
-	return pieces, nil
+	return units, nil
 }
 
-func (p piece) key() string {
-	if p.item.Keyed {
-		return p.name
+func (u workUnit) idempotencyKey() string {
+	if u.item.Keyed {
+		return u.name
 	}
 	return ""
 }
 
-func (p piece) request() api.RequestSubmission {
-	request := *p.item.Request
-	request.Payload = p.payload
-	request.IdempotencyKey = p.key()
+func (u workUnit) buildRequest() api.RequestSubmission {
+	request := *u.item.Request
+	request.Payload = u.payload
+	request.IdempotencyKey = u.idempotencyKey()
 	return request
 }
 
-func (p piece) job(arrival time.Time) api.JobSubmission {
-	job := *p.item.Job
-	job.Payload = p.payload
-	job.IdempotencyKey = p.key()
-	if p.item.DeadlineInS != 0 {
-		deadline := arrival.Add(time.Duration(p.item.DeadlineInS * float64(time.Second)))
+func (u workUnit) buildJob(arrival time.Time) api.JobSubmission {
+	job := *u.item.Job
+	job.Payload = u.payload
+	job.IdempotencyKey = u.idempotencyKey()
+	if u.item.DeadlineInS != 0 {
+		deadline := arrival.Add(time.Duration(u.item.DeadlineInS * float64(time.Second)))
 		job.Deadline = &deadline
 	}
 	return job
 }
 
-// expects reports whether an outcome is right for the piece.
-func (p piece) expects(outcome api.Outcome) bool {
-	if len(p.item.Expect) == 0 {
+// allowsOutcome reports whether outcome is an expected one.
+func (u workUnit) allowsOutcome(outcome api.Outcome) bool {
+	if len(u.item.Expect) == 0 {
 		return outcome == api.OutcomeDone
 	}
-	for _, expected := range p.item.Expect {
+	for _, expected := range u.item.Expect {
 		if outcome == expected {
 			return true
 		}
--- a/internal/standin/drive/print.go
+++ b/internal/standin/drive/print.go
@@ -9,45 +9,45 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// Print writes one line for each delivery and a summary.
+// Print writes a table with one row for each delivery, and a summary.
 func Print(w io.Writer, answers []Answer) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "WORK\tOUTCOME\tKIND\tRULE\tWHERE\tATTEMPTS\tMS\tID")
-	outcomes := make(map[api.Outcome]int)
+	counts := make(map[api.Outcome]int)
 	for _, answer := range answers {
-		l := lineOf(answer)
-		outcomes[l.outcome]++
+		row := rowOf(answer)
+		counts[row.outcome]++
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n",
-			answer.Name, l.outcome, l.kind, l.rule, l.where, l.attempts, answer.Took/time.Millisecond, l.id)
+			answer.Name, row.outcome, row.kind, row.rule, row.location, row.attempts, answer.Duration/time.Millisecond, row.id)
 	}
 	_ = table.Flush()
 	_, _ = fmt.Fprintf(w, "%d answers: %d done, %d not_run, %d unknown, %d missing\n", len(answers),
-		outcomes[api.OutcomeDone], outcomes[api.OutcomeNotRun], outcomes[api.OutcomeUnknown], outcomes[outcomeMissing])
+		counts[api.OutcomeDone], counts[api.OutcomeNotRun], counts[api.OutcomeUnknown], counts[outcomeMissing])
 }
 
-// outcomeMissing marks a delivery without an answer.
+// outcomeMissing is the printed outcome of a delivery without an answer.
 const outcomeMissing api.Outcome = "missing"
 
-type line struct {
-	outcome         api.Outcome
-	kind            api.Kind
-	rule, where, id string
-	attempts        int
+type tableRow struct {
+	outcome            api.Outcome
+	kind               api.Kind
+	rule, location, id string
+	attempts           int
 }
 
-func lineOf(a Answer) line {
+func rowOf(a Answer) tableRow {
 	switch {
 	case a.Request != nil:
 		r := a.Request
-		where := r.BackendServer
+		location := r.BackendServer
 		if r.Replayed {
-			where += " (replayed)"
+			location += " (replayed)"
 		}
-		return line{r.Outcome, r.ErrorKind, r.Rule, where, r.ID, r.Attempts}
+		return tableRow{r.Outcome, r.ErrorKind, r.Rule, location, r.ID, r.Attempts}
 	case a.Job != nil:
 		j := a.Job
-		return line{j.Outcome, j.ErrorKind, j.Rule, j.AvailabilityZone, j.ID, j.Attempt}
+		return tableRow{j.Outcome, j.ErrorKind, j.Rule, j.AvailabilityZone, j.ID, j.Attempt}
 	default:
-		return line{outcome: outcomeMissing, where: a.Missing}
+		return tableRow{outcome: outcomeMissing, location: a.MissingReason}
 	}
 }
--- a/internal/standin/drive/run.go
+++ b/internal/standin/drive/run.go
@@ -13,61 +13,62 @@
 	"github.com/corianderbank/corianderbank/internal/standin"
 )
 
-// Fleet lists the addresses that a run speaks to.
+// Fleet lists the addresses of the processes that a run uses.
 type Fleet struct {
 	Entries  []string
 	Backends []string
 	Workers  []string
 }
 
-// Answer is what became of one delivery.
+// Answer is the result of one delivery.
 type Answer struct {
 	Name string `json:"name"`
-	// Missing says why there is no answer; empty if there is one.
-	Missing string             `json:"missing,omitempty"`
-	Status  int                `json:"status"`
-	Took    time.Duration      `json:"took"`
-	Request *api.RequestAnswer `json:"request,omitempty"`
-	Job     *api.JobAnswer     `json:"job,omitempty"`
-	piece   piece              `json:"-"`
-	Sent    json.RawMessage    `json:"-"`
+	// MissingReason is the reason why there is no answer; empty if there is one.
+	MissingReason string             `json:"missing,omitempty"`
+	Status        int                `json:"status"`
+	Duration      time.Duration      `json:"took"`
+	Request       *api.RequestAnswer `json:"request,omitempty"`
+	Job           *api.JobAnswer     `json:"job,omitempty"`
+	unit          workUnit           `json:"-"`
+	SentPayload   json.RawMessage    `json:"-"`
 }
 
-// Records are what backend servers and workers say they ran.
+// Records are the executions and task starts that the backend servers and
+// workers recorded.
 type Records struct {
 	Executions []standin.Execution
 	Starts     []standin.TaskStart
 }
 
-// jobWait is how long one call waits for a job's end.
+// jobWait bounds the time that one call waits for a job to end.
 const jobWait = 2 * time.Second
 
-// retryPause is the time before the next entry instance is asked for a job.
-const retryPause = 200 * time.Millisecond
+// retryDelay is the delay before a job is queried at the next entry instance.
+const retryDelay = 200 * time.Millisecond
 
-// callMargin is added to a call's own waiting time.
-const callMargin = 10 * time.Second
+// callTimeoutMargin is added to the time that a call may wait at the server.
+const callTimeoutMargin = 10 * time.Second
 
-// Run sends every piece of work and returns one answer for each delivery, in
-// the order of the input. It ends when all work has ended, or with ctx.
+// Run sends all work of input and returns one answer for each delivery, in the
+// order of the input. It returns when all work has ended or ctx is done.
 func Run(ctx context.Context, fleet Fleet, input Input) ([]Answer, error) {
-	pieces, err := input.pieces()
+	units, err := input.expand()
 	if err != nil {
 		return nil, err
 	}
-	run := &runner{fleet: fleet, client: resty.New(), begin: time.Now()}
+	run := &runner{fleet: fleet, client: resty.New(), startedAt: time.Now()}
 	defer run.client.GetClient().CloseIdleConnections()
 	var answers []*Answer
-	var wait sync.WaitGroup
-	for _, p := range pieces {
-		for range p.deliveries {
-			answer := &Answer{Name: p.name, piece: p, Sent: p.payload}
+	var deliveries sync.WaitGroup
+	for _, unit := range units {
+		for range unit.deliveries {
+			answer := &Answer{Name: unit.name, unit: unit, SentPayload: unit.payload}
 			entry := fleet.Entries[len(answers)%len(fleet.Entries)]
 			answers = append(answers, answer)
-			wait.Go(func() { run.deliver(ctx, entry, answer) })
+			deliveries.Go(func() { run.deliver(ctx, entry, answer) })
 		}
 	}
-	wait.Wait()
+	deliveries.Wait()
 	result := make([]Answer, len(answers))
 	for i, answer := range answers {
 		result[i] = *answer
@@ -76,32 +77,32 @@
 }
 
 type runner struct {
-	fleet  Fleet
-	client *resty.Client
-	begin  time.Time
+	fleet     Fleet
+	client    *resty.Client
+	startedAt time.Time
 }
 
 func (r *runner) deliver(ctx context.Context, entry string, answer *Answer) {
-	timer := time.NewTimer(time.Until(r.begin.Add(answer.piece.at)))
+	timer := time.NewTimer(time.Until(r.startedAt.Add(answer.unit.arrival)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-		answer.Missing = "not sent: " + ctx.Err().Error()
+		answer.MissingReason = "not sent: " + ctx.Err().Error()
 		return
 	}
 	started := time.Now()
-	if answer.piece.item.Request != nil {
+	if answer.unit.item.Request != nil {
 		r.deliverRequest(ctx, entry, answer)
 	} else {
 		r.deliverJob(ctx, entry, answer)
 	}
-	answer.Took = time.Since(started)
+	answer.Duration = time.Since(started)
 }
 
 func (r *runner) deliverRequest(ctx context.Context, entry string, answer *Answer) {
-	request := answer.piece.request()
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.DeadlineMS)*time.Millisecond+callMargin)
+	request := answer.unit.buildRequest()
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.DeadlineMS)*time.Millisecond+callTimeoutMargin)
 	defer cancel()
 	var got api.RequestAnswer
 	if r.call(ctx, "POST", entry, "/v1/requests", request, &got, answer) {
@@ -110,45 +111,47 @@
 }
 
 func (r *runner) deliverJob(ctx context.Context, entry string, answer *Answer) {
-	submission := answer.piece.job(r.begin.Add(answer.piece.at))
+	submission := answer.unit.buildJob(r.startedAt.Add(answer.unit.arrival))
 	var got api.JobAnswer
 	if !r.call(ctx, "POST", entry, "/v1/jobs", submission, &got, answer) {
 		return
 	}
-	if got.Outcome == api.OutcomeAccepted && !r.follow(ctx, &got, answer) {
+	if got.Outcome == api.OutcomeAccepted && !r.awaitJob(ctx, &got, answer) {
 		return
 	}
 	answer.Job = &got
 }
 
-// follow asks for a job until it has ended, one entry instance after the other
-// when one does not know or does not answer. It reports whether the job ended
-// before ctx did.
-func (r *runner) follow(ctx context.Context, got *api.JobAnswer, answer *Answer) bool {
+// awaitJob queries a job at the entry instances in turn until it has ended. After
+// a query without an outcome it waits for retryDelay, because an instance may not
+// have the job or may not respond. It reports whether the job ended before ctx
+// was done.
+func (r *runner) awaitJob(ctx context.Context, got *api.JobAnswer, answer *Answer) bool {
 	path := fmt.Sprintf("/v1/jobs/%s?wait_ms=%d", got.ID, jobWait.Milliseconds())
 	for i := 0; ctx.Err() == nil; i++ {
 		var next api.JobAnswer
 		entry := r.fleet.Entries[i%len(r.fleet.Entries)]
-		callCtx, cancel := context.WithTimeout(ctx, jobWait+callMargin)
-		answered := r.call(callCtx, "GET", entry, path, nil, &next, answer)
+		pollCtx, cancel := context.WithTimeout(ctx, jobWait+callTimeoutMargin)
+		answered := r.call(pollCtx, "GET", entry, path, nil, &next, answer)
 		cancel()
 		if answered && next.Outcome != "" {
 			*got = next
-			answer.Missing = ""
+			answer.MissingReason = ""
 		}
 		if got.Outcome != api.OutcomeAccepted {
 			return true
 		}
 		if !answered || next.Outcome == "" {
-			time.Sleep(retryPause)
+			time.Sleep(retryDelay)
 		}
 	}
-	answer.Missing = "job " + got.ID + " did not end: " + ctx.Err().Error()
+	answer.MissingReason = "job " + got.ID + " did not end: " + ctx.Err().Error()
 	return false
 }
 
-// call makes one call and decodes the answer, whatever its status. It reports
-// whether the answer was whole, and records why it was not.
+// call makes one HTTP call and decodes the response body, regardless of its
+// status. It reports whether that succeeded, and otherwise sets
+// answer.MissingReason.
 func (r *runner) call(ctx context.Context, method, entry, path string, body, result any, answer *Answer) bool {
 	request := r.client.R().SetContext(ctx)
 	if body != nil {
@@ -156,32 +159,32 @@
 	}
 	response, err := request.Execute(method, "http://"+entry+path)
 	if err != nil {
-		answer.Missing = err.Error()
+		answer.MissingReason = err.Error()
 		return false
 	}
 	answer.Status = response.StatusCode()
 	if err := json.Unmarshal(response.Body(), result); err != nil {
-		answer.Missing = "not whole: " + err.Error()
+		answer.MissingReason = "not whole: " + err.Error()
 		return false
 	}
 	return true
 }
 
-// Collect reads the records of every backend server and worker of the fleet.
+// Collect reads the records of all backend servers and workers of fleet.
 func Collect(ctx context.Context, fleet Fleet) (Records, error) {
-	client := resty.New().SetTimeout(callMargin)
+	client := resty.New().SetTimeout(callTimeoutMargin)
 	defer client.GetClient().CloseIdleConnections()
 	var records Records
 	for _, addr := range fleet.Backends {
 		var executions []standin.Execution
-		if err := get(ctx, client, addr, "/v1/executions", &executions); err != nil {
+		if err := getJSON(ctx, client, addr, "/v1/executions", &executions); err != nil {
 			return records, err
 		}
 		records.Executions = append(records.Executions, executions...)
 	}
 	for _, addr := range fleet.Workers {
 		var starts []standin.TaskStart
-		if err := get(ctx, client, addr, "/v1/starts", &starts); err != nil {
+		if err := getJSON(ctx, client, addr, "/v1/starts", &starts); err != nil {
 			return records, err
 		}
 		records.Starts = append(records.Starts, starts...)
@@ -189,7 +192,7 @@
 	return records, nil
 }
 
-func get(ctx context.Context, client *resty.Client, addr, path string, result any) error {
+func getJSON(ctx context.Context, client *resty.Client, addr, path string, result any) error {
 	response, err := client.R().SetContext(ctx).Get("http://" + addr + path)
 	if err != nil {
 		return err
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -1,8 +1,8 @@
-// Package standin implements small stand-ins for what surrounds the entry
-// instances: the platform's services, the backend servers and the workers. They
-// speak the same HTTP protocols, keep a record of what they ran, and play the
-// faults they are told to. They serve the demo and the tests and are no part of
-// the product.
+// Package standin implements simple simulations (stand-ins) of the systems that
+// entry instances depend on: the platform services, the backend servers and the
+// workers. They implement the same HTTP protocols, record the work they run and
+// inject faults on request. They are used by the demo and the tests only and
+// are not part of the product.
 package standin
 
 import (
@@ -18,13 +18,13 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// maxBodyBytes bounds the body of a call to a stand-in.
+// maxBodyBytes bounds the body of a request to a stand-in.
 const maxBodyBytes = 8 << 20
 
-// readHeaderTimeout bounds the time that a connection may take for its headers.
+// readHeaderTimeout bounds the time for reading the headers of a request.
 const readHeaderTimeout = 10 * time.Second
 
-// writeJSON answers with status and the JSON form of value.
+// writeJSON writes a response with status and value encoded as JSON.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -36,7 +36,7 @@
 	_, _ = w.Write(data)
 }
 
-// writeError answers with the status and the body that belong to err's kind.
+// writeError writes the response for err, with the status of its error kind.
 func writeError(w http.ResponseWriter, err error) {
 	writeErrorBody(w, api.BodyOf(err))
 }
@@ -52,8 +52,8 @@
 	_, _ = w.Write(data)
 }
 
-// readJSON decodes the body of r into target, or answers with the error and
-// returns false.
+// readJSON decodes the body of r into target. If that fails, it writes the error
+// response and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err := decoder.Decode(target); err != nil {
@@ -63,12 +63,12 @@
 	return true
 }
 
-// dropConnection ends the call without an answer: the caller sees a connection
-// that breaks off.
+// dropConnection aborts the handler without a response, which closes the
+// connection.
 func dropConnection() { panic(http.ErrAbortHandler) }
 
-// pause waits for d, or until the caller has gone.
-func pause(r *http.Request, d time.Duration) {
+// sleep waits for d or until the context of r is done.
+func sleep(r *http.Request, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -82,21 +82,22 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Serve runs handler on listener until ctx ends; then it calls leave, waits
-// for calls in flight for at most grace, and returns.
-func Serve(ctx context.Context, listener net.Listener, handler http.Handler, logger *zap.Logger, leave func(), grace time.Duration) error {
+// Serve serves handler on listener until ctx is done. It then calls onStop, waits
+// up to gracePeriod for requests in flight, closes the remaining connections and
+// returns.
+func Serve(ctx context.Context, listener net.Listener, handler http.Handler, logger *zap.Logger, onStop func(), gracePeriod time.Duration) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	logger.Info("listening", zap.String("addr", listener.Addr().String()))
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
 	logger.Info("stopping")
-	leave()
-	stopCtx, cancel := context.WithTimeout(context.Background(), grace)
+	onStop()
+	stopCtx, cancel := context.WithTimeout(context.Background(), gracePeriod)
 	defer cancel()
 	err := server.Shutdown(stopCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,33 +12,38 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// PlatformFaults is the body of POST /v1/faults on the platform. The whole set
-// is replaced.
+// PlatformFaults is the body of POST /v1/faults on the platform. It replaces all
+// faults.
 type PlatformFaults struct {
-	// Down drops the connection of every call but this one.
+	// Down drops the connection of every call except POST /v1/faults and
+	// GET /healthz.
 	Down bool `json:"down"`
-	// SlowMS delays every call.
+	// SlowMS delays every call, in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
-	// LoseAnswers is how many commits and puts take effect but get no answer;
-	// a negative number means all of them.
+	// LoseAnswers is the number of commits and puts that take effect but get no
+	// answer; a negative number applies to all of them.
 	LoseAnswers int `json:"lose_answers"`
-	// ListLagMS is how old the instance list may be.
+	// ListLagMS is the maximum age of the published instance list, in
+	// milliseconds.
 	ListLagMS int64 `json:"list_lag_ms"`
-	// FailRate is the share of calls, 0 to 1, that are refused and do nothing.
+	// FailRate is the fraction of calls, from 0 to 1, that are refused without
+	// any effect.
 	FailRate float64 `json:"fail_rate"`
 }
 
-// Leave is the body of POST /v1/leave: the instance drops out of the list.
-type Leave struct {
+// LeaveRequest is the body of POST /v1/leave, which removes an instance from the
+// list.
+type LeaveRequest struct {
 	ID          string `json:"id"`
 	Incarnation int64  `json:"incarnation,omitempty"`
 }
 
-// DefaultListTTL is how long an instance stays listed without an announcement.
+// DefaultListTTL is the time for which an instance stays listed after its last
+// announcement.
 const DefaultListTTL = 5 * time.Second
 
-// Platform is a stand-in for the platform's tables, object store and instance
-// list. All state is in memory. It is safe for concurrent use.
+// Platform simulates the platform's tables, object store and instance list. All
+// state is in memory. It is safe for concurrent use.
 type Platform struct {
 	tables  *tables
 	objects sync.Map // name to []byte
@@ -49,7 +54,8 @@
 	random *rand.Rand
 }
 
-// NewPlatform returns an empty platform. Listed instances time out after ttl.
+// NewPlatform returns an empty platform. Instances are dropped from the list
+// when they have not been announced for longer than ttl.
 func NewPlatform(ttl time.Duration) *Platform {
 	return &Platform{
 		tables: newTables(time.Now),
@@ -61,27 +67,27 @@
 // Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/tables/commit", p.faulty(p.commit))
-	mux.HandleFunc("POST /v1/tables/read", p.faulty(p.read))
-	mux.HandleFunc("POST /v1/tables/scan", p.faulty(p.scan))
-	mux.HandleFunc("PUT /v1/objects/{name...}", p.faulty(p.put))
-	mux.HandleFunc("GET /v1/objects/{name...}", p.faulty(p.get))
-	mux.HandleFunc("GET /v1/instances", p.faulty(p.instances))
-	mux.HandleFunc("POST /v1/announce", p.faulty(p.announce))
-	mux.HandleFunc("POST /v1/leave", p.faulty(p.leave))
-	mux.HandleFunc("POST /v1/faults", p.setFaults)
+	mux.HandleFunc("POST /v1/tables/commit", p.withFaults(p.handleCommit))
+	mux.HandleFunc("POST /v1/tables/read", p.withFaults(p.handleRead))
+	mux.HandleFunc("POST /v1/tables/scan", p.withFaults(p.handleScan))
+	mux.HandleFunc("PUT /v1/objects/{name...}", p.withFaults(p.handlePut))
+	mux.HandleFunc("GET /v1/objects/{name...}", p.withFaults(p.handleGet))
+	mux.HandleFunc("GET /v1/instances", p.withFaults(p.handleInstances))
+	mux.HandleFunc("POST /v1/announce", p.withFaults(p.handleAnnounce))
+	mux.HandleFunc("POST /v1/leave", p.withFaults(p.handleLeave))
+	mux.HandleFunc("POST /v1/faults", p.handleFaults)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	return mux
 }
 
-// SetFaults replaces the faults that the platform plays.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(faults PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = faults
 }
 
-func (p *Platform) setFaults(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var faults PlatformFaults
 	if !readJSON(w, r, &faults) {
 		return
@@ -90,15 +96,16 @@
 	writeJSON(w, http.StatusOK, faults)
 }
 
-// faulty plays being down, slow or failing in front of next.
-func (p *Platform) faulty(next http.HandlerFunc) http.HandlerFunc {
+// withFaults returns a handler that applies SlowMS, Down and FailRate and then
+// calls next.
+func (p *Platform) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		faults, fails := p.draw()
-		pause(r, milliseconds(faults.SlowMS))
+		faults, refused := p.drawFaults()
+		sleep(r, milliseconds(faults.SlowMS))
 		if faults.Down {
 			dropConnection()
 		}
-		if fails {
+		if refused {
 			writeError(w, api.NewError(api.KindStoreUnavailable, "the platform refuses this call"))
 			return
 		}
@@ -106,14 +113,15 @@
 	}
 }
 
-func (p *Platform) draw() (faults PlatformFaults, fails bool) {
+func (p *Platform) drawFaults() (faults PlatformFaults, refused bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults, p.faults.FailRate > 0 && p.random.Float64() < p.faults.FailRate
 }
 
-// losesAnswer uses up one lost answer, if there is one left.
-func (p *Platform) losesAnswer() bool {
+// consumeLostAnswer reports whether LoseAnswers applies to this call, and
+// decrements the count if it is positive.
+func (p *Platform) consumeLostAnswer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults.LoseAnswers > 0 {
@@ -123,7 +131,7 @@
 	return p.faults.LoseAnswers < 0
 }
 
-func (p *Platform) commit(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleCommit(w http.ResponseWriter, r *http.Request) {
 	var tx api.Tx
 	if !readJSON(w, r, &tx) {
 		return
@@ -133,45 +141,45 @@
 		return
 	}
 	answer := p.tables.commit(tx)
-	if p.losesAnswer() {
+	if p.consumeLostAnswer() {
 		dropConnection()
 	}
 	writeJSON(w, http.StatusOK, answer)
 }
 
-func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	var query api.ReadQuery
 	if readJSON(w, r, &query) {
 		writeJSON(w, http.StatusOK, p.tables.read(query.Refs))
 	}
 }
 
-func (p *Platform) scan(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleScan(w http.ResponseWriter, r *http.Request) {
 	var query api.ScanQuery
 	if readJSON(w, r, &query) {
 		writeJSON(w, http.StatusOK, p.tables.scan(query))
 	}
 }
 
-func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handlePut(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		writeError(w, api.NewError(api.KindBodyTooLarge, "%v", err))
 		return
 	}
 	name := r.PathValue("name")
-	present, loaded := p.objects.LoadOrStore(name, data)
-	if loaded && !bytes.Equal(present.([]byte), data) {
+	existing, loaded := p.objects.LoadOrStore(name, data)
+	if loaded && !bytes.Equal(existing.([]byte), data) {
 		writeError(w, api.NewError(api.KindConflict, "object %s exists with other bytes", name))
 		return
 	}
-	if p.losesAnswer() {
+	if p.consumeLostAnswer() {
 		dropConnection()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleGet(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	data, ok := p.objects.Load(name)
 	if !ok {
@@ -182,12 +190,12 @@
 	_, _ = w.Write(data.([]byte))
 }
 
-func (p *Platform) instances(w http.ResponseWriter, _ *http.Request) {
-	faults, _ := p.draw()
+func (p *Platform) handleInstances(w http.ResponseWriter, _ *http.Request) {
+	faults, _ := p.drawFaults()
 	writeJSON(w, http.StatusOK, p.list.published(milliseconds(faults.ListLagMS)))
 }
 
-func (p *Platform) announce(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleAnnounce(w http.ResponseWriter, r *http.Request) {
 	var instance api.ListedInstance
 	if !readJSON(w, r, &instance) {
 		return
@@ -200,33 +208,34 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (p *Platform) leave(w http.ResponseWriter, r *http.Request) {
-	var leave Leave
-	if readJSON(w, r, &leave) {
-		p.list.leave(leave)
+func (p *Platform) handleLeave(w http.ResponseWriter, r *http.Request) {
+	var request LeaveRequest
+	if readJSON(w, r, &request) {
+		p.list.leave(request)
 		writeJSON(w, http.StatusOK, struct{}{})
 	}
 }
 
-// instanceList is the list of live and leaving instances.
+// instanceList is the platform's list of announced instances, including those
+// that are leaving. It is safe for concurrent use.
 type instanceList struct {
-	mu        sync.Mutex
-	ttl       time.Duration
-	now       func() time.Time
-	entries   map[string]listEntry
-	lastShown api.InstanceList
+	mu            sync.Mutex // guards entries and lastPublished
+	ttl           time.Duration
+	now           func() time.Time
+	entries       map[string]listEntry
+	lastPublished api.InstanceList
 }
 
 type listEntry struct {
-	instance api.ListedInstance
-	heardAt  time.Time
+	instance    api.ListedInstance
+	announcedAt time.Time
 }
 
 func newInstanceList(ttl time.Duration, now func() time.Time) *instanceList {
 	return &instanceList{ttl: ttl, now: now, entries: make(map[string]listEntry)}
 }
 
-// announce lists the instance, unless a later incarnation is listed already.
+// announce lists the instance unless a later incarnation is already listed.
 func (l *instanceList) announce(instance api.ListedInstance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -236,33 +245,34 @@
 	l.entries[instance.ID] = listEntry{instance, l.now()}
 }
 
-// leave takes the instance off the list, unless a later incarnation is listed.
-func (l *instanceList) leave(leave Leave) {
+// leave removes the instance from the list unless a later incarnation is listed.
+// Without an incarnation in the request, it removes any.
+func (l *instanceList) leave(request LeaveRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if leave.Incarnation != 0 && l.entries[leave.ID].instance.Incarnation > leave.Incarnation {
+	if request.Incarnation != 0 && l.entries[request.ID].instance.Incarnation > request.Incarnation {
 		return
 	}
-	delete(l.entries, leave.ID)
+	delete(l.entries, request.ID)
 }
 
-// published returns the list as it was shown last, or afresh when that is at
-// least lag old.
+// published returns the last published list, or publishes a new one if the last
+// is at least lag old.
 func (l *instanceList) published(lag time.Duration) api.InstanceList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	if now.Sub(l.lastShown.AsOf) < lag {
-		return l.lastShown
+	if now.Sub(l.lastPublished.AsOf) < lag {
+		return l.lastPublished
 	}
-	l.lastShown = api.InstanceList{Instances: l.live(now), AsOf: now}
-	return l.lastShown
+	l.lastPublished = api.InstanceList{Instances: l.liveInstances(now), AsOf: now}
+	return l.lastPublished
 }
 
-func (l *instanceList) live(now time.Time) []api.ListedInstance {
+func (l *instanceList) liveInstances(now time.Time) []api.ListedInstance {
 	live := []api.ListedInstance{}
 	for id, entry := range l.entries {
-		if now.Sub(entry.heardAt) > l.ttl {
+		if now.Sub(entry.announcedAt) > l.ttl {
 			delete(l.entries, id)
 			continue
 		}
--- a/internal/standin/ports.go
+++ b/internal/standin/ports.go
@@ -10,41 +10,43 @@
 	"time"
 )
 
-// The ports that FreePorts looks at lie below the range that the system hands
-// to outgoing connections, so that none of those takes a port between the look
-// and its use.
+// FreePorts returns ports from minPort up to, but not including, portLimit. The
+// range lies below the one that the operating system uses for outgoing
+// connections, so that no such connection takes a port between the probe and its
+// use.
 const (
-	firstPort = 10_000
-	lastPort  = 32_000
+	minPort   = 10_000
+	portLimit = 32_000
 )
 
-// portTries bounds the ports that FreePorts looks at.
-const portTries = 2000
+// maxPortProbes bounds the number of ports that one call of FreePorts probes.
+const maxPortProbes = 2000
 
-// dialTimeout bounds the look at one port.
-const dialTimeout = time.Second
+// probeTimeout bounds the probe of one port.
+const probeTimeout = time.Second
 
-// nextPort is the port that FreePorts looks at next. It begins anywhere and
-// goes round, so that a process gets no port twice for a long time.
+// nextPort is the port that FreePorts probes next. It starts at a random port and
+// wraps around, so that a process gets the same port again only after the whole
+// range.
 var nextPort = struct {
 	sync.Mutex
 	port int
-}{port: firstPort + rand.IntN(lastPort-firstPort)}
+}{port: minPort + rand.IntN(portLimit-minPort)}
 
-// FreePorts returns n different TCP ports that nobody listens on at the
-// loopback address at the moment, and that it has not returned lately.
+// FreePorts returns n different TCP ports that have no listener at the loopback
+// address and that it has not returned recently.
 func FreePorts(n int) ([]int, error) {
 	nextPort.Lock()
 	defer nextPort.Unlock()
 	ports := make([]int, 0, n)
-	for range portTries {
+	for range maxPortProbes {
 		if len(ports) == n {
 			return ports, nil
 		}
 		port := nextPort.port
 		nextPort.port++
-		if nextPort.port == lastPort {
-			nextPort.port = firstPort
+		if nextPort.port == portLimit {
+			nextPort.port = minPort
 		}
 		if isFree(port) {
 			ports = append(ports, port)
@@ -53,10 +55,11 @@
 	return nil, errors.New("no free ports")
 }
 
-// isFree dials rather than listens: a listening socket that was open here could
-// live on for a moment in a child process that is being forked.
+// isFree reports whether connections to port are refused. It dials instead of
+// listening, because a child process that is being forked could keep a listening
+// socket open for a moment.
 func isFree(port int) bool {
-	conn, err := net.DialTimeout("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)), dialTimeout)
+	conn, err := net.DialTimeout("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)), probeTimeout)
 	if err == nil {
 		_ = conn.Close()
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -31,7 +31,7 @@
 	return api.Op{Ref: api.Ref{Table: "t", Key: key}, IfVersion: ifVersion, Value: json.RawMessage(`1`)}
 }
 
-func TestCommitAppliesAllOrNothingAndOnce(t *testing.T) {
+func TestCommitIsAtomicAndIdempotent(t *testing.T) {
 	handler := NewPlatform(time.Minute).Handler()
 	commit := func(tx api.Tx) (answer api.TxAnswer) {
 		assert.Equal(t, call(t, handler, "POST", "/v1/tables/commit", tx, &answer), http.StatusOK)
@@ -39,7 +39,7 @@
 	}
 	first := api.Tx{WriteID: "w1", Ops: []api.Op{op("a", 0), op("b", 0)}}
 	assert.Assert(t, commit(first).Done)
-	assert.Assert(t, commit(first).Done, "the same write id is answered again")
+	assert.Assert(t, commit(first).Done, "a repeated write id gets the same answer")
 	refused := commit(api.Tx{WriteID: "w2", Ops: []api.Op{op("a", 0), op("c", 0)}})
 	assert.Assert(t, !refused.Done)
 	assert.Equal(t, refused.Conflicts[0].Key, "a")
@@ -47,7 +47,7 @@
 	call(t, handler, "POST", "/v1/tables/scan", api.ScanQuery{Table: "t", Limit: 1}, &rows)
 	assert.Assert(t, rows.More && len(rows.Rows) == 1 && rows.Rows[0].WriteID == "w1")
 	call(t, handler, "POST", "/v1/tables/read", api.ReadQuery{Refs: []api.Ref{{Table: "t", Key: "c"}}}, &rows)
-	assert.Equal(t, rows.Rows[0].Version, int64(0), "no row of a refused transaction")
+	assert.Equal(t, rows.Rows[0].Version, int64(0), "a refused transaction writes no rows")
 }
 
 func TestObjectsAreImmutable(t *testing.T) {
@@ -58,7 +58,7 @@
 	assert.Equal(t, call(t, handler, "GET", "/v1/objects/a/c", nil, nil), http.StatusNotFound)
 }
 
-func TestLostAnswerTookEffect(t *testing.T) {
+func TestCommitWithLostAnswerTakesEffect(t *testing.T) {
 	platform := NewPlatform(time.Minute)
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
@@ -78,18 +78,18 @@
 		list := newInstanceList(5*time.Second, time.Now)
 		list.announce(api.ListedInstance{ID: "w", Role: api.RoleWorker, Incarnation: 2})
 		assert.Equal(t, len(list.published(time.Second).Instances), 1)
-		list.leave(Leave{ID: "w", Incarnation: 1})
+		list.leave(LeaveRequest{ID: "w", Incarnation: 1})
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, len(list.published(time.Second).Instances), 1, "an earlier incarnation left")
-		list.leave(Leave{ID: "w", Incarnation: 2})
-		assert.Equal(t, len(list.published(time.Second).Instances), 1, "the list lags")
+		assert.Equal(t, len(list.published(time.Second).Instances), 1, "a leave of an earlier incarnation has no effect")
+		list.leave(LeaveRequest{ID: "w", Incarnation: 2})
+		assert.Equal(t, len(list.published(time.Second).Instances), 1, "the published list is delayed")
 		list.announce(api.ListedInstance{ID: "v", Role: api.RoleWorker})
 		time.Sleep(6 * time.Second)
-		assert.Equal(t, len(list.published(0).Instances), 0, "nobody announced for longer than the TTL")
+		assert.Equal(t, len(list.published(0).Instances), 0, "no instance announced within the TTL")
 	})
 }
 
-func TestBackendAnswers(t *testing.T) {
+func TestBackendAnswersUnderFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults BackendFaults
 		check  func(t *testing.T, answer api.ExecuteAnswer, header http.Header)
@@ -104,7 +104,7 @@
 			var result WorkResult
 			assert.NilError(t, json.Unmarshal(answer.Payload, &result))
 			assert.Equal(t, answer.ID, "first")
-			assert.Equal(t, result.Key, "key-of-first", "the whole answer is another's")
+			assert.Equal(t, result.Key, "key-of-first", "the answer belongs to the first request")
 		}},
 		"failed": {BackendFaults{Fail: 2}, func(t *testing.T, answer api.ExecuteAnswer, _ http.Header) {
 			assert.Assert(t, answer.Failed && !answer.NotRun)
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestTruncatedAnswerIsNotWhole(t *testing.T) {
+func TestTruncatedAnswerFailsToDecode(t *testing.T) {
 	backend := NewBackend("b", 1, 1, nil)
 	backend.SetFaults(BackendFaults{Truncate: 1})
 	server := httptest.NewServer(backend.Handler())
@@ -148,7 +148,7 @@
 	assert.NilError(t, response.Body.Close())
 }
 
-func TestBusyBackendSaysNotRun(t *testing.T) {
+func TestBusyBackendAnswersNotRun(t *testing.T) {
 	backend := NewBackend("b", 1, 0, nil)
 	var answer api.ExecuteAnswer
 	status := call(t, backend.Handler(), "POST", "/v1/execute", api.Execute{ID: "x"}, &answer)
@@ -157,7 +157,7 @@
 	assert.Equal(t, len(backend.Executions()), 0)
 }
 
-// memoryCheckpoints keeps checkpoints in a map.
+// memoryCheckpoints stores checkpoints in a map.
 type memoryCheckpoints map[string]Progress
 
 func (m memoryCheckpoints) Save(_ context.Context, name string, progress Progress) error {
@@ -169,7 +169,7 @@
 	return m[name], nil
 }
 
-func testWorker() *Worker {
+func newTestWorker() *Worker {
 	return NewWorker(WorkerConfig{ID: "w", Zone: "z", Rack: "r", Incarnation: 1, Accelerators: 8}, memoryCheckpoints{}, nil)
 }
 
@@ -181,11 +181,11 @@
 	return api.Reserve{GangRef: ref(epoch, gang), Accelerators: accelerators, Tasks: 1, TTLMS: 1000}
 }
 
-func start(epoch int64, gang string, run string) api.Start {
-	return api.Start{GangRef: ref(epoch, gang), LeaseMS: 5000, Payload: json.RawMessage(run)}
+func start(epoch int64, gang string, payload string) api.Start {
+	return api.Start{GangRef: ref(epoch, gang), LeaseMS: 5000, Payload: json.RawMessage(payload)}
 }
 
-func TestWorkerRefuses(t *testing.T) {
+func TestWorkerRejectsInvalidCalls(t *testing.T) {
 	cases := map[string]struct {
 		do   func(worker *Worker) error
 		kind api.Kind
@@ -198,18 +198,18 @@
 			_, err := worker.Reserve(reserve(2, "h", 5))
 			return err
 		}, api.KindNoCapacity},
-		"to start what was never reserved": {func(worker *Worker) error {
+		"a start without a reservation": {func(worker *Worker) error {
 			_, err := worker.Start(context.Background(), start(2, "h", `{}`))
 			return err
 		}, api.KindConflict},
-		"to start a released attempt": {func(worker *Worker) error {
+		"a start of a released attempt": {func(worker *Worker) error {
 			if err := worker.Release(api.Release{GangRef: ref(2, "g")}); err != nil {
 				return err
 			}
 			_, err := worker.Start(context.Background(), start(2, "g", `{}`))
 			return err
 		}, api.KindConflict},
-		"to reserve a released attempt": {func(worker *Worker) error {
+		"a reservation of a released attempt": {func(worker *Worker) error {
 			if err := worker.Release(api.Release{GangRef: ref(2, "g")}); err != nil {
 				return err
 			}
@@ -219,7 +219,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			worker := testWorker()
+			worker := newTestWorker()
 			_, err := worker.Reserve(reserve(2, "g", 4))
 			assert.NilError(t, err)
 			assert.Assert(t, api.IsKind(tc.do(worker), tc.kind))
@@ -228,17 +228,17 @@
 	}
 }
 
-func TestStaleEpochCarriesTheHighest(t *testing.T) {
-	handler := testWorker().Handler()
+func TestStaleEpochErrorCarriesHighestEpoch(t *testing.T) {
+	handler := newTestWorker().Handler()
 	call(t, handler, "POST", "/v1/renew", api.Renew{Epoch: 7}, nil)
 	var body api.ErrorBody
 	assert.Equal(t, call(t, handler, "POST", "/v1/reserve", reserve(3, "g", 1), &body), http.StatusConflict)
 	assert.Equal(t, body.Epoch, int64(7))
 }
 
-func TestUnstartedReservationLapses(t *testing.T) {
+func TestUnstartedReservationExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := testWorker()
+		worker := newTestWorker()
 		_, err := worker.Reserve(reserve(1, "g", 8))
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
@@ -248,7 +248,7 @@
 	})
 }
 
-func TestRunningTasksEnd(t *testing.T) {
+func TestRunningTasksEndInExpectedState(t *testing.T) {
 	cases := map[string]struct {
 		payload string
 		faults  WorkerFaults
@@ -256,16 +256,16 @@
 		state   api.TaskState
 		ranS    float64
 	}{
-		"done after their time":            {`{"run_ms":3000}`, WorkerFaults{}, false, api.TaskDone, 3},
-		"failed by their payload":          {`{"run_ms":3000,"fail":true}`, WorkerFaults{}, false, api.TaskFailed, 3},
-		"failed by a sick worker":          {`{"run_ms":3000}`, WorkerFaults{FailAll: true}, false, api.TaskFailed, 0.05},
-		"lapsed when nobody renews":        {`{"run_ms":9000}`, WorkerFaults{}, false, api.TaskLapsed, 5},
-		"done after the lease was renewed": {`{"run_ms":7000}`, WorkerFaults{}, true, api.TaskDone, 7},
+		"done after their run time":             {`{"run_ms":3000}`, WorkerFaults{}, false, api.TaskDone, 3},
+		"failed because of the payload":         {`{"run_ms":3000,"fail":true}`, WorkerFaults{}, false, api.TaskFailed, 3},
+		"failed because of an unhealthy worker": {`{"run_ms":3000}`, WorkerFaults{FailAll: true}, false, api.TaskFailed, 0.05},
+		"expired without a renewal":             {`{"run_ms":9000}`, WorkerFaults{}, false, api.TaskLapsed, 5},
+		"done after a renewal of the lease":     {`{"run_ms":7000}`, WorkerFaults{}, true, api.TaskDone, 7},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				worker := testWorker()
+				worker := newTestWorker()
 				worker.SetFaults(tc.faults)
 				_, err := worker.Reserve(reserve(1, "g", 8))
 				assert.NilError(t, err)
@@ -286,9 +286,9 @@
 	}
 }
 
-func TestCheckpointKeepsProgress(t *testing.T) {
+func TestRestartResumesFromCheckpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		worker := testWorker()
+		worker := newTestWorker()
 		_, err := worker.Reserve(reserve(1, "g", 8))
 		assert.NilError(t, err)
 		_, err = worker.Start(context.Background(), start(1, "g", `{"run_ms":4000}`))
@@ -310,13 +310,13 @@
 	})
 }
 
-func TestFreePortsAreNotGivenTwice(t *testing.T) {
+func TestFreePortsDoesNotRepeatPorts(t *testing.T) {
 	seen := make(map[int]bool)
 	for range 100 {
 		ports, err := FreePorts(5)
 		assert.NilError(t, err)
 		for _, port := range ports {
-			assert.Assert(t, !seen[port] && port >= firstPort && port < lastPort)
+			assert.Assert(t, !seen[port] && port >= minPort && port < portLimit)
 			seen[port] = true
 		}
 	}
--- a/internal/standin/tables.go
+++ b/internal/standin/tables.go
@@ -9,31 +9,31 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// maxRememberedWrites bounds the transactions whose answer is kept for a
-// repeated write id. The oldest is forgotten first.
-const maxRememberedWrites = 200_000
+// maxStoredAnswers bounds the answers that are kept for repeated write ids. The
+// oldest answer is dropped first.
+const maxStoredAnswers = 200_000
 
-// maxScanRows bounds one page of a scan.
+// maxScanRows bounds the rows of one page of a scan.
 const maxScanRows = 1000
 
-// tables is a transactional table service in memory. Versions come from one
-// counter, so that a row which is deleted and written again never gets an old
-// version back. It is safe for concurrent use.
+// tables is an in-memory transactional table service. All versions come from
+// one counter, so that a row that is deleted and written again never reuses an
+// old version. It is safe for concurrent use.
 type tables struct {
-	mu       sync.Mutex
-	rows     map[api.Ref]api.Row
-	revision int64
-	answers  map[string]api.TxAnswer
-	order    []string
-	now      func() time.Time
+	mu         sync.Mutex // guards the fields below, except now
+	rows       map[api.Ref]api.Row
+	revision   int64
+	answers    map[string]api.TxAnswer
+	writeOrder []string // write ids in answers, oldest first
+	now        func() time.Time
 }
 
 func newTables(now func() time.Time) *tables {
 	return &tables{rows: make(map[api.Ref]api.Row), answers: make(map[string]api.TxAnswer), now: now}
 }
 
-// commit applies all operations of tx or none. A write id that was answered
-// before gets the same answer again.
+// commit applies all operations of tx or none. A repeated write id gets the
+// same answer as before.
 func (t *tables) commit(tx api.Tx) api.TxAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,7 +46,7 @@
 		answer.Done = true
 		t.apply(tx)
 	}
-	t.remember(tx.WriteID, answer)
+	t.storeAnswer(tx.WriteID, answer)
 	return answer
 }
 
@@ -75,16 +75,16 @@
 	}
 }
 
-func (t *tables) remember(writeID string, answer api.TxAnswer) {
+func (t *tables) storeAnswer(writeID string, answer api.TxAnswer) {
 	t.answers[writeID] = answer
-	t.order = append(t.order, writeID)
-	if len(t.order) > maxRememberedWrites {
-		delete(t.answers, t.order[0])
-		t.order = t.order[1:]
+	t.writeOrder = append(t.writeOrder, writeID)
+	if len(t.writeOrder) > maxStoredAnswers {
+		delete(t.answers, t.writeOrder[0])
+		t.writeOrder = t.writeOrder[1:]
 	}
 }
 
-// read returns one row for each ref, with version 0 where there is none.
+// read returns one row for each ref. A row that does not exist has version 0.
 func (t *tables) read(refs []api.Ref) api.Rows {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,7 +97,7 @@
 	return answer
 }
 
-// scan returns a page of a table in the order of keys.
+// scan returns a page of a table, sorted by key.
 func (t *tables) scan(query api.ScanQuery) api.Rows {
 	limit := query.Limit
 	if limit <= 0 || limit > maxScanRows {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -12,29 +12,30 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// maxReleasedAttempts bounds the released attempts that a worker remembers.
+// maxReleasedAttempts bounds the number of released attempts that a worker
+// keeps. The oldest is dropped first.
 const maxReleasedAttempts = 100_000
 
-// failAfter is how long tasks run before they fail on a sick worker.
-const failAfter = 50 * time.Millisecond
+// failDelay is the run time of tasks that fail because of FailAll.
+const failDelay = 50 * time.Millisecond
 
-// throttledSpeed is the speed of throttled tasks, as a share of the full one.
+// throttledSpeed is the speed of throttled tasks, as a fraction of full speed.
 const throttledSpeed = 0.5
 
-// WorkerFaults is the body of POST /v1/faults on a worker. The whole set is
-// replaced.
+// WorkerFaults is the body of POST /v1/faults on a worker. It replaces all
+// faults.
 type WorkerFaults struct {
-	// FailAll makes every task fail soon after its start.
+	// FailAll makes every task fail failDelay after its start.
 	FailAll bool `json:"fail_all"`
 	// RefuseCheckpoint makes every checkpoint fail.
 	RefuseCheckpoint bool `json:"refuse_checkpoint"`
-	// SlowMS delays every call.
+	// SlowMS delays every call, in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
-	// Leave makes the worker say that it is leaving.
+	// Leave makes the worker report that it is leaving.
 	Leave bool `json:"leave"`
 }
 
-// TaskStart is one start of a gang's tasks, as GET /v1/starts shows it.
+// TaskStart records one start of tasks of a gang, as returned by GET /v1/starts.
 type TaskStart struct {
 	api.GangRef
 	Worker       string        `json:"worker"`
@@ -44,7 +45,7 @@
 	StartedAt    time.Time     `json:"started_at"`
 	EndedAt      time.Time     `json:"ended_at,omitzero"`
 	State        api.TaskState `json:"state"`
-	// Checkpoint is what the start resumed from.
+	// Checkpoint is the name of the checkpoint that the tasks resumed from.
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
@@ -57,55 +58,57 @@
 	Accelerators int
 }
 
-// attempt names one attempt of a gang.
-type attempt struct {
+// attemptKey identifies one attempt of a gang.
+type attemptKey struct {
 	gang   string
 	number int
 }
 
-func attemptOf(ref api.GangRef) attempt { return attempt{ref.Gang, ref.Attempt} }
+func attemptKeyOf(ref api.GangRef) attemptKey { return attemptKey{ref.Gang, ref.Attempt} }
 
-// reservation is what a worker knows of one attempt. Times are the worker's.
+// reservation is the state of one attempt on a worker. Times are read from the
+// worker's clock.
 type reservation struct {
 	report api.ReservationReport
-	// until is the end of the reservation, or of the lease of running tasks.
-	until time.Time
-	// updatedAt is the time up to which progress and RanS are counted.
-	updatedAt time.Time
-	run       time.Duration
-	progress  time.Duration
-	fails     bool
-	start     int // index into starts, while it has been started
-}
-
-// Worker is a stand-in for a worker. It is safe for concurrent use.
+	// expiresAt is the time at which the reservation, or the lease of running
+	// tasks, expires.
+	expiresAt time.Time
+	// updatedAt is the time up to which progress and report.RanS are counted.
+	updatedAt  time.Time
+	runTime    time.Duration
+	progress   time.Duration
+	willFail   bool
+	startIndex int // index into Worker.starts, valid once started
+}
+
+// Worker simulates a worker. It is safe for concurrent use.
 type Worker struct {
 	config      WorkerConfig
 	checkpoints Checkpoints
 	now         func() time.Time
-	// onLeave is told when the faults change whether the worker is leaving.
-	onLeave func(leaving bool)
-
-	mu           sync.Mutex // guards the fields below
-	faults       WorkerFaults
-	leaving      bool
-	highest      int64
-	reservations map[attempt]*reservation
-	released     map[attempt]bool
-	releaseOrder []attempt
-	starts       []TaskStart
-	written      int // checkpoints so far, which makes their names unique
-}
-
-// NewWorker returns a worker that keeps checkpoints in the given store. onLeave
-// may be nil.
+	onLeave     func(leaving bool)
+
+	mu                 sync.Mutex // guards the fields below
+	faults             WorkerFaults
+	leaving            bool
+	highestEpoch       int64
+	reservations       map[attemptKey]*reservation
+	released           map[attemptKey]bool
+	releaseOrder       []attemptKey
+	starts             []TaskStart
+	checkpointsWritten int // part of checkpoint names, which makes them unique
+}
+
+// NewWorker returns a worker that stores its checkpoints in checkpoints. onLeave
+// is called after each SetFaults and Leave with whether the worker is leaving;
+// it may be nil.
 func NewWorker(config WorkerConfig, checkpoints Checkpoints, onLeave func(leaving bool)) *Worker {
 	if onLeave == nil {
 		onLeave = func(bool) {}
 	}
 	return &Worker{
 		config: config, checkpoints: checkpoints, now: time.Now, onLeave: onLeave,
-		reservations: make(map[attempt]*reservation), released: make(map[attempt]bool),
+		reservations: make(map[attemptKey]*reservation), released: make(map[attemptKey]bool),
 	}
 }
 
@@ -114,7 +117,7 @@
 	mux := http.NewServeMux()
 	handle := func(pattern string, next http.HandlerFunc) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			pause(r, k.slowness())
+			sleep(r, k.callDelay())
 			next(w, r)
 		})
 	}
@@ -131,7 +134,7 @@
 	return mux
 }
 
-// SetFaults replaces the faults that the worker plays.
+// SetFaults replaces the injected faults.
 func (k *Worker) SetFaults(faults WorkerFaults) {
 	k.mu.Lock()
 	k.faults = faults
@@ -140,7 +143,7 @@
 	k.onLeave(faults.Leave)
 }
 
-// Leave makes the worker say that it is leaving.
+// Leave makes the worker report that it is leaving.
 func (k *Worker) Leave() {
 	k.mu.Lock()
 	k.leaving = true
@@ -148,30 +151,30 @@
 	k.onLeave(true)
 }
 
-// Report returns the worker's own view.
+// Report returns the current state of the worker and its reservations.
 func (k *Worker) Report() api.WorkerReport {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.advance()
+	k.advanceAll()
 	return k.reportLocked()
 }
 
-// Starts returns every start so far, in order.
+// Starts returns all starts so far, in order.
 func (k *Worker) Starts() []TaskStart {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.advance()
+	k.advanceAll()
 	return append([]TaskStart{}, k.starts...)
 }
 
 func (k *Worker) reportLocked() api.WorkerReport {
 	report := api.WorkerReport{
 		ID: k.config.ID, AvailabilityZone: k.config.Zone, Rack: k.config.Rack, Incarnation: k.config.Incarnation,
-		Accelerators: k.config.Accelerators, Leaving: k.leaving, HighestEpoch: k.highest,
+		Accelerators: k.config.Accelerators, Leaving: k.leaving, HighestEpoch: k.highestEpoch,
 		Reservations: []api.ReservationReport{}, UsageAsOf: k.now(),
 	}
-	for _, held := range k.reservations {
-		report.Reservations = append(report.Reservations, held.report)
+	for _, res := range k.reservations {
+		report.Reservations = append(report.Reservations, res.report)
 	}
 	sort.Slice(report.Reservations, func(i, j int) bool {
 		a, b := report.Reservations[i], report.Reservations[j]
@@ -180,36 +183,37 @@
 	return report
 }
 
-// advance brings every reservation up to the present: reservations that were
-// not started lapse, running tasks end or lapse. The caller holds mu.
-func (k *Worker) advance() {
+// advanceAll updates every reservation to the current time: it drops expired
+// reservations that were not started and ends tasks that completed or whose
+// lease expired. The caller holds mu.
+func (k *Worker) advanceAll() {
 	now := k.now()
-	for name, held := range k.reservations {
-		switch held.report.State {
+	for key, res := range k.reservations {
+		switch res.report.State {
 		case api.TaskReserved:
-			if !now.Before(held.until) {
-				k.forget(name)
+			if !now.Before(res.expiresAt) {
+				k.closeAttempt(key)
 			}
 		case api.TaskRunning:
-			k.advanceRunning(held, now)
+			k.advanceRunning(res, now)
 		}
 	}
 }
 
-func (k *Worker) advanceRunning(held *reservation, now time.Time) {
-	end := held.updatedAt.Add(time.Duration(float64(held.run-held.progress) / held.speed()))
+func (k *Worker) advanceRunning(res *reservation, now time.Time) {
+	end := res.updatedAt.Add(time.Duration(float64(res.runTime-res.progress) / res.speed()))
 	switch {
-	case !end.After(now) && !end.After(held.until):
+	case !end.After(now) && !end.After(res.expiresAt):
 		state := api.TaskDone
-		if held.fails {
+		if res.willFail {
 			state = api.TaskFailed
-			held.report.Message = "the task failed on " + k.config.ID
+			res.report.Message = "the task failed on " + k.config.ID
 		}
-		k.end(held, state, end)
-	case !now.Before(held.until):
-		k.end(held, api.TaskLapsed, held.until)
+		k.endTasks(res, state, end)
+	case !now.Before(res.expiresAt):
+		k.endTasks(res, api.TaskLapsed, res.expiresAt)
 	default:
-		held.ranUntil(now)
+		res.advanceTo(now)
 	}
 }
 
@@ -220,99 +224,103 @@
 	return 1
 }
 
-// ranUntil counts the run up to at.
-func (r *reservation) ranUntil(at time.Time) {
+// advanceTo adds the run time between updatedAt and at to progress and RanS.
+func (r *reservation) advanceTo(at time.Time) {
 	ran := max(at.Sub(r.updatedAt), 0)
 	r.progress += time.Duration(float64(ran) * r.speed())
 	r.report.RanS += ran.Seconds()
 	r.updatedAt = at
 }
 
-// end ends running tasks. They stay reported until they are released.
-func (k *Worker) end(held *reservation, state api.TaskState, at time.Time) {
-	held.ranUntil(at)
-	held.report.State = state
-	k.starts[held.start].State = state
-	k.starts[held.start].EndedAt = at
+// endTasks ends running tasks at the time at. They are reported until they are
+// released.
+func (k *Worker) endTasks(res *reservation, state api.TaskState, at time.Time) {
+	res.advanceTo(at)
+	res.report.State = state
+	k.starts[res.startIndex].State = state
+	k.starts[res.startIndex].EndedAt = at
 }
 
-// forget drops an attempt for good: it never starts again.
-func (k *Worker) forget(name attempt) {
-	delete(k.reservations, name)
-	if k.released[name] {
+// closeAttempt drops the reservation of an attempt and prevents the attempt from
+// being reserved or started again.
+func (k *Worker) closeAttempt(key attemptKey) {
+	delete(k.reservations, key)
+	if k.released[key] {
 		return
 	}
-	k.released[name] = true
-	k.releaseOrder = append(k.releaseOrder, name)
+	k.released[key] = true
+	k.releaseOrder = append(k.releaseOrder, key)
 	if len(k.releaseOrder) > maxReleasedAttempts {
 		delete(k.released, k.releaseOrder[0])
 		k.releaseOrder = k.releaseOrder[1:]
 	}
 }
 
-func (k *Worker) used() int {
+func (k *Worker) usedAccelerators() int {
 	used := 0
-	for _, held := range k.reservations {
-		if held.report.State == api.TaskReserved || held.report.State == api.TaskRunning {
-			used += held.report.Accelerators
+	for _, res := range k.reservations {
+		if res.report.State == api.TaskReserved || res.report.State == api.TaskRunning {
+			used += res.report.Accelerators
 		}
 	}
 	return used
 }
 
-// enter is the first step of every call of a placer: it refuses an epoch below
-// the highest one seen. The caller holds mu.
-func (k *Worker) enter(epoch int64) error {
-	if epoch < k.highest {
-		return api.NewError(api.KindStaleEpoch, "epoch %d is below %d", epoch, k.highest)
+// beginCall is the first step of every call of a placer. It rejects an epoch
+// below the highest one seen and updates the reservations to the current time.
+// The caller holds mu.
+func (k *Worker) beginCall(epoch int64) error {
+	if epoch < k.highestEpoch {
+		return api.NewError(api.KindStaleEpoch, "epoch %d is below %d", epoch, k.highestEpoch)
 	}
-	k.highest = epoch
-	k.advance()
+	k.highestEpoch = epoch
+	k.advanceAll()
 	return nil
 }
 
-// Reserve holds accelerators for one attempt until they are started, released,
-// or the reservation lapses.
+// Reserve reserves accelerators for one attempt until its tasks are started, it
+// is released, or the reservation expires. Repeating it extends a reservation
+// that is not started.
 func (k *Worker) Reserve(request api.Reserve) (api.ReservationReport, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enter(request.Epoch); err != nil {
+	if err := k.beginCall(request.Epoch); err != nil {
 		return api.ReservationReport{}, err
 	}
-	name := attemptOf(request.GangRef)
-	if k.released[name] {
+	key := attemptKeyOf(request.GangRef)
+	if k.released[key] {
 		return api.ReservationReport{}, api.NewError(api.KindConflict, "attempt %d of %s was released", request.Attempt, request.Gang)
 	}
 	if request.Accelerators <= 0 || request.Tasks <= 0 || request.TTLMS <= 0 {
 		return api.ReservationReport{}, api.NewError(api.KindInvalidField, "accelerators, tasks and ttl_ms must be positive")
 	}
-	until := k.now().Add(milliseconds(request.TTLMS))
-	if held, ok := k.reservations[name]; ok {
-		return held.repeat(request, until)
+	expiresAt := k.now().Add(milliseconds(request.TTLMS))
+	if res, ok := k.reservations[key]; ok {
+		return res.repeatReserve(request, expiresAt)
 	}
-	if k.leaving || k.config.Accelerators-k.used() < request.Accelerators {
-		return api.ReservationReport{}, api.NewError(api.KindNoCapacity, "%d of %d accelerators are used", k.used(), k.config.Accelerators)
+	if k.leaving || k.config.Accelerators-k.usedAccelerators() < request.Accelerators {
+		return api.ReservationReport{}, api.NewError(api.KindNoCapacity, "%d of %d accelerators are used", k.usedAccelerators(), k.config.Accelerators)
 	}
 	report := api.ReservationReport{
 		GangRef: request.GangRef, Account: request.Account, Accelerators: request.Accelerators,
 		Tasks: request.Tasks, State: api.TaskReserved,
 	}
-	k.reservations[name] = &reservation{report: report, until: until}
+	k.reservations[key] = &reservation{report: report, expiresAt: expiresAt}
 	return report, nil
 }
 
-func (r *reservation) repeat(request api.Reserve, until time.Time) (api.ReservationReport, error) {
+func (r *reservation) repeatReserve(request api.Reserve, expiresAt time.Time) (api.ReservationReport, error) {
 	if r.report.Accelerators != request.Accelerators || r.report.Tasks != request.Tasks {
 		return r.report, api.NewError(api.KindConflict, "the attempt is reserved with another size")
 	}
 	if r.report.State == api.TaskReserved {
-		r.until = until
+		r.expiresAt = expiresAt
 	}
 	r.report.Epoch = request.Epoch
 	return r.report, nil
 }
 
-// Start commits a reservation. Repeating it is harmless.
+// Start starts the tasks of a reservation. Repeating it has no effect.
 func (k *Worker) Start(ctx context.Context, request api.Start) (api.ReservationReport, error) {
 	var progress Progress
 	if request.Checkpoint != "" {
@@ -322,108 +330,108 @@
 		}
 	}
 	var work WorkPayload
-	_ = json.Unmarshal(request.Payload, &work) // any payload is run; only these fields have a meaning
+	_ = json.Unmarshal(request.Payload, &work) // any payload is accepted; only the fields of WorkPayload are interpreted
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enter(request.Epoch); err != nil {
+	if err := k.beginCall(request.Epoch); err != nil {
 		return api.ReservationReport{}, err
 	}
-	held, ok := k.reservations[attemptOf(request.GangRef)]
+	res, ok := k.reservations[attemptKeyOf(request.GangRef)]
 	if !ok {
 		return api.ReservationReport{}, api.NewError(api.KindConflict, "attempt %d of %s is not reserved", request.Attempt, request.Gang)
 	}
-	if held.report.State == api.TaskReserved {
-		k.begin(held, request, work, milliseconds(progress.ProgressMS))
+	if res.report.State == api.TaskReserved {
+		k.startTasks(res, request, work, milliseconds(progress.ProgressMS))
 	}
-	return held.report, nil
+	return res.report, nil
 }
 
-func (k *Worker) begin(held *reservation, request api.Start, work WorkPayload, progress time.Duration) {
+func (k *Worker) startTasks(res *reservation, request api.Start, work WorkPayload, progress time.Duration) {
 	now := k.now()
-	held.report.State = api.TaskRunning
-	held.report.Epoch = request.Epoch
-	held.until = now.Add(milliseconds(request.LeaseMS))
-	held.updatedAt = now
-	held.run = milliseconds(work.RunMS)
-	held.progress = min(progress, held.run)
-	held.fails = work.Fail
+	res.report.State = api.TaskRunning
+	res.report.Epoch = request.Epoch
+	res.expiresAt = now.Add(milliseconds(request.LeaseMS))
+	res.updatedAt = now
+	res.runTime = milliseconds(work.RunMS)
+	res.progress = min(progress, res.runTime)
+	res.willFail = work.Fail
 	if k.faults.FailAll {
-		held.run, held.fails = held.progress+failAfter, true
+		res.runTime, res.willFail = res.progress+failDelay, true
 	}
-	held.start = len(k.starts)
+	res.startIndex = len(k.starts)
 	k.starts = append(k.starts, TaskStart{
-		GangRef: held.report.GangRef, Worker: k.config.ID, Account: held.report.Account, Accelerators: held.report.Accelerators,
-		Tasks: held.report.Tasks, StartedAt: now, State: api.TaskRunning, Checkpoint: request.Checkpoint,
+		GangRef: res.report.GangRef, Worker: k.config.ID, Account: res.report.Account, Accelerators: res.report.Accelerators,
+		Tasks: res.report.Tasks, StartedAt: now, State: api.TaskRunning, Checkpoint: request.Checkpoint,
 	})
 }
 
-// Renew extends the leases of the listed gangs that run.
+// Renew extends the leases of those listed gangs that are running here.
 func (k *Worker) Renew(request api.Renew) (api.WorkerReport, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enter(request.Epoch); err != nil {
+	if err := k.beginCall(request.Epoch); err != nil {
 		return api.WorkerReport{}, err
 	}
-	until := k.now().Add(milliseconds(request.LeaseMS))
+	expiresAt := k.now().Add(milliseconds(request.LeaseMS))
 	for _, ref := range request.Gangs {
-		held, ok := k.reservations[attemptOf(ref)]
-		if ok && held.report.State == api.TaskRunning {
-			held.until = until
-			held.report.Epoch = request.Epoch
+		res, ok := k.reservations[attemptKeyOf(ref)]
+		if ok && res.report.State == api.TaskRunning {
+			res.expiresAt = expiresAt
+			res.report.Epoch = request.Epoch
 		}
 	}
 	return k.reportLocked(), nil
 }
 
-// Release gives up a reservation or acknowledges the end of its tasks. Tasks
-// that still run are stopped. The attempt never starts again.
+// Release cancels a reservation or acknowledges the completion of its tasks. It
+// stops tasks that are still running. The attempt cannot be started again.
 func (k *Worker) Release(request api.Release) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enter(request.Epoch); err != nil {
+	if err := k.beginCall(request.Epoch); err != nil {
 		return err
 	}
-	name := attemptOf(request.GangRef)
-	if held, ok := k.reservations[name]; ok && held.report.State == api.TaskRunning {
-		k.end(held, api.TaskStopped, k.now())
+	key := attemptKeyOf(request.GangRef)
+	if res, ok := k.reservations[key]; ok && res.report.State == api.TaskRunning {
+		k.endTasks(res, api.TaskStopped, k.now())
 	}
-	k.forget(name)
+	k.closeAttempt(key)
 	return nil
 }
 
-// Stop ends the tasks at once. A reservation that was not started is dropped.
+// Stop stops the tasks immediately. It drops a reservation that was not started.
 func (k *Worker) Stop(request api.Stop) (api.StopAnswer, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, err := k.find(request)
+	res, err := k.findReservation(request)
 	if err != nil {
 		return api.StopAnswer{}, err
 	}
-	switch held.report.State {
+	switch res.report.State {
 	case api.TaskReserved:
-		k.forget(attemptOf(request.GangRef))
+		k.closeAttempt(attemptKeyOf(request.GangRef))
 	case api.TaskRunning:
-		k.end(held, api.TaskStopped, k.now())
+		k.endTasks(res, api.TaskStopped, k.now())
 	}
-	return api.StopAnswer{Checkpoint: held.report.Checkpoint}, nil
+	return api.StopAnswer{Checkpoint: res.report.Checkpoint}, nil
 }
 
-// Throttle slows the tasks down.
+// Throttle reduces the speed of the tasks to throttledSpeed.
 func (k *Worker) Throttle(request api.Stop) (api.StopAnswer, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, err := k.find(request)
+	res, err := k.findReservation(request)
 	if err != nil {
 		return api.StopAnswer{}, err
 	}
-	held.report.Throttled = true
-	return api.StopAnswer{Checkpoint: held.report.Checkpoint}, nil
+	res.report.Throttled = true
+	return api.StopAnswer{Checkpoint: res.report.Checkpoint}, nil
 }
 
-// Checkpoint writes the progress of running tasks to the object store and then
-// stops them. When it fails, they go on running.
+// Checkpoint stores the progress of running tasks and then stops them. If it
+// fails, the tasks continue to run.
 func (k *Worker) Checkpoint(ctx context.Context, request api.Stop) (api.StopAnswer, error) {
-	name, progress, err := k.beginCheckpoint(request)
+	name, progress, err := k.prepareCheckpoint(request)
 	if err != nil || name == "" {
 		return api.StopAnswer{}, err
 	}
@@ -432,50 +440,51 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, err := k.find(request)
+	res, err := k.findReservation(request)
 	if err != nil {
 		return api.StopAnswer{}, err
 	}
-	held.report.Checkpoint = name
-	if held.report.State == api.TaskRunning {
-		k.end(held, api.TaskStopped, k.now())
+	res.report.Checkpoint = name
+	if res.report.State == api.TaskRunning {
+		k.endTasks(res, api.TaskStopped, k.now())
 	}
 	return api.StopAnswer{Checkpoint: name}, nil
 }
 
-// beginCheckpoint returns the name and content of the checkpoint to write, or
-// no name if the tasks do not run.
-func (k *Worker) beginCheckpoint(request api.Stop) (string, Progress, error) {
+// prepareCheckpoint returns the name and content of the checkpoint to write, or
+// an empty name if the tasks are not running.
+func (k *Worker) prepareCheckpoint(request api.Stop) (string, Progress, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, err := k.find(request)
+	res, err := k.findReservation(request)
 	if err != nil {
 		return "", Progress{}, err
 	}
 	if k.faults.RefuseCheckpoint {
 		return "", Progress{}, api.NewError(api.KindConflict, "%s takes no checkpoint", k.config.ID)
 	}
-	if held.report.State != api.TaskRunning {
+	if res.report.State != api.TaskRunning {
 		return "", Progress{}, nil
 	}
-	k.written++
-	name := fmt.Sprintf("checkpoints/%s/%d/%s-%d-%d", request.Gang, request.Attempt, k.config.ID, k.config.Incarnation, k.written)
-	return name, Progress{ProgressMS: held.progress.Milliseconds()}, nil
+	k.checkpointsWritten++
+	name := fmt.Sprintf("checkpoints/%s/%d/%s-%d-%d", request.Gang, request.Attempt, k.config.ID, k.config.Incarnation, k.checkpointsWritten)
+	return name, Progress{ProgressMS: res.progress.Milliseconds()}, nil
 }
 
-// find returns the reservation that a call is about. The caller holds mu.
-func (k *Worker) find(request api.Stop) (*reservation, error) {
-	if err := k.enter(request.Epoch); err != nil {
+// findReservation returns the reservation that request refers to. The caller
+// holds mu.
+func (k *Worker) findReservation(request api.Stop) (*reservation, error) {
+	if err := k.beginCall(request.Epoch); err != nil {
 		return nil, err
 	}
-	held, ok := k.reservations[attemptOf(request.GangRef)]
+	res, ok := k.reservations[attemptKeyOf(request.GangRef)]
 	if !ok {
 		return nil, api.NewError(api.KindNotFound, "attempt %d of %s is not here", request.Attempt, request.Gang)
 	}
-	return held, nil
+	return res, nil
 }
 
-func (k *Worker) slowness() time.Duration {
+func (k *Worker) callDelay() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return milliseconds(k.faults.SlowMS)
--- a/internal/standin/worker_http.go
+++ b/internal/standin/worker_http.go
@@ -7,9 +7,9 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// answer writes value, or the error if there is one. A stale epoch goes out
-// with the highest epoch seen.
-func (k *Worker) answer(w http.ResponseWriter, value any, err error) {
+// writeAnswer writes value, or the error if err is not nil. A stale-epoch error
+// carries the highest epoch seen.
+func (k *Worker) writeAnswer(w http.ResponseWriter, value any, err error) {
 	if err == nil {
 		writeJSON(w, http.StatusOK, value)
 		return
@@ -17,7 +17,7 @@
 	body := api.BodyOf(err)
 	if body.Kind == api.KindStaleEpoch {
 		k.mu.Lock()
-		body.Epoch = k.highest
+		body.Epoch = k.highestEpoch
 		k.mu.Unlock()
 	}
 	writeErrorBody(w, body)
@@ -27,7 +27,7 @@
 	var request api.Reserve
 	if readJSON(w, r, &request) {
 		report, err := k.Reserve(request)
-		k.answer(w, report, err)
+		k.writeAnswer(w, report, err)
 	}
 }
 
@@ -35,7 +35,7 @@
 	var request api.Start
 	if readJSON(w, r, &request) {
 		report, err := k.Start(r.Context(), request)
-		k.answer(w, report, err)
+		k.writeAnswer(w, report, err)
 	}
 }
 
@@ -43,30 +43,30 @@
 	var request api.Renew
 	if readJSON(w, r, &request) {
 		report, err := k.Renew(request)
-		k.answer(w, report, err)
+		k.writeAnswer(w, report, err)
 	}
 }
 
 func (k *Worker) handleRelease(w http.ResponseWriter, r *http.Request) {
 	var request api.Release
 	if readJSON(w, r, &request) {
-		k.answer(w, struct{}{}, k.Release(request))
+		k.writeAnswer(w, struct{}{}, k.Release(request))
 	}
 }
 
 func (k *Worker) handleStop(w http.ResponseWriter, r *http.Request) {
-	k.handleStopping(w, r, func(_ context.Context, request api.Stop) (api.StopAnswer, error) { return k.Stop(request) })
+	k.handleStopCall(w, r, func(_ context.Context, request api.Stop) (api.StopAnswer, error) { return k.Stop(request) })
 }
 
 func (k *Worker) handleThrottle(w http.ResponseWriter, r *http.Request) {
-	k.handleStopping(w, r, func(_ context.Context, request api.Stop) (api.StopAnswer, error) { return k.Throttle(request) })
+	k.handleStopCall(w, r, func(_ context.Context, request api.Stop) (api.StopAnswer, error) { return k.Throttle(request) })
 }
 
 func (k *Worker) handleCheckpoint(w http.ResponseWriter, r *http.Request) {
-	k.handleStopping(w, r, k.Checkpoint)
+	k.handleStopCall(w, r, k.Checkpoint)
 }
 
-func (k *Worker) handleStopping(w http.ResponseWriter, r *http.Request, do func(context.Context, api.Stop) (api.StopAnswer, error)) {
+func (k *Worker) handleStopCall(w http.ResponseWriter, r *http.Request, do func(context.Context, api.Stop) (api.StopAnswer, error)) {
 	var request api.Stop
 	if !readJSON(w, r, &request) {
 		return
@@ -78,7 +78,7 @@
 		defer cancel()
 	}
 	answer, err := do(ctx, request)
-	k.answer(w, answer, err)
+	k.writeAnswer(w, answer, err)
 }
 
 func (k *Worker) handleFaults(w http.ResponseWriter, r *http.Request) {
