--- a/internal/platform/fake/fake.go
+++ b/internal/platform/fake/fake.go
@@ -1,5 +1,6 @@
-// Package fake is the platform in memory, for tests: tables, objects and the
-// instance list with a store clock and faults that a test controls.
+// Package fake implements an in-memory platform for tests: tables, objects and
+// the instance list, with a store clock and faults that are controlled by the
+// test.
 package fake
 
 import (
@@ -14,41 +15,42 @@
 	"github.com/corianderbank/corianderbank/internal/platform"
 )
 
-// Call describes one call to the platform, for the choice of a fault.
+// Call describes one call to the platform, for selecting its fault.
 type Call struct {
-	// Op is commit, read, scan, put, get or list.
+	// Op is "commit", "read", "scan", "put", "get" or "list".
 	Op      string
 	Purpose platform.Purpose
 	Tx      api.Tx
 }
 
-// Fault is what happens to one call. The zero value is no fault.
+// Fault describes the fault of one call. The zero value is no fault.
 type Fault struct {
-	// Delay is waited before anything else.
+	// Delay is the time to wait before the call is processed.
 	Delay time.Duration
-	// Down refuses the call; nothing takes effect.
+	// Down refuses the call at once. The call has no effect.
 	Down bool
-	// LostBefore swallows the call; nothing takes effect, the answer is unknown.
+	// LostBefore loses the call before it takes effect. The result is unknown to
+	// the caller.
 	LostBefore bool
-	// LostAfter lets the call take effect and loses the answer.
+	// LostAfter loses the answer after the call has taken effect.
 	LostAfter bool
-	// AppliesAfter loses the answer at once and lets a commit take effect, if
-	// it then still can, after this time.
+	// AppliesAfter loses the answer at once and applies a commit after this time
+	// if its conditions hold then.
 	AppliesAfter time.Duration
 }
 
-// Platform is the fake. It is safe for concurrent use.
+// Platform is an in-memory platform. It is safe for concurrent use.
 type Platform struct {
-	mu        sync.Mutex
-	rows      map[api.Ref]api.Row
-	applied   map[string]bool
-	sequence  int64
-	objects   map[string][]byte
-	instances api.InstanceList
-	skew      time.Duration
-	forgetful bool
-	fault     func(Call) Fault
-	calls     map[string]int
+	mu              sync.Mutex
+	rows            map[api.Ref]api.Row
+	appliedWrites   map[string]bool
+	lastVersion     int64
+	objects         map[string][]byte
+	instances       api.InstanceList
+	clockSkew       time.Duration
+	forgetsWriteIDs bool
+	chooseFault     func(Call) Fault
+	calls           map[string]int
 }
 
 var (
@@ -60,33 +62,35 @@
 // New returns an empty platform without faults.
 func New() *Platform {
 	return &Platform{
-		rows:    make(map[api.Ref]api.Row),
-		applied: make(map[string]bool),
-		objects: make(map[string][]byte),
-		calls:   make(map[string]int),
+		rows:          make(map[api.Ref]api.Row),
+		appliedWrites: make(map[string]bool),
+		objects:       make(map[string][]byte),
+		calls:         make(map[string]int),
 	}
 }
 
-// SetFault sets the choice of faults; nil means none. It is called with the
-// fake's lock held, so that a seeded choice sees the calls one by one.
+// SetFault sets the function that selects the fault of each call; nil means no
+// faults. choose is called with the platform's lock held, so that a seeded
+// function gets the calls one by one, and must not call the platform.
 func (p *Platform) SetFault(choose func(Call) Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fault = choose
+	p.chooseFault = choose
 }
 
-// SetSkew sets how far the store's clock is ahead of the local one.
+// SetSkew sets the time by which the store's clock is ahead of the local clock.
 func (p *Platform) SetSkew(skew time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.skew = skew
+	p.clockSkew = skew
 }
 
-// SetForgetful makes the tables forget the write ids that they applied.
+// SetForgetful sets whether the tables ignore the write ids that they have
+// applied, so that a repeated write is not recognized.
 func (p *Platform) SetForgetful(forgetful bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forgetful = forgetful
+	p.forgetsWriteIDs = forgetful
 }
 
 // SetInstances sets the instance list.
@@ -96,20 +100,21 @@
 	p.instances = list
 }
 
-// Calls returns how many calls of an op arrived, failed ones included.
+// Calls returns the number of calls of an op, including failed calls.
 func (p *Platform) Calls(op string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls[op]
 }
 
-// begin counts the call, chooses its fault and waits for its delay.
-func (p *Platform) begin(ctx context.Context, call Call) (Fault, error) {
+// beginCall counts the call, selects its fault and waits for the fault's delay.
+// It fails if the call is refused or ctx is done.
+func (p *Platform) beginCall(ctx context.Context, call Call) (Fault, error) {
 	p.mu.Lock()
 	p.calls[call.Op]++
 	var fault Fault
-	if p.fault != nil {
-		fault = p.fault(call)
+	if p.chooseFault != nil {
+		fault = p.chooseFault(call)
 	}
 	p.mu.Unlock()
 	if ctx.Err() != nil || fault.Down {
@@ -130,34 +135,35 @@
 
 // Commit implements platform.Tables with one attempt.
 func (p *Platform) Commit(ctx context.Context, purpose platform.Purpose, tx api.Tx) platform.CommitResult {
-	fault, err := p.begin(ctx, Call{Op: "commit", Purpose: purpose, Tx: tx})
+	fault, err := p.beginCall(ctx, Call{Op: "commit", Purpose: purpose, Tx: tx})
 	if api.IsKind(err, api.KindStoreUnavailable) {
 		return platform.CommitResult{State: platform.CommitNotDone, Err: err}
 	}
-	lost := platform.CommitResult{State: platform.CommitUnknown, Err: api.NewError(api.KindStoreUnavailable, "the answer was lost")}
+	lostAnswer := platform.CommitResult{State: platform.CommitUnknown, Err: api.NewError(api.KindStoreUnavailable, "the answer was lost")}
 	switch {
 	case err != nil || fault.AppliesAfter > 0:
 		time.AfterFunc(fault.AppliesAfter, func() { p.apply(tx) })
-		return lost
+		return lostAnswer
 	case fault.LostBefore:
-		return lost
+		return lostAnswer
 	}
 	answer := p.apply(tx)
 	switch {
 	case fault.LostAfter:
-		return lost
+		return lostAnswer
 	case answer.Done:
 		return platform.CommitResult{State: platform.CommitDone, Now: answer.Now}
 	}
 	return platform.CommitResult{State: platform.CommitNotDone, Conflicts: answer.Conflicts, Now: answer.Now}
 }
 
-// apply makes the transaction take effect, or finds its conflicts.
+// apply applies the transaction, or returns its conflicts. A write id that was
+// already applied is not applied again, unless forgetsWriteIDs is set.
 func (p *Platform) apply(tx api.Tx) api.TxAnswer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	answer := api.TxAnswer{Now: p.now()}
-	if p.applied[tx.WriteID] && !p.forgetful {
+	answer := api.TxAnswer{Now: p.storeNow()}
+	if p.appliedWrites[tx.WriteID] && !p.forgetsWriteIDs {
 		answer.Done = true
 		return answer
 	}
@@ -170,37 +176,37 @@
 	if len(answer.Conflicts) > 0 {
 		return answer
 	}
-	p.write(tx)
+	p.applyOps(tx)
 	answer.Done = true
 	return answer
 }
 
-// write takes the lock as held.
-func (p *Platform) write(tx api.Tx) {
-	p.applied[tx.WriteID] = true
+// applyOps applies the operations of tx. The caller holds mu.
+func (p *Platform) applyOps(tx api.Tx) {
+	p.appliedWrites[tx.WriteID] = true
 	for _, op := range tx.Ops {
 		switch {
 		case op.Check:
 		case op.Delete:
 			delete(p.rows, op.Ref)
 		default:
-			p.sequence++
-			p.rows[op.Ref] = api.Row{Ref: op.Ref, Version: p.sequence, WriteID: tx.WriteID, Value: bytes.Clone(op.Value)}
+			p.lastVersion++
+			p.rows[op.Ref] = api.Row{Ref: op.Ref, Version: p.lastVersion, WriteID: tx.WriteID, Value: bytes.Clone(op.Value)}
 		}
 	}
 }
 
-// now takes the lock as held.
-func (p *Platform) now() time.Time { return time.Now().Add(p.skew).Round(0) }
+// storeNow returns the time of the store's clock. The caller holds mu.
+func (p *Platform) storeNow() time.Time { return time.Now().Add(p.clockSkew).Round(0) }
 
 // Read implements platform.Tables.
 func (p *Platform) Read(ctx context.Context, purpose platform.Purpose, refs ...api.Ref) (api.Rows, error) {
-	if err := p.query(ctx, Call{Op: "read", Purpose: purpose}); err != nil {
+	if err := p.beginQuery(ctx, Call{Op: "read", Purpose: purpose}); err != nil {
 		return api.Rows{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	rows := api.Rows{Now: p.now()}
+	rows := api.Rows{Now: p.storeNow()}
 	for _, ref := range refs {
 		row := p.rows[ref]
 		row.Ref = ref
@@ -209,9 +215,10 @@
 	return rows, nil
 }
 
-// query is begin for calls that change nothing: a lost answer is a failure.
-func (p *Platform) query(ctx context.Context, call Call) error {
-	fault, err := p.begin(ctx, call)
+// beginQuery is beginCall for calls without effect, for which a lost answer is a
+// failure.
+func (p *Platform) beginQuery(ctx context.Context, call Call) error {
+	fault, err := p.beginCall(ctx, call)
 	if err != nil || fault.LostBefore || fault.LostAfter || fault.AppliesAfter > 0 {
 		return api.NewError(api.KindStoreUnavailable, "%s: no answer", call.Op)
 	}
@@ -220,12 +227,12 @@
 
 // Scan implements platform.Tables.
 func (p *Platform) Scan(ctx context.Context, purpose platform.Purpose, query api.ScanQuery) (api.Rows, error) {
-	if err := p.query(ctx, Call{Op: "scan", Purpose: purpose}); err != nil {
+	if err := p.beginQuery(ctx, Call{Op: "scan", Purpose: purpose}); err != nil {
 		return api.Rows{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	rows := api.Rows{Now: p.now()}
+	rows := api.Rows{Now: p.storeNow()}
 	for ref, row := range p.rows {
 		if ref.Table == query.Table && strings.HasPrefix(ref.Key, query.Prefix) && ref.Key > query.After {
 			rows.Rows = append(rows.Rows, row)
@@ -240,13 +247,13 @@
 
 // Put implements platform.Objects.
 func (p *Platform) Put(ctx context.Context, name string, data []byte) error {
-	fault, err := p.begin(ctx, Call{Op: "put"})
+	fault, err := p.beginCall(ctx, Call{Op: "put"})
 	if err != nil || fault.LostBefore {
 		return api.NewError(api.KindStoreUnavailable, "put: no answer")
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if present, ok := p.objects[name]; ok && !bytes.Equal(present, data) {
+	if existing, ok := p.objects[name]; ok && !bytes.Equal(existing, data) {
 		return api.NewError(api.KindConflict, "object %s has other bytes", name)
 	}
 	p.objects[name] = bytes.Clone(data)
@@ -258,7 +265,7 @@
 
 // Get implements platform.Objects.
 func (p *Platform) Get(ctx context.Context, name string) ([]byte, error) {
-	if err := p.query(ctx, Call{Op: "get"}); err != nil {
+	if err := p.beginQuery(ctx, Call{Op: "get"}); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -272,7 +279,7 @@
 
 // List implements platform.InstanceLister.
 func (p *Platform) List(ctx context.Context) (api.InstanceList, error) {
-	if err := p.query(ctx, Call{Op: "list"}); err != nil {
+	if err := p.beginQuery(ctx, Call{Op: "list"}); err != nil {
 		return api.InstanceList{}, err
 	}
 	p.mu.Lock()
--- a/internal/platform/fake/random.go
+++ b/internal/platform/fake/random.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// RandomFault draws a fault with the given probability, else none. All faults
-// of a store are among them: refusal, delay, answers lost before and after the
-// write, and writes that take effect long after their answer was lost.
+// RandomFault returns a random fault with the given probability, and otherwise no
+// fault. The kinds of faults are equally likely: refusal, delay, calls lost before
+// and answers lost after the call takes effect, and commits that take effect only
+// after their answer was lost.
 func RandomFault(random *rand.Rand, probability float64) Fault {
 	if random.Float64() >= probability {
 		return Fault{}
