--- a/cmd/measure/experiment.go
+++ b/cmd/measure/experiment.go
@@ -16,36 +16,37 @@
 	"github.com/corianderbank/corianderbank/internal/measure"
 )
 
-// experiment plays days of deployments with mechanisms off, and says what each is
-// worth.
+// experiment simulates days of deployments with mechanisms disabled or constants
+// changed, and reports how each variant changes the value of the completed work.
 type experiment struct {
-	specs       []string
-	each        bool
-	plays       int
-	drawn       int
-	seed        uint64
-	dir         string
-	deployments []string
-	days        []string
+	variantSpecs     []string
+	eachMechanism    bool
+	simulations      int
+	drawnDeployments int
+	seed             uint64
+	plotDir          string
+	deploymentFiles  []string
+	dayFiles         []string
 }
 
 const (
-	// defaultPlays is the number of seeds a day and deployment.
-	defaultPlays = 4
-	// defaultDrawn is the number of deployments drawn around the users' own.
+	// defaultSimulations is the number of seeds for each day and deployment.
+	defaultSimulations = 4
+	// defaultDrawn is the number of deployments that are drawn at random around
+	// the users' deployments.
 	defaultDrawn = 10
 )
 
-func (e *experiment) flags(command *kingpin.CmdClause) {
+func (e *experiment) registerFlags(command *kingpin.CmdClause) {
 	command.Flag("variant", "Mechanisms that are off (without:NAME) and constants that are others (NAME=VALUE), with commas between; may be repeated.").
-		PlaceHolder("SPEC").StringsVar(&e.specs)
-	command.Flag("each", "Switch every mechanism off, one by one.").BoolVar(&e.each)
-	command.Flag("plays", "Seeds for each day and deployment.").Default(fmt.Sprint(defaultPlays)).IntVar(&e.plays)
-	command.Flag("drawn", "Deployments drawn at random beside the users' own.").Default(fmt.Sprint(defaultDrawn)).IntVar(&e.drawn)
+		PlaceHolder("SPEC").StringsVar(&e.variantSpecs)
+	command.Flag("each", "Switch every mechanism off, one by one.").BoolVar(&e.eachMechanism)
+	command.Flag("plays", "Seeds for each day and deployment.").Default(fmt.Sprint(defaultSimulations)).IntVar(&e.simulations)
+	command.Flag("drawn", "Deployments drawn at random beside the users' own.").Default(fmt.Sprint(defaultDrawn)).IntVar(&e.drawnDeployments)
 	command.Flag("seed", "Seed of the drawn deployments and of every play.").Default(fmt.Sprint(defaultSeed)).Uint64Var(&e.seed)
-	command.Flag("out", "Directory of a plot; none is drawn without it.").StringVar(&e.dir)
-	command.Flag("deployment", "File of a further deployment; may be repeated.").PlaceHolder("FILE").ExistingFilesVar(&e.deployments)
-	command.Flag("day", "File of a day to play instead of the usual ones; may be repeated.").PlaceHolder("FILE").ExistingFilesVar(&e.days)
+	command.Flag("out", "Directory of a plot; none is drawn without it.").StringVar(&e.plotDir)
+	command.Flag("deployment", "File of a further deployment; may be repeated.").PlaceHolder("FILE").ExistingFilesVar(&e.deploymentFiles)
+	command.Flag("day", "File of a day to play instead of the usual ones; may be repeated.").PlaceHolder("FILE").ExistingFilesVar(&e.dayFiles)
 }
 
 func (e *experiment) run(out io.Writer) error {
@@ -58,21 +59,21 @@
 		return err
 	}
 	differences := plan.Compare(emulator.Variant{Name: emulator.PolicyProduct}, variants)
-	if err := writeDifferences(out, differences); err != nil || e.dir == "" {
+	if err := writeDifferences(out, differences); err != nil || e.plotDir == "" {
 		return err
 	}
-	return plotDifferences(differences, filepath.Join(e.dir, "experiment.svg"))
+	return plotDifferences(differences, filepath.Join(e.plotDir, "experiment.svg"))
 }
 
 func (e *experiment) variants() ([]emulator.Variant, error) {
 	var variants []emulator.Variant
-	if e.each {
+	if e.eachMechanism {
 		for _, m := range dispatch.Mechanisms() {
 			variants = append(variants, emulator.Variant{Name: "without:" + string(m), Tuning: dispatch.Tuning{Without: []dispatch.Mechanism{m}}})
 		}
 	}
-	for _, spec := range e.specs {
-		v, err := variantOf(spec)
+	for _, spec := range e.variantSpecs {
+		v, err := parseVariant(spec)
 		if err != nil {
 			return nil, err
 		}
@@ -84,8 +85,9 @@
 	return variants, nil
 }
 
-// variantOf reads the description of a variant.
-func variantOf(spec string) (emulator.Variant, error) {
+// parseVariant parses a comma-separated list of without:MECHANISM, CHOICE:POLICY
+// and NUMBER=VALUE.
+func parseVariant(spec string) (emulator.Variant, error) {
 	v := emulator.Variant{Name: spec, Tuning: dispatch.Tuning{
 		Numbers: make(map[dispatch.Number]float64), Choices: make(map[dispatch.Choice]string),
 	}}
@@ -94,8 +96,8 @@
 			v.Tuning.Without = append(v.Tuning.Without, dispatch.Mechanism(name))
 			continue
 		}
-		if choice, way, chosen := strings.Cut(part, ":"); chosen {
-			v.Tuning.Choices[dispatch.Choice(choice)] = way
+		if choice, policy, chosen := strings.Cut(part, ":"); chosen {
+			v.Tuning.Choices[dispatch.Choice(choice)] = policy
 			continue
 		}
 		name, text, _ := strings.Cut(part, "=")
@@ -108,45 +110,47 @@
 	return v, v.Tuning.Check()
 }
 
-// plan is the users' deployments, those of files, and some drawn around the users'.
+// plan returns a plan with the users' deployments, those read from files and those
+// drawn around the users', and with the days from files or else the default days.
 func (e *experiment) plan() (*emulator.Plan, error) {
-	own, err := emulator.Deployments()
+	userDeployments, err := emulator.Deployments()
 	if err != nil {
 		return nil, err
 	}
-	drawn, err := emulator.Drawn(own, e.drawn, e.seed)
+	drawn, err := emulator.Drawn(userDeployments, e.drawnDeployments, e.seed)
 	if err != nil {
 		return nil, err
 	}
-	further, err := readAll(e.deployments, emulator.ReadDeployment)
+	fromFiles, err := readFiles(e.deploymentFiles, emulator.ReadDeployment)
 	if err != nil {
 		return nil, err
 	}
-	days, err := readAll(e.days, emulator.ReadDay)
+	days, err := readFiles(e.dayFiles, emulator.ReadDay)
 	if err == nil && len(days) == 0 {
 		days, err = emulator.Days()
 	}
-	deployments := append(append(own, further...), drawn...)
-	return &emulator.Plan{Deployments: deployments, Days: days, Plays: e.plays, Seed: e.seed}, err
+	deployments := append(append(userDeployments, fromFiles...), drawn...)
+	return &emulator.Plan{Deployments: deployments, Days: days, Plays: e.simulations, Seed: e.seed}, err
 }
 
-func readAll[T any](names []string, read func(name string, data []byte) (T, error)) ([]T, error) {
+func readFiles[T any](names []string, read func(name string, data []byte) (T, error)) ([]T, error) {
 	var list []T
 	for _, name := range names {
 		data, err := os.ReadFile(name)
 		if err != nil {
 			return nil, err
 		}
-		one, err := read(name, data)
+		item, err := read(name, data)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, one)
+		list = append(list, item)
 	}
 	return list, nil
 }
 
-// writeDifferences writes a table; a change whose interval leaves out zero is marked.
+// writeDifferences writes a table of the changes. It marks those whose confidence
+// interval excludes zero with an asterisk.
 func writeDifferences(out io.Writer, list []emulator.Difference) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "VARIANT\tDEPLOYMENT\tPLAYS\tBASE\tVARIANT\tCHANGE\tINTERVAL\t")
@@ -163,9 +167,9 @@
 	return w.Flush()
 }
 
-// plotDifferences draws the changes on all deployments together.
+// plotDifferences plots the changes over all deployments together.
 func plotDifferences(list []emulator.Difference, path string) error {
-	changes := measure.Changes{Title: "worth of a variant against corianderbank", Unit: "worth"}
+	changes := measure.ChangeChart{Title: "worth of a variant against corianderbank", Unit: "worth"}
 	for _, d := range list {
 		if d.Deployment == "" {
 			changes.Names = append(changes.Names, d.Variant)
--- a/internal/measure/capacity/capacity.go
+++ b/internal/measure/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity measures what the parts of the product cost on this machine,
-// at several sizes, and fits the slopes that docs/CAPACITY.md works with. Its
-// figures are of real time and vary from run to run.
+// Package capacity measures the resource use of parts of the product on this
+// machine at several sizes, and fits the slopes that docs/CAPACITY.md uses. It
+// measures real time, so its figures vary from run to run.
 package capacity
 
 import (
@@ -15,33 +15,33 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement.
+// Point is one measurement at one size.
 type Point struct {
-	// Size is the number of workers, tasks, accounts or whatever was varied.
+	// Size is the varied quantity, for example the number of workers or accounts.
 	Size float64
-	// Values are in the order of the series' names.
+	// Values are in the order of Series.Names.
 	Values []float64
 }
 
-// Series is a row of measurements over one size.
+// Series is a sequence of measurements at different sizes.
 type Series struct {
 	Title string
-	// SizeName and Names are the columns, with units.
+	// SizeName and Names are the column headers, with units.
 	SizeName string
 	Names    []string
 	Points   []Point
 }
 
-// Fit is a line through one column: value = At + Slope * size.
+// Fit is the linear fit of one column: value = Intercept + Slope * size.
 type Fit struct {
-	Name  string
-	At    float64
-	Slope float64
-	// Spread is the root of the mean squared distance of the points from it.
-	Spread float64
+	Name      string
+	Intercept float64
+	Slope     float64
+	// RMSE is the root mean square error of the fit.
+	RMSE float64
 }
 
-// Fits returns the line of each column.
+// Fits returns the linear fit of each column.
 func (s Series) Fits() []Fit {
 	sizes := make([]float64, len(s.Points))
 	for i, point := range s.Points {
@@ -53,22 +53,22 @@
 		for i, point := range s.Points {
 			values[i] = point.Values[column]
 		}
-		at, slope := stat.LinearRegression(sizes, values, nil, false)
-		fits[column] = Fit{Name: name, At: at, Slope: slope, Spread: spread(sizes, values, at, slope)}
+		intercept, slope := stat.LinearRegression(sizes, values, nil, false)
+		fits[column] = Fit{Name: name, Intercept: intercept, Slope: slope, RMSE: rootMeanSquareError(sizes, values, intercept, slope)}
 	}
 	return fits
 }
 
-func spread(sizes, values []float64, at, slope float64) float64 {
+func rootMeanSquareError(sizes, values []float64, intercept, slope float64) float64 {
 	sum := 0.0
 	for i := range sizes {
-		distance := values[i] - (at + slope*sizes[i])
+		distance := values[i] - (intercept + slope*sizes[i])
 		sum += distance * distance
 	}
 	return math.Sqrt(sum / float64(len(sizes)))
 }
 
-// Write prints the points and the fitted lines.
+// Write writes the points and the linear fits as a table.
 func (s Series) Write(w io.Writer) error {
 	fmt.Fprintf(w, "%s\n", s.Title)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -87,7 +87,7 @@
 	for _, line := range []string{"at 0", "slope", "spread"} {
 		fmt.Fprintf(table, "%s", line)
 		for _, fit := range s.Fits() {
-			fmt.Fprintf(table, "\t%.4g", map[string]float64{"at 0": fit.At, "slope": fit.Slope, "spread": fit.Spread}[line])
+			fmt.Fprintf(table, "\t%.4g", map[string]float64{"at 0": fit.Intercept, "slope": fit.Slope, "spread": fit.RMSE}[line])
 		}
 		fmt.Fprintln(table)
 	}
@@ -95,26 +95,27 @@
 	return table.Flush()
 }
 
-// usage is what the process has used so far.
+// usage is the CPU time that the process has used up to a point in time.
 type usage struct {
 	cpu time.Duration
 	at  time.Time
 }
 
-func usageNow() usage {
+func currentUsage() usage {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	cpu := time.Duration(r.Utime.Nano()+r.Stime.Nano()) * time.Nanosecond
 	return usage{cpu: cpu, at: time.Now()}
 }
 
-// corePercent is the share of one core used since before, in percent.
+// corePercent returns the CPU use since before, in percent of one core.
 func corePercent(before usage) float64 {
-	now := usageNow()
+	now := currentUsage()
 	return 100 * float64(now.cpu-before.cpu) / float64(now.at.Sub(before.at))
 }
 
-// heapMB is the live heap after a collection, in megabytes.
+// heapMB runs a garbage collection and returns the size of the live heap, in
+// units of 2^20 bytes.
 func heapMB() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/measure/capacity/config.go
+++ b/internal/measure/capacity/config.go
@@ -14,15 +14,16 @@
 	"github.com/corianderbank/corianderbank/internal/strictjson"
 )
 
-// The shape of the measured documents: each account has guarantees in every
-// zone and two rules of its own.
+// The dimensions of the measured documents, in which each account has guarantees
+// in every zone and two rules of its own, and the repetitions of each measurement.
 const (
 	configZones     = 10
 	rulesPerAccount = 2
 	configRepeats   = 20
 )
 
-// ConfigAccounts measures a configuration over the number of client accounts.
+// ConfigAccounts measures the size of a configuration and the time to parse,
+// check, apply and evaluate it, for each number of client accounts.
 func ConfigAccounts(sizes []int) (Series, error) {
 	series := Series{
 		Title:    "configuration with guarantees in 10 zones and two rules an account",
@@ -40,7 +41,7 @@
 }
 
 func configPoint(size int) (Point, error) {
-	data, err := json.Marshal(documentOf(size))
+	data, err := json.Marshal(newDocument(size))
 	if err != nil {
 		return Point{}, err
 	}
@@ -50,31 +51,31 @@
 		return Point{}, err
 	}
 	heapKB := (heapMB() - before) * 1024
-	parse := timed(func() { _, _ = config.Parse("configuration", data) })
-	check := timed(func() { config.Check(document, strictjson.Index("configuration", data)) })
-	take := timed(func() {
+	parse := meanDuration(func() { _, _ = config.Parse("configuration", data) })
+	check := meanDuration(func() { config.Check(document, strictjson.Index("configuration", data)) })
+	offer := meanDuration(func() {
 		sum := sha256.Sum256(data)
 		_, _ = config.NewManager(config.Options{}).Offer(1, hex.EncodeToString(sum[:]), data)
 	})
 	set := rules.NewSet(document.Rules)
-	last := rules.Situation{Work: rules.WorkRequest, Account: "nobody", Kind: "none"}
-	decide := timed(func() { set.Decide(last) })
+	unmatchedSituation := rules.Situation{Work: rules.WorkRequest, Account: "nobody", Kind: "none"}
+	decide := meanDuration(func() { set.Decide(unmatchedSituation) })
 	const perMS, perUS = float64(time.Millisecond), float64(time.Microsecond)
 	return Point{Size: float64(size), Values: []float64{
-		float64(len(data)) / 1024, float64(len(config.Pack(data))) / 1024, float64(parse) / perMS, float64(check) / perMS, float64(take) / perMS, heapKB, float64(decide) / perUS,
+		float64(len(data)) / 1024, float64(len(config.Pack(data))) / 1024, float64(parse) / perMS, float64(check) / perMS, float64(offer) / perMS, heapKB, float64(decide) / perUS,
 	}}, nil
 }
 
-// timed returns the mean time of f.
-func timed(f func()) time.Duration {
+// meanDuration returns the mean duration of configRepeats calls of fn.
+func meanDuration(fn func()) time.Duration {
 	started := time.Now()
 	for range configRepeats {
-		f()
+		fn()
 	}
 	return time.Since(started) / configRepeats
 }
 
-func documentOf(size int) config.Document {
+func newDocument(size int) config.Document {
 	var document config.Document
 	for i := range size {
 		name := fmt.Sprintf("account-%04d", i)
--- a/internal/measure/capacity/path.go
+++ b/internal/measure/capacity/path.go
@@ -16,35 +16,38 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// Path is one way to a backend server: straight, or through an entry instance.
+// Path is a request path to a backend server, either direct or through an entry
+// instance.
 type Path struct {
 	Name string
-	// URL is posted to, for example http://127.0.0.1:7001/v1/requests.
+	// URL is the target of the POST requests, for example
+	// http://127.0.0.1:7001/v1/requests.
 	URL string
-	// Direct says that URL is a backend server's own.
+	// Direct is set if URL belongs to a backend server.
 	Direct bool
 }
 
-// PathResult is what callers of a path saw.
+// PathResult holds the throughput and latencies that callers of a path measured.
 type PathResult struct {
 	Name        string
 	Concurrency int
 	PerSecond   float64
 	P50, P99    time.Duration
-	// NotDone counts the answers other than done.
+	// NotDone counts the calls without a successful answer.
 	NotDone int64
 }
 
-// maxLatency is the top of the histogram.
+// maxLatency is the highest latency that the histogram records.
 const maxLatency = time.Minute
 
 // requestTimeout bounds one call.
 const requestTimeout = 30 * time.Second
 
-// MeasurePath keeps concurrency calls under way for a time.
-func MeasurePath(path Path, concurrency int, length, work time.Duration) PathResult {
+// MeasurePath keeps the given number of calls in flight for the duration. Each
+// asks the backend server to work for the time work.
+func MeasurePath(path Path, concurrency int, duration, work time.Duration) PathResult {
 	client := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: concurrency, MaxConnsPerHost: concurrency}}
-	until := time.Now().Add(length)
+	deadline := time.Now().Add(duration)
 	var (
 		mu        sync.Mutex
 		histogram = hdrhistogram.New(1, maxLatency.Microseconds(), 3)
@@ -54,13 +57,13 @@
 	started := time.Now()
 	for caller := range concurrency {
 		callers.Go(func() {
-			for i := 0; time.Now().Before(until); i++ {
-				begin := time.Now()
+			for i := 0; time.Now().Before(deadline); i++ {
+				start := time.Now()
 				if !call(client, path, fmt.Sprintf("p-%d-%d", caller, i), work) {
 					notDone.Add(1)
 				}
 				mu.Lock()
-				_ = histogram.RecordValue(time.Since(begin).Microseconds())
+				_ = histogram.RecordValue(time.Since(start).Microseconds())
 				mu.Unlock()
 			}
 		})
@@ -75,7 +78,7 @@
 	}
 }
 
-// call makes one call and reports whether its answer is done.
+// call sends one request and reports whether it succeeded.
 func call(client *http.Client, path Path, id string, work time.Duration) bool {
 	payload := json.RawMessage(fmt.Sprintf(`{"work_ms":%d}`, work.Milliseconds()))
 	var body any = api.RequestSubmission{Account: "acme", Kind: "scan", Idempotent: true, Payload: payload}
--- a/internal/measure/capacity/placer.go
+++ b/internal/measure/capacity/placer.go
@@ -23,32 +23,32 @@
 	"github.com/corianderbank/corianderbank/internal/standin"
 )
 
-// The sizes of a zone in the measurement. At the target a zone has 640 workers
-// of 8 accelerators and 2,100 running tasks.
+// The dimensions and timing of a measured zone. A zone of the target size has
+// 640 workers of 8 accelerators each and 2,100 running tasks.
 const (
-	zoneName            = "zone"
-	workersPerRack      = 8
-	acceleratorsEach    = 8
-	acceleratorsPerTask = 2
-	tasksPerGang        = 4
-	tasksPerWorker      = 2100.0 / 640
-	workerLease         = 15 * time.Second
-	placerLease         = 4 * time.Second
-	placeInterval       = 200 * time.Millisecond
-	settleTime          = 3 * time.Second
-	submissionTimeout   = 30 * time.Second
+	zoneName              = "zone"
+	workersPerRack        = 8
+	acceleratorsPerWorker = 8
+	acceleratorsPerTask   = 2
+	tasksPerGang          = 4
+	tasksPerWorker        = 2100.0 / 640
+	workerLease           = 15 * time.Second
+	placerLease           = 4 * time.Second
+	placeInterval         = 200 * time.Millisecond
+	settleTime            = 3 * time.Second
+	submissionTimeout     = 30 * time.Second
 )
 
-// PlacerWorkers measures a zone's placer with running gangs over the number of
+// PlacerWorkers measures a zone's placer with running gangs for each number of
 // workers.
-func PlacerWorkers(sizes []int, each time.Duration) (Series, error) {
+func PlacerWorkers(sizes []int, duration time.Duration) (Series, error) {
 	series := Series{
 		Title:    "placer with 3.3 running tasks a worker, gangs of 4 tasks, nothing waiting",
 		SizeName: "workers",
 		Names:    []string{"core %", "heap MB", "bytes/s with workers", "calls/s to workers", "store calls/s"},
 	}
 	for _, size := range sizes {
-		point, err := placerPoint(size, each)
+		point, err := placerPoint(size, duration)
 		if err != nil {
 			return series, err
 		}
@@ -57,15 +57,15 @@
 	return series, nil
 }
 
-// PlacerWaiting measures a full zone's placer over the number of jobs that wait.
-func PlacerWaiting(workers int, sizes []int, each time.Duration) (Series, error) {
+// PlacerWaiting measures a full zone's placer for each number of waiting jobs.
+func PlacerWaiting(workers int, sizes []int, duration time.Duration) (Series, error) {
 	series := Series{
 		Title:    fmt.Sprintf("placer of %d full workers over the number of waiting jobs", workers),
 		SizeName: "waiting",
 		Names:    []string{"core %", "heap MB"},
 	}
 	for _, size := range sizes {
-		point, err := waitingPoint(workers, size, each)
+		point, err := waitingPoint(workers, size, duration)
 		if err != nil {
 			return series, err
 		}
@@ -74,83 +74,83 @@
 	return series, nil
 }
 
-func waitingPoint(workers, waiting int, each time.Duration) (Point, error) {
-	z := newZone(workers)
-	before := heapMB()
-	running, stop := z.run()
+func waitingPoint(workers, waiting int, duration time.Duration) (Point, error) {
+	z := newSimulatedZone(workers)
+	heapBefore := heapMB()
+	zonePlacer, stop := z.startPlacer()
 	defer stop()
-	full := workers * acceleratorsEach / (tasksPerGang * acceleratorsPerTask)
-	if err := z.fill(running, full+waiting); err != nil {
+	fittingGangs := workers * acceleratorsPerWorker / (tasksPerGang * acceleratorsPerTask)
+	if err := z.submitGangs(zonePlacer, fittingGangs+waiting); err != nil {
 		return Point{}, err
 	}
 	time.Sleep(settleTime)
-	used := usageNow()
-	time.Sleep(each)
-	return Point{Size: float64(waiting), Values: []float64{corePercent(used), heapMB() - before}}, nil
+	usageBefore := currentUsage()
+	time.Sleep(duration)
+	return Point{Size: float64(waiting), Values: []float64{corePercent(usageBefore), heapMB() - heapBefore}}, nil
 }
 
-// zone is a placer over stand-in workers in one process. Calls go through JSON
-// as on the wire, without sockets.
-type zone struct {
-	platform *fake.Platform
-	workers  map[string]*standin.Worker
-	order    []model.Worker
-	bytes    atomic.Int64
-	calls    atomic.Int64
+// simulatedZone is a zone of stand-in workers in one process. Calls are encoded
+// as JSON as on the wire, but use no sockets.
+type simulatedZone struct {
+	platform    *fake.Platform
+	workers     map[string]*standin.Worker
+	workerList  []model.Worker
+	wireBytes   atomic.Int64
+	workerCalls atomic.Int64
 }
 
-func newZone(count int) *zone {
-	z := &zone{platform: fake.New(), workers: make(map[string]*standin.Worker)}
+func newSimulatedZone(count int) *simulatedZone {
+	z := &simulatedZone{platform: fake.New(), workers: make(map[string]*standin.Worker)}
 	for i := range count {
 		id := fmt.Sprintf("worker-%04d", i)
 		rack := fmt.Sprintf("rack-%03d", i/workersPerRack)
-		z.workers[id] = standin.NewWorker(standin.WorkerConfig{ID: id, Zone: zoneName, Rack: rack, Incarnation: 1, Accelerators: acceleratorsEach}, nil, nil)
-		z.order = append(z.order, model.Worker{ID: id, Addr: id, Zone: zoneName, Incarnation: 1})
+		z.workers[id] = standin.NewWorker(standin.WorkerConfig{ID: id, Zone: zoneName, Rack: rack, Incarnation: 1, Accelerators: acceleratorsPerWorker}, nil, nil)
+		z.workerList = append(z.workerList, model.Worker{ID: id, Addr: id, Zone: zoneName, Incarnation: 1})
 	}
 	return z
 }
 
-func placerPoint(size int, each time.Duration) (Point, error) {
-	z := newZone(size)
+func placerPoint(size int, duration time.Duration) (Point, error) {
+	z := newSimulatedZone(size)
 	heapBefore := heapMB()
-	running, stop := z.run()
+	zonePlacer, stop := z.startPlacer()
 	defer stop()
-	if err := z.fill(running, int(float64(size)*tasksPerWorker/tasksPerGang)); err != nil {
+	if err := z.submitGangs(zonePlacer, int(float64(size)*tasksPerWorker/tasksPerGang)); err != nil {
 		return Point{}, err
 	}
 	time.Sleep(settleTime)
-	before, bytes, calls, storeCalls := usageNow(), z.bytes.Load(), z.calls.Load(), z.storeCalls()
-	time.Sleep(each)
-	seconds := each.Seconds()
-	cpu := corePercent(before)
+	usageBefore, bytesBefore, callsBefore, storeCallsBefore := currentUsage(), z.wireBytes.Load(), z.workerCalls.Load(), z.storeCalls()
+	time.Sleep(duration)
+	seconds := duration.Seconds()
+	cpu := corePercent(usageBefore)
 	return Point{Size: float64(size), Values: []float64{
 		cpu, heapMB() - heapBefore,
-		float64(z.bytes.Load()-bytes) / seconds, float64(z.calls.Load()-calls) / seconds,
-		float64(z.storeCalls()-storeCalls) / seconds,
+		float64(z.wireBytes.Load()-bytesBefore) / seconds, float64(z.workerCalls.Load()-callsBefore) / seconds,
+		float64(z.storeCalls()-storeCallsBefore) / seconds,
 	}}, nil
 }
 
-func (z *zone) storeCalls() int {
+func (z *simulatedZone) storeCalls() int {
 	return z.platform.Calls("commit") + z.platform.Calls("read") + z.platform.Calls("scan")
 }
 
-// run starts the zone's placer and waits until it knows the workers.
-func (z *zone) run() (running *placer.Placer, stop func()) {
-	running = newPlacer(z, z.platform)
+// startPlacer starts the zone's placer and waits for it to discover the workers.
+func (z *simulatedZone) startPlacer() (zonePlacer *placer.Placer, stop func()) {
+	zonePlacer = newPlacer(z, z.platform)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		running.Run(ctx)
+		zonePlacer.Run(ctx)
 		close(done)
 	}()
 	time.Sleep(settleTime)
-	return running, func() {
+	return zonePlacer, func() {
 		cancel()
 		<-done
 	}
 }
 
-func newPlacer(z *zone, platform *fake.Platform) *placer.Placer {
+func newPlacer(z *simulatedZone, platform *fake.Platform) *placer.Placer {
 	return placer.New(placer.Options{
 		Zone: zoneName, Instance: "entry-0", Config: z, Fleet: z, Jobs: jobstore.New(platform),
 		Leases: lease.New(platform, placerLease), Workers: z, Runs: estimate.NewHistory(), Health: quarantine.NewTracker(),
@@ -160,13 +160,13 @@
 	})
 }
 
-// fill starts gangs that outlast the measurement.
-func (z *zone) fill(running *placer.Placer, gangs int) error {
+// submitGangs submits gangs whose run time exceeds the measurement.
+func (z *simulatedZone) submitGangs(zonePlacer *placer.Placer, gangs int) error {
 	verdict := rules.NewSet([]rules.Rule{{Name: "all"}}).Decide(rules.Situation{})
 	for i := range gangs {
 		id := fmt.Sprintf("j-%05d~%s", i, zoneName)
 		callCtx, cancel := context.WithTimeout(context.Background(), submissionTimeout)
-		_, err := running.Submit(callCtx, placer.Submission{ID: id, Verdict: verdict, Job: api.JobSubmission{
+		_, err := zonePlacer.Submit(callCtx, placer.Submission{ID: id, Verdict: verdict, Job: api.JobSubmission{
 			Account: fmt.Sprintf("account-%d", i%16), Kind: "train", Idempotent: true, Checkpointable: true,
 			Shape: api.Shape{Tasks: tasksPerGang, AcceleratorsPerTask: acceleratorsPerTask}, DeclaredRunS: 7200,
 			Payload: json.RawMessage(`{"run_ms":7200000}`),
@@ -180,7 +180,7 @@
 }
 
 // Current implements config.Source.
-func (z *zone) Current() *config.Snapshot {
+func (z *simulatedZone) Current() *config.Snapshot {
 	document := &config.Document{}
 	for i := range 16 {
 		document.Accounts = append(document.Accounts, model.ClientAccount{Name: fmt.Sprintf("account-%d", i)})
@@ -189,63 +189,66 @@
 }
 
 // Instances implements membership.View.
-func (z *zone) Instances() []model.Instance { return nil }
+func (z *simulatedZone) Instances() []model.Instance { return nil }
 
 // BackendServers implements membership.View.
-func (z *zone) BackendServers(string) []model.BackendServer { return nil }
+func (z *simulatedZone) BackendServers(string) []model.BackendServer { return nil }
 
 // Workers implements membership.View.
-func (z *zone) Workers(string) []model.Worker { return append([]model.Worker(nil), z.order...) }
+func (z *simulatedZone) Workers(string) []model.Worker {
+	return append([]model.Worker(nil), z.workerList...)
+}
 
-// carry passes a message through JSON, as the wire would, and counts it.
-func carry[T any](z *zone, message T) T {
-	var carried T
+// jsonRoundTrip encodes and decodes a message as a network call would, and adds
+// its size to wireBytes.
+func jsonRoundTrip[T any](z *simulatedZone, message T) T {
+	var decoded T
 	data, err := json.Marshal(message)
 	if err == nil {
-		err = json.Unmarshal(data, &carried)
+		err = json.Unmarshal(data, &decoded)
 	}
 	if err != nil {
-		panic(err) // the messages are the product's own types
+		panic(err) // the product's message types always encode and decode
 	}
-	z.bytes.Add(int64(len(data)))
-	return carried
+	z.wireBytes.Add(int64(len(data)))
+	return decoded
 }
 
 // Reserve implements worker.Client.
-func (z *zone) Reserve(_ context.Context, addr string, call api.Reserve) error {
-	z.calls.Add(1)
-	_, err := z.workers[addr].Reserve(carry(z, call))
+func (z *simulatedZone) Reserve(_ context.Context, addr string, call api.Reserve) error {
+	z.workerCalls.Add(1)
+	_, err := z.workers[addr].Reserve(jsonRoundTrip(z, call))
 	return err
 }
 
 // Start implements worker.Client.
-func (z *zone) Start(ctx context.Context, addr string, call api.Start) error {
-	z.calls.Add(1)
-	_, err := z.workers[addr].Start(ctx, carry(z, call))
+func (z *simulatedZone) Start(ctx context.Context, addr string, call api.Start) error {
+	z.workerCalls.Add(1)
+	_, err := z.workers[addr].Start(ctx, jsonRoundTrip(z, call))
 	return err
 }
 
 // Release implements worker.Client.
-func (z *zone) Release(_ context.Context, addr string, call api.Release) error {
-	z.calls.Add(1)
-	return z.workers[addr].Release(carry(z, call))
+func (z *simulatedZone) Release(_ context.Context, addr string, call api.Release) error {
+	z.workerCalls.Add(1)
+	return z.workers[addr].Release(jsonRoundTrip(z, call))
 }
 
 // Stop implements worker.Client.
-func (z *zone) Stop(_ context.Context, addr string, call api.Stop) (api.StopAnswer, error) {
-	z.calls.Add(1)
-	return z.workers[addr].Stop(carry(z, call))
+func (z *simulatedZone) Stop(_ context.Context, addr string, call api.Stop) (api.StopAnswer, error) {
+	z.workerCalls.Add(1)
+	return z.workers[addr].Stop(jsonRoundTrip(z, call))
 }
 
 // Checkpoint implements worker.Client.
-func (z *zone) Checkpoint(ctx context.Context, addr string, call api.Stop) (api.StopAnswer, error) {
-	z.calls.Add(1)
-	return z.workers[addr].Checkpoint(ctx, carry(z, call))
+func (z *simulatedZone) Checkpoint(ctx context.Context, addr string, call api.Stop) (api.StopAnswer, error) {
+	z.workerCalls.Add(1)
+	return z.workers[addr].Checkpoint(ctx, jsonRoundTrip(z, call))
 }
 
 // Renew implements worker.Client.
-func (z *zone) Renew(_ context.Context, addr string, call api.Renew) (api.WorkerReport, error) {
-	z.calls.Add(1)
-	report, err := z.workers[addr].Renew(carry(z, call))
-	return carry(z, report), err
+func (z *simulatedZone) Renew(_ context.Context, addr string, call api.Renew) (api.WorkerReport, error) {
+	z.workerCalls.Add(1)
+	report, err := z.workers[addr].Renew(jsonRoundTrip(z, call))
+	return jsonRoundTrip(z, report), err
 }
--- a/internal/measure/compare.go
+++ b/internal/measure/compare.go
@@ -6,28 +6,29 @@
 	"strings"
 )
 
-// Better says which way a figure improves.
-type Better int
+// Direction is the direction in which a figure improves.
+type Direction int
 
-// The directions.
+// The directions in which a figure can improve.
 const (
-	Lower Better = iota
-	Higher
+	LowerIsBetter Direction = iota
+	HigherIsBetter
 )
 
-// Compared is a figure by which policies are compared.
-type Compared struct {
-	Name   string
-	Better Better
+// ComparedFigure is a figure that is compared between policies.
+type ComparedFigure struct {
+	Name      string
+	Direction Direction
 }
 
-// tolerance is by how much a row may be worse than the best baseline.
-const tolerance = 0.05
+// shortfallTolerance is the share by which a figure may be worse than that of
+// the best baseline.
+const shortfallTolerance = 0.05
 
-// WriteWorse lists where the product is worse than the best baseline by more
-// than the tolerance, one line for each pattern, deployment and figure. It
-// returns the number of lines.
-func WriteWorse(out io.Writer, rows []Row, product string, baselines []string, figures []Compared) (int, error) {
+// WriteShortfalls lists the figures in which the product is worse than the best
+// baseline by more than the tolerance, with one line for each pattern,
+// deployment and figure. It returns the number of lines.
+func WriteShortfalls(out io.Writer, rows []Row, product string, baselines []string, figures []ComparedFigure) (int, error) {
 	var text strings.Builder
 	count := 0
 	for i := range rows {
@@ -35,7 +36,7 @@
 			continue
 		}
 		for _, figure := range figures {
-			line := worseLine(rows, &rows[i], baselines, figure)
+			line := shortfallLine(rows, &rows[i], baselines, figure)
 			if line != "" {
 				count++
 				text.WriteString(line)
@@ -46,35 +47,37 @@
 	return count, err
 }
 
-// worseLine describes how far a row is behind its best baseline, or is empty.
-func worseLine(rows []Row, row *Row, baselines []string, figure Compared) string {
+// shortfallLine describes by how much a row is worse than its best baseline. It
+// returns an empty string if the row is within the tolerance.
+func shortfallLine(rows []Row, row *Row, baselines []string, figure ComparedFigure) string {
 	value, ok := row.Find(figure.Name)
 	if !ok {
 		return ""
 	}
-	best, name := 0.0, ""
+	best, bestPolicy := 0.0, ""
 	for i := range rows {
 		other := &rows[i]
 		if other.Part != row.Part || other.Pattern != row.Pattern || other.Deployment != row.Deployment || !contains(baselines, other.Policy) {
 			continue
 		}
-		if v, ok := other.Find(figure.Name); ok && (name == "" || ahead(v, best, figure.Better, 0)) {
-			best, name = v, other.Policy
+		if v, ok := other.Find(figure.Name); ok && (bestPolicy == "" || betterBy(v, best, figure.Direction, 0)) {
+			best, bestPolicy = v, other.Policy
 		}
 	}
-	if name == "" || !ahead(best, value, figure.Better, tolerance) {
+	if bestPolicy == "" || !betterBy(best, value, figure.Direction, shortfallTolerance) {
 		return ""
 	}
 	return fmt.Sprintf("- %s, %s: %s %s against %s (%s)\n",
-		row.Pattern, row.Deployment, figure.Name, FormatValue(value), FormatValue(best), name)
+		row.Pattern, row.Deployment, figure.Name, FormatValue(value), FormatValue(best), bestPolicy)
 }
 
-// ahead reports whether a is better than b by more than the share.
-func ahead(a, b float64, better Better, share float64) bool {
-	if better == Higher {
-		return b < a*(1-share)
+// betterBy reports whether a is better than b by more than margin, which is a
+// share of a.
+func betterBy(a, b float64, direction Direction, margin float64) bool {
+	if direction == HigherIsBetter {
+		return b < a*(1-margin)
 	}
-	return b > a*(1+share)
+	return b > a*(1+margin)
 }
 
 func contains(names []string, name string) bool {
--- a/internal/measure/gangload/baseline.go
+++ b/internal/measure/gangload/baseline.go
@@ -9,93 +9,95 @@
 	"github.com/corianderbank/corianderbank/internal/placement"
 )
 
-// firstFit is the baseline: jobs in order of submission, each on the first
-// workers that hold it. With backfill, later jobs go ahead if by the declared
-// times they do not delay the first that waits.
+// firstFit is the baseline policy. It starts jobs in order of submission, each on
+// the first workers with enough free accelerators. With backfill, later jobs may
+// start earlier if, by the declared run times, they do not delay the first
+// waiting job (EASY backfilling).
 type firstFit struct {
 	backfill bool
 }
 
-// Admit implements Policy: everything is let in.
+// Admit implements Policy. It admits every job.
 func (f *firstFit) Admit(placement.Snapshot, model.Job) *placement.Refusal { return nil }
 
-// Quarantines implements Policy.
-func (f *firstFit) Quarantines() bool { return false }
+// UsesQuarantine implements Policy.
+func (f *firstFit) UsesQuarantine() bool { return false }
 
 // Decide implements Policy.
 func (f *firstFit) Decide(s placement.Snapshot) placement.Plan {
-	free := freeOf(s)
+	freeByWorker := freeAccelerators(s)
 	var plan placement.Plan
-	var shadow time.Time
-	var spare []int
+	var shadowTime time.Time
+	var extra []int
 	for i := range s.Waiting {
 		job := &s.Waiting[i]
-		end := s.Now.Add(max(time.Second, job.DeclaredRun-job.Progress))
-		usable, outlasts := free, !shadow.IsZero() && end.After(shadow)
+		expectedEnd := s.Now.Add(max(time.Second, job.DeclaredRun-job.Progress))
+		usable, outlasts := freeByWorker, !shadowTime.IsZero() && expectedEnd.After(shadowTime)
 		if outlasts {
-			usable = lower(free, spare)
+			usable = minVector(freeByWorker, extra)
 		}
-		tasks := fitFirst(s.Workers, usable, job.Shape)
+		tasks := placeFirstFit(s.Workers, usable, job.Shape)
 		if tasks == nil {
 			if !f.backfill {
 				return plan
 			}
-			if shadow.IsZero() {
-				shadow, spare = shadowOf(s, free, plan, job.Shape)
+			if shadowTime.IsZero() {
+				shadowTime, extra = findShadow(s, freeByWorker, plan, job.Shape)
 			}
 			continue
 		}
-		take(s.Workers, free, tasks)
+		allocate(s.Workers, freeByWorker, tasks)
 		if outlasts {
-			take(s.Workers, spare, tasks)
+			allocate(s.Workers, extra, tasks)
 		}
-		plan.Placements = append(plan.Placements, placement.Placement{JobID: job.ID, Tasks: tasks, ExpectedEnd: end})
+		plan.Placements = append(plan.Placements, placement.Placement{JobID: job.ID, Tasks: tasks, ExpectedEnd: expectedEnd})
 	}
 	return plan
 }
 
-// freeOf counts the free accelerators by worker.
-func freeOf(s placement.Snapshot) []int {
+// freeAccelerators returns the number of free accelerators of each worker, in the
+// order of the workers.
+func freeAccelerators(s placement.Snapshot) []int {
 	free := make([]int, len(s.Workers))
-	held := make(map[string]int)
+	used := make(map[string]int)
 	for _, gang := range s.Gangs {
 		for _, p := range gang.Placements {
-			held[p.Worker] += p.Accelerators
+			used[p.Worker] += p.Accelerators
 		}
 	}
 	for i, worker := range s.Workers {
 		if worker.Takes() {
-			free[i] = worker.Accelerators - held[worker.ID]
+			free[i] = worker.Accelerators - used[worker.ID]
 		}
 	}
 	return free
 }
 
-// fitFirst returns the first workers, rack by rack, that hold a shape in one
-// rack, or nil.
-func fitFirst(workers []model.Worker, free []int, shape api.Shape) []api.TaskPlacement {
-	for first := 0; first < len(workers); {
-		end := first
+// placeFirstFit places a shape on the first workers with free accelerators of the
+// first rack that can hold all of its tasks. It returns nil if no rack can.
+func placeFirstFit(workers []model.Worker, free []int, shape api.Shape) []api.TaskPlacement {
+	for rackStart := 0; rackStart < len(workers); {
+		rackEnd := rackStart
 		var tasks []api.TaskPlacement
-		left := shape.Tasks
-		for end < len(workers) && workers[end].Rack == workers[first].Rack {
-			if count := min(left, free[end]/shape.AcceleratorsPerTask); count > 0 {
-				left -= count
-				tasks = append(tasks, api.TaskPlacement{Worker: workers[end].ID, Tasks: count, Accelerators: count * shape.AcceleratorsPerTask})
+		remaining := shape.Tasks
+		for rackEnd < len(workers) && workers[rackEnd].Rack == workers[rackStart].Rack {
+			if count := min(remaining, free[rackEnd]/shape.AcceleratorsPerTask); count > 0 {
+				remaining -= count
+				tasks = append(tasks, api.TaskPlacement{Worker: workers[rackEnd].ID, Tasks: count, Accelerators: count * shape.AcceleratorsPerTask})
 			}
-			end++
+			rackEnd++
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return tasks
 		}
-		first = end
+		rackStart = rackEnd
 	}
 	return nil
 }
 
-// shadowOf returns when a shape fits by the expected ends, and what is then
-// free beside it.
-func shadowOf(s placement.Snapshot, free []int, plan placement.Plan, shape api.Shape) (time.Time, []int) {
+// findShadow returns the shadow time of a shape, at which it fits if every gang
+// ends as expected, and the accelerators of each worker that are then still free.
+func findShadow(s placement.Snapshot, free []int, plan placement.Plan, shape api.Shape) (time.Time, []int) {
 	type release struct {
 		at    time.Time
 		tasks []api.TaskPlacement
@@ -108,30 +110,30 @@
 		releases = append(releases, release{p.ExpectedEnd, p.Tasks})
 	}
 	slices.SortStableFunc(releases, func(a, b release) int { return a.at.Compare(b.at) })
-	then := slices.Clone(free)
+	projected := slices.Clone(free)
 	for _, r := range releases {
 		for _, task := range r.tasks {
-			then[indexOf(s.Workers, task.Worker)] += task.Accelerators
+			projected[workerIndex(s.Workers, task.Worker)] += task.Accelerators
 		}
-		if tasks := fitFirst(s.Workers, then, shape); tasks != nil {
-			take(s.Workers, then, tasks)
-			return r.at, then
+		if tasks := placeFirstFit(s.Workers, projected, shape); tasks != nil {
+			allocate(s.Workers, projected, tasks)
+			return r.at, projected
 		}
 	}
-	return s.Now.Add(1000 * time.Hour), then
+	return s.Now.Add(1000 * time.Hour), projected
 }
 
-func take(workers []model.Worker, free []int, tasks []api.TaskPlacement) {
+func allocate(workers []model.Worker, free []int, tasks []api.TaskPlacement) {
 	for _, task := range tasks {
-		free[indexOf(workers, task.Worker)] -= task.Accelerators
+		free[workerIndex(workers, task.Worker)] -= task.Accelerators
 	}
 }
 
-func indexOf(workers []model.Worker, id string) int {
+func workerIndex(workers []model.Worker, id string) int {
 	return slices.IndexFunc(workers, func(w model.Worker) bool { return w.ID == id })
 }
 
-func lower(a, b []int) []int {
+func minVector(a, b []int) []int {
 	out := make([]int, len(a))
 	for i := range a {
 		out[i] = min(a[i], b[i])
--- a/internal/measure/gangload/claims.go
+++ b/internal/measure/gangload/claims.go
@@ -2,62 +2,65 @@
 
 import "github.com/corianderbank/corianderbank/internal/model"
 
-// markClaims decides whether a submitted job claims its account's guarantee: its
-// shape fits into a guaranteed one, and from its submission to its start its
-// account asks for no more than it is guaranteed. For urgent jobs only the
-// account's urgent jobs count, because they go first, and those that cannot be
-// stopped. A job that takes its
-// account beyond the guarantee ends the claims of those that wait.
-func (pl *player) markClaims(job *play) {
-	account := pl.account(job.job.Account)
+// updateClaims determines whether a submitted job claims its account's guarantee.
+// It does if its shape fits into a guaranteed shape and if, from its submission
+// to its start, its account requests no more than its guarantee. For an urgent
+// job, only the account's urgent jobs, which are served first, and its jobs that
+// cannot be stopped count. A job that takes its account beyond the guarantee
+// revokes the claims of the waiting jobs.
+func (sim *simulation) updateClaims(job *jobState) {
+	account := sim.findAccount(job.spec.Account)
 	guaranteed := account.GuaranteedAccelerators(zoneName)
-	if pl.asked(job.job.Account, false) > guaranteed {
-		pl.endClaims(job.job.Account, false)
+	if sim.requestedAccelerators(job.spec.Account, false) > guaranteed {
+		sim.revokeClaims(job.spec.Account, false)
 	} else {
-		job.claims = fitsGuarantee(job, account)
+		job.claimsGuarantee = fitsGuaranteedShape(job, account)
 	}
-	if !job.job.Urgent && job.job.Stoppable() {
+	if !job.spec.Urgent && job.spec.Stoppable() {
 		return
 	}
-	if pl.asked(job.job.Account, true) > guaranteed {
-		pl.endClaims(job.job.Account, true)
-	} else if job.job.Urgent {
-		job.claims = fitsGuarantee(job, account)
+	if sim.requestedAccelerators(job.spec.Account, true) > guaranteed {
+		sim.revokeClaims(job.spec.Account, true)
+	} else if job.spec.Urgent {
+		job.claimsGuarantee = fitsGuaranteedShape(job, account)
 	}
 }
 
-func fitsGuarantee(job *play, account *model.ClientAccount) bool {
+func fitsGuaranteedShape(job *jobState, account *model.ClientAccount) bool {
 	shape := account.Guarantees[zoneName][0]
-	return job.job.Shape.Tasks <= shape.Tasks && job.job.Shape.AcceleratorsPerTask <= shape.AcceleratorsPerTask
+	return job.spec.Shape.Tasks <= shape.Tasks && job.spec.Shape.AcceleratorsPerTask <= shape.AcceleratorsPerTask
 }
 
-func (pl *player) account(name string) *model.ClientAccount {
-	for i := range pl.deployment.Accounts {
-		if pl.deployment.Accounts[i].Name == name {
-			return &pl.deployment.Accounts[i]
+func (sim *simulation) findAccount(name string) *model.ClientAccount {
+	for i := range sim.deployment.Accounts {
+		if sim.deployment.Accounts[i].Name == name {
+			return &sim.deployment.Accounts[i]
 		}
 	}
 	return nil
 }
 
-// asked counts the accelerators that an account's jobs hold and wait for.
-func (pl *player) asked(account string, urgentOnly bool) int {
+// requestedAccelerators returns the number of accelerators that an account's jobs
+// hold or wait for. With urgentOnly, only urgent jobs and jobs that cannot be
+// stopped count.
+func (sim *simulation) requestedAccelerators(account string, urgentOnly bool) int {
 	total := 0
-	for _, jobs := range [][]*play{pl.queue, pl.held} {
+	for _, jobs := range [][]*jobState{sim.queue, sim.active} {
 		for _, job := range jobs {
-			if job.job.Account == account && (!urgentOnly || job.job.Urgent || !job.job.Stoppable()) {
-				total += job.job.Shape.Accelerators()
+			if job.spec.Account == account && (!urgentOnly || job.spec.Urgent || !job.spec.Stoppable()) {
+				total += job.spec.Shape.Accelerators()
 			}
 		}
 	}
 	return total
 }
 
-// endClaims ends the claims of an account's waiting jobs.
-func (pl *player) endClaims(account string, urgent bool) {
-	for _, job := range pl.queue {
-		if job.job.Account == account && job.job.Urgent == urgent {
-			job.claims = false
+// revokeClaims revokes the claims of an account's waiting jobs that are urgent, or
+// of those that are not.
+func (sim *simulation) revokeClaims(account string, urgent bool) {
+	for _, job := range sim.queue {
+		if job.spec.Account == account && job.spec.Urgent == urgent {
+			job.claimsGuarantee = false
 		}
 	}
 }
--- a/internal/measure/gangload/deployment.go
+++ b/internal/measure/gangload/deployment.go
@@ -7,7 +7,7 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// The size of one availability zone of both deployments.
+// The dimensions of an availability zone. Both deployments have the same.
 const (
 	workersPerZone        = 17
 	workersPerRack        = 8
@@ -15,7 +15,7 @@
 	zoneName              = "z1"
 )
 
-// Deployment is one availability zone of a deployment with its accounts.
+// Deployment describes one availability zone of a deployment and its accounts.
 type Deployment struct {
 	Name       string
 	Workers    []model.Worker
@@ -23,7 +23,7 @@
 	Objectives model.Objectives
 }
 
-// capacity counts the accelerators of the zone.
+// capacity returns the number of accelerators of the zone.
 func (d *Deployment) capacity() int {
 	total := 0
 	for _, worker := range d.Workers {
@@ -43,10 +43,10 @@
 		Name:    "klaverveld",
 		Workers: newWorkers(workersPerZone),
 		Accounts: []model.ClientAccount{
-			newAccount("advisories", 2, inRack(2, 8)),
-			newAccount("suites", 1, inRack(4, 8)),
-			newAccount("sweep", 2, inRack(1, 8)),
-			newAccount("scans", 4, inRack(1, 4)),
+			newAccount("advisories", 2, sameRackShape(2, 8)),
+			newAccount("suites", 1, sameRackShape(4, 8)),
+			newAccount("sweep", 2, sameRackShape(1, 8)),
+			newAccount("scans", 4, sameRackShape(1, 4)),
 		},
 		Objectives: model.Objectives{CompletionTime: 0.8, Fragmentation: 0.2},
 	}
@@ -57,10 +57,10 @@
 		Name:    "lankapowder",
 		Workers: newWorkers(workersPerZone),
 		Accounts: []model.ClientAccount{
-			newAccount("house-a", 1, inRack(4, 8)),
-			newAccount("house-b", 1, inRack(4, 8)),
-			newAccount("house-c", 1, inRack(2, 8)),
-			newAccount("house-d", 2, inRack(1, 8)),
+			newAccount("house-a", 1, sameRackShape(4, 8)),
+			newAccount("house-b", 1, sameRackShape(4, 8)),
+			newAccount("house-c", 1, sameRackShape(2, 8)),
+			newAccount("house-d", 2, sameRackShape(1, 8)),
 		},
 		Objectives: model.Objectives{CompletionTime: 0.3, Fragmentation: 0.7},
 	}
@@ -82,6 +82,6 @@
 	return model.ClientAccount{Name: name, Guarantees: map[string][]model.GuaranteedShape{zoneName: {guaranteed}}}
 }
 
-func inRack(tasks, perTask int) api.Shape {
-	return api.Shape{Tasks: tasks, AcceleratorsPerTask: perTask, SameRack: true}
+func sameRackShape(tasks, acceleratorsPerTask int) api.Shape {
+	return api.Shape{Tasks: tasks, AcceleratorsPerTask: acceleratorsPerTask, SameRack: true}
 }
--- a/internal/measure/gangload/doc.go
+++ b/internal/measure/gangload/doc.go
@@ -1,4 +1,5 @@
-// Package gangload plays load patterns against placement policies in virtual
-// time and measures what jobs get. It is a harness of the decisions: workers are
-// counters, and a gang is its run time. The same seed gives the same figures.
+// Package gangload simulates load patterns under placement policies in virtual
+// time and measures the service that jobs receive. It exercises only the placement
+// decisions: a worker is a number of accelerators, and a gang is a run time. Equal
+// seeds give equal figures.
 package gangload
--- a/internal/measure/gangload/events.go
+++ b/internal/measure/gangload/events.go
@@ -9,14 +9,14 @@
 
 type taskPlacement = api.TaskPlacement
 
-// event is something that happens at a virtual time.
+// event is an action at a virtual time.
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at     time.Duration
+	seq    int
+	action func()
 }
 
-// eventHeap orders events by time, then by the order in which they were made.
+// eventHeap orders events by time, and events of equal time by creation.
 type eventHeap []*event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -41,8 +41,8 @@
 	return last
 }
 
-// at schedules an event.
-func (pl *player) at(at time.Duration, do func()) {
-	pl.seq++
-	heap.Push(&pl.events, &event{at: at, seq: pl.seq, do: do})
+// schedule runs action at the virtual time at.
+func (sim *simulation) schedule(at time.Duration, action func()) {
+	sim.seq++
+	heap.Push(&sim.events, &event{at: at, seq: sim.seq, action: action})
 }
--- a/internal/measure/gangload/gangload.go
+++ b/internal/measure/gangload/gangload.go
@@ -8,33 +8,34 @@
 	"github.com/corianderbank/corianderbank/internal/measure"
 )
 
-// PartGangs is the part that this package measures.
+// PartGangs is the Part of the rows that this package measures.
 const PartGangs = "gangs"
 
-// plays is the number of plays with different seeds for each row. A p99 over
-// the few hundred jobs of one play hangs on three of them.
-const plays = 3
+// simulationsPerRow is the number of simulations with different seeds for each
+// row. The p99 of the few hundred jobs of a single simulation depends on only
+// three of them.
+const simulationsPerRow = 3
 
-// meanOf plays a pattern with several seeds and returns the mean figures.
-func meanOf(p Pattern, d *Deployment, policy NamedPolicy, seed uint64) []measure.Figure {
+// meanFigures simulates a pattern with several seeds and returns the mean figures.
+func meanFigures(p Pattern, d *Deployment, policy NamedPolicy, seed uint64) []measure.Figure {
 	var mean []measure.Figure
-	for i := range uint64(plays) {
-		figures := run(p, d, policy.New(), seed+i).figures()
+	for i := range uint64(simulationsPerRow) {
+		figures := simulate(p, d, policy.New(), seed+i).figures()
 		if mean == nil {
 			mean = make([]measure.Figure, len(figures))
 		}
 		for j, figure := range figures {
 			mean[j].Name, mean[j].Unit = figure.Name, figure.Unit
-			mean[j].Value += figure.Value / plays
+			mean[j].Value += figure.Value / simulationsPerRow
 		}
 	}
 	return mean
 }
 
-// Run plays every pattern at both deployments under every policy. The rows come
-// in the order of patterns, deployments, policies. Each play is one goroutine in
-// virtual time, so that the figures do not depend on how many run at once. The
-// error is a play that panicked.
+// Run simulates every pattern at both deployments under every policy. The rows are
+// in the order of patterns, deployments and policies. Each simulation runs in a
+// single goroutine and in virtual time, so that the figures do not depend on how
+// many simulations run concurrently. Run returns an error if a simulation panics.
 func Run(seed uint64) ([]measure.Row, error) {
 	var rows []measure.Row
 	pool := pond.NewPool(runtime.GOMAXPROCS(0))
@@ -61,7 +62,7 @@
 		group.Submit(func() {
 			rows[i] = measure.Row{
 				Part: PartGangs, Pattern: spec.pattern.Name, Deployment: spec.deployment.Name,
-				Policy: spec.policy.Name, Figures: meanOf(spec.pattern, &spec.deployment, spec.policy, seed),
+				Policy: spec.policy.Name, Figures: meanFigures(spec.pattern, &spec.deployment, spec.policy, seed),
 			}
 		})
 	}
--- a/internal/measure/gangload/gangs.go
+++ b/internal/measure/gangload/gangs.go
@@ -8,138 +8,139 @@
 	"github.com/corianderbank/corianderbank/internal/placement"
 )
 
-// start runs a gang until it finishes or fails.
-func (pl *player) start(job *play, p placement.Placement) {
-	pl.queue = without(pl.queue, job)
-	pl.held = append(pl.held, job)
+// start starts a gang and schedules its completion or its failure.
+func (sim *simulation) start(job *jobState, p placement.Placement) {
+	sim.queue = removeJob(sim.queue, job)
+	sim.active = append(sim.active, job)
 	job.status = running
-	job.turn++
-	at := pl.now + startDelay
+	job.generation++
+	at := sim.now + startDelay
 	if job.firstStart == 0 {
 		job.firstStart = at
 	}
 	job.gang = model.Gang{
-		Job: job.job, State: model.GangRunning, Placements: p.Tasks, StartedAt: epoch.Add(at),
+		Job: job.spec, State: model.GangRunning, Placements: p.Tasks, StartedAt: simulationStart.Add(at),
 		ExpectedEnd: p.ExpectedEnd, Borrowed: p.Borrowed,
 	}
-	if worker := pl.failingWorker(job); worker != "" {
-		pl.later(job, at+failsAfter, func() { pl.fail(job, worker) })
+	if worker := sim.failingWorker(job); worker != "" {
+		sim.scheduleForAttempt(job, at+failureDelay, func() { sim.fail(job, worker) })
 		return
 	}
-	pl.later(job, at+job.run-job.progress, func() { pl.finish(job) })
+	sim.scheduleForAttempt(job, at+job.runTime-job.progress, func() { sim.finish(job) })
 }
 
-// failingWorker names the worker on which a gang will fail, or "".
-func (pl *player) failingWorker(job *play) string {
+// failingWorker returns the worker on which a gang will fail, or an empty string.
+func (sim *simulation) failingWorker(job *jobState) string {
 	for _, p := range job.gang.Placements {
-		if pl.sick[p.Worker] {
+		if sim.unhealthy[p.Worker] {
 			return p.Worker
 		}
 	}
-	if job.doomed {
+	if job.alwaysFails {
 		return job.gang.Placements[0].Worker
 	}
 	return ""
 }
 
-// later does something for the present attempt of a job.
-func (pl *player) later(job *play, at time.Duration, do func()) {
-	turn := job.turn
-	pl.at(at, func() {
-		if job.turn == turn {
-			do()
+// scheduleForAttempt runs action at the time at if the job's current attempt has
+// not ended or been stopped by then.
+func (sim *simulation) scheduleForAttempt(job *jobState, at time.Duration, action func()) {
+	generation := job.generation
+	sim.schedule(at, func() {
+		if job.generation == generation {
+			action()
 		}
 	})
 }
 
-func (pl *player) finish(job *play) {
-	pl.history.Observe(job.job.Account, job.job.Kind, job.job.DeclaredRun, job.run)
+func (sim *simulation) finish(job *jobState) {
+	sim.history.Observe(job.spec.Account, job.spec.Kind, job.spec.DeclaredRun, job.runTime)
 	for _, p := range job.gang.Placements {
-		pl.tracker.TaskSucceeded(p.Worker, job.job.ID, pl.wall())
+		sim.tracker.TaskSucceeded(p.Worker, job.spec.ID, sim.wallTime())
 	}
-	pl.end(job, done)
+	sim.endJob(job, done)
 }
 
-// fail handles a gang that failed by itself.
-func (pl *player) fail(job *play, worker string) {
+// fail handles a gang that failed on its own, on the given worker.
+func (sim *simulation) fail(job *jobState, worker string) {
 	job.failures++
-	giveUp := job.failures >= maxFailures || !job.job.Stoppable()
-	if pl.policy.Quarantines() {
-		verdict := pl.tracker.TaskFailed(worker, job.job.ID, pl.wall())
-		giveUp = giveUp || verdict.SickJob != ""
+	abandon := job.failures >= maxFailures || !job.spec.Stoppable()
+	if sim.policy.UsesQuarantine() {
+		verdict := sim.tracker.TaskFailed(worker, job.spec.ID, sim.wallTime())
+		abandon = abandon || verdict.SickJob != ""
 		if verdict.SickWorker != "" {
-			pl.setHealth(verdict.SickWorker, model.WorkerQuarantined)
+			sim.setHealth(verdict.SickWorker, model.WorkerQuarantined)
 		}
 	}
-	if giveUp {
-		pl.end(job, failed)
+	if abandon {
+		sim.endJob(job, failed)
 		return
 	}
-	pl.requeue(job)
+	sim.requeue(job)
 }
 
-// reclaim stops a borrowing gang by the method of the plan.
-func (pl *player) reclaim(job *play, r placement.Reclaim) {
+// reclaim stops a borrowing gang with the method that the plan chose.
+func (sim *simulation) reclaim(job *jobState, r placement.Reclaim) {
 	job.gang.State = model.GangStopping
 	job.status = stopping
-	job.turn++
-	ran := max(0, pl.now-job.gang.StartedAt.Sub(epoch))
+	job.generation++
+	elapsed := max(0, sim.now-job.gang.StartedAt.Sub(simulationStart))
 	if r.Method != placement.MethodCheckpoint {
-		pl.later(job, pl.now+stopDelay, func() { pl.requeue(job) })
+		sim.scheduleForAttempt(job, sim.now+stopDelay, func() { sim.requeue(job) })
 		return
 	}
-	took := time.Duration((1 + 2*pl.random.Float64()) * float64(time.Second))
-	if pl.random.Float64() < slowCheckpoints {
-		pl.later(job, pl.now+r.Within+stopDelay, func() { pl.requeue(job) })
+	checkpointTime := time.Duration((1 + 2*sim.random.Float64()) * float64(time.Second))
+	if sim.random.Float64() < slowCheckpointShare {
+		sim.scheduleForAttempt(job, sim.now+r.Within+stopDelay, func() { sim.requeue(job) })
 		return
 	}
-	pl.later(job, pl.now+took, func() {
-		job.progress = min(job.progress+ran, job.run)
-		pl.requeue(job)
+	sim.scheduleForAttempt(job, sim.now+checkpointTime, func() {
+		job.progress = min(job.progress+elapsed, job.runTime)
+		sim.requeue(job)
 	})
 }
 
-// outageStarts takes workers away, or makes them fail what they start.
-func (pl *player) outageStarts(o outage) {
+// startOutage removes the workers of the outage, or makes them fail every task.
+func (sim *simulation) startOutage(o outage) {
 	for _, i := range o.workers {
-		if o.sick {
-			pl.sick[pl.workers[i].ID] = true
+		if o.unhealthy {
+			sim.unhealthy[sim.workers[i].ID] = true
 			continue
 		}
-		pl.workers[i].Health = model.WorkerLost
+		sim.workers[i].Health = model.WorkerLost
 	}
-	if o.sick {
+	if o.unhealthy {
 		return
 	}
-	for _, job := range slices.Clone(pl.held) {
+	for _, job := range slices.Clone(sim.active) {
 		if slices.ContainsFunc(job.gang.Placements, func(p taskPlacement) bool {
-			return pl.workers[indexOf(pl.workers, p.Worker)].Health == model.WorkerLost
+			return sim.workers[workerIndex(sim.workers, p.Worker)].Health == model.WorkerLost
 		}) {
-			pl.loseGang(job)
+			sim.interruptGang(job)
 		}
 	}
 }
 
-// loseGang stops a gang that lost a worker: it restarts from its last own
-// checkpoint if it may.
-func (pl *player) loseGang(job *play) {
-	if !job.job.Stoppable() {
-		pl.end(job, lost)
+// interruptGang stops a gang that lost a worker. If its job may be stopped, it is
+// requeued with the progress of its last periodic checkpoint; otherwise it is lost.
+func (sim *simulation) interruptGang(job *jobState) {
+	if !job.spec.Stoppable() {
+		sim.endJob(job, lost)
 		return
 	}
-	if job.job.Checkpointable {
-		ran := max(0, pl.now-job.gang.StartedAt.Sub(epoch))
-		job.progress = min(job.progress+ran/checkpointEvery*checkpointEvery, job.run)
+	if job.spec.Checkpointable {
+		elapsed := max(0, sim.now-job.gang.StartedAt.Sub(simulationStart))
+		job.progress = min(job.progress+elapsed/checkpointInterval*checkpointInterval, job.runTime)
 	}
-	pl.requeue(job)
+	sim.requeue(job)
 }
 
-func (pl *player) outageEnds(o outage) {
+func (sim *simulation) endOutage(o outage) {
 	for _, i := range o.workers {
-		if o.sick {
-			delete(pl.sick, pl.workers[i].ID)
+		if o.unhealthy {
+			delete(sim.unhealthy, sim.workers[i].ID)
 			continue
 		}
-		pl.workers[i].Health = model.WorkerHealthy
+		sim.workers[i].Health = model.WorkerHealthy
 	}
 }
--- a/internal/measure/gangload/play.go
+++ b/internal/measure/gangload/play.go
@@ -12,44 +12,48 @@
 	"github.com/corianderbank/corianderbank/internal/quarantine"
 )
 
-// epoch is the wall-clock time of virtual time zero.
-var epoch = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
+// simulationStart is the wall-clock time of virtual time zero.
+var simulationStart = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
 const (
-	// startDelay is what reserving and starting a gang takes.
+	// startDelay is the time to reserve workers for a gang and start it.
 	startDelay = 300 * time.Millisecond
-	// stopDelay is what stopping a gang outright takes.
+	// stopDelay is the time to stop a gang without a checkpoint.
 	stopDelay = 500 * time.Millisecond
-	// slowCheckpoints is the share of checkpoints that exceed every limit.
-	slowCheckpoints = 0.05
-	// checkpointEvery is how often checkpointable gangs write one by themselves.
-	checkpointEvery = 10 * time.Minute
-	// failsAfter is how long a task of a sick worker or job runs.
-	failsAfter = 5 * time.Second
-	// tickEvery is the pace of decisions without an event.
-	tickEvery = time.Minute
-	// maxFailures ends a job where nobody tells sick jobs from sick workers.
+	// slowCheckpointShare is the proportion of checkpoints that exceed the time
+	// limit.
+	slowCheckpointShare = 0.05
+	// checkpointInterval is the time between the periodic checkpoints of a
+	// checkpointable gang.
+	checkpointInterval = 10 * time.Minute
+	// failureDelay is the run time of a task that fails because of an unhealthy worker
+	// or a faulty job.
+	failureDelay = 5 * time.Second
+	// tickInterval is the longest time between two decisions.
+	tickInterval = time.Minute
+	// maxFailures is the number of failures after which a job is abandoned. Policies
+	// without a quarantine have no other way to detect a faulty job.
 	maxFailures = 5
-	// drainLimit bounds the play.
-	drainLimit = 6 * horizon
+	// simulationLimit is the longest virtual time of a simulation.
+	simulationLimit = 6 * horizon
 )
 
-// status is where a job stands in the harness.
-type status int
+// jobStatus is the state of a job in the simulation.
+type jobStatus int
 
 const (
-	pending status = iota
+	pending jobStatus = iota
 	waiting
 	running
 	stopping
 	ended
 )
 
-// ending is how a job ended.
-type ending int
+// outcome is the way in which a job ended.
+type outcome int
 
 const (
-	notEnded ending = iota
+	noOutcome outcome = iota
 	done
 	refused
 	cancelled
@@ -57,188 +61,194 @@
 	lost
 )
 
-// play is one job in the harness.
-type play struct {
+// jobState is one job in the simulation.
+type jobState struct {
 	*arrival
-	status   status
-	ending   ending
+	status   jobStatus
+	outcome  outcome
 	gang     model.Gang
 	progress time.Duration
 	failures int
-	// turn makes events of earlier attempts void.
-	turn int
-	// claims is said of jobs that lie within their guarantee: see markClaims.
-	claims            bool
-	firstStart, endAt time.Duration
-	// feasible is said of refused jobs that an immediate start would have saved.
+	// generation changes whenever an attempt starts or stops, which invalidates the
+	// scheduled events of earlier generations.
+	generation int
+	// claimsGuarantee is set while the job claims its account's guarantee, see
+	// updateClaims.
+	claimsGuarantee     bool
+	firstStart, endedAt time.Duration
+	// feasible is set for refused jobs that would have met their deadline if they
+	// had been started at once.
 	feasible bool
 }
 
-// player is the state of one run.
-type player struct {
-	deployment *Deployment
-	policy     Policy
-	random     *rand.Rand
-	now        time.Duration
-	events     eventHeap
-	seq        int
-	workers    []model.Worker
-	sick       map[string]bool
-	jobs       map[string]*play
-	order      []*play
-	queue      []*play
-	held       []*play
-	kept       []placement.Kept
-	history    *estimate.History
-	tracker    *quarantine.Tracker
-	integrals  integrals
+// simulation is the state of one simulation of a pattern.
+type simulation struct {
+	deployment  *Deployment
+	policy      Policy
+	random      *rand.Rand
+	now         time.Duration
+	events      eventHeap
+	seq         int
+	workers     []model.Worker
+	unhealthy   map[string]bool
+	jobs        map[string]*jobState
+	jobList     []*jobState
+	queue       []*jobState
+	active      []*jobState
+	keptRegions []placement.Kept
+	history     *estimate.History
+	tracker     *quarantine.Tracker
+	integrals   integrals
 }
 
-// run plays a pattern against a policy and returns the player at its end.
-func run(p Pattern, d *Deployment, policy Policy, seed uint64) *player {
-	g := generate(p, d, seed)
-	pl := &player{
+// simulate runs a pattern under a policy and returns the final state.
+func simulate(p Pattern, d *Deployment, policy Policy, seed uint64) *simulation {
+	generated := generate(p, d, seed)
+	sim := &simulation{
 		deployment: d, policy: policy, random: rand.New(rand.NewPCG(seed, 11)),
-		workers: slices.Clone(d.Workers), sick: make(map[string]bool), jobs: make(map[string]*play),
+		workers: slices.Clone(d.Workers), unhealthy: make(map[string]bool), jobs: make(map[string]*jobState),
 		history: estimate.NewHistory(), tracker: quarantine.NewTracker(), integrals: newIntegrals(d),
 	}
-	for i := range g.arrivals {
-		job := &play{arrival: &g.arrivals[i]}
-		pl.jobs[job.job.ID] = job
-		pl.order = append(pl.order, job)
-		pl.at(job.at, func() { pl.submit(job) })
+	for i := range generated.arrivals {
+		job := &jobState{arrival: &generated.arrivals[i]}
+		sim.jobs[job.spec.ID] = job
+		sim.jobList = append(sim.jobList, job)
+		sim.schedule(job.at, func() { sim.submit(job) })
 		if job.cancelAt > 0 {
-			pl.at(job.cancelAt, func() { pl.cancel(job) })
+			sim.schedule(job.cancelAt, func() { sim.cancel(job) })
 		}
 	}
-	for _, o := range g.outages {
-		pl.at(o.from, func() { pl.outageStarts(o) })
-		pl.at(o.to, func() { pl.outageEnds(o) })
+	for _, o := range generated.outages {
+		sim.schedule(o.from, func() { sim.startOutage(o) })
+		sim.schedule(o.to, func() { sim.endOutage(o) })
 	}
-	pl.at(tickEvery, pl.tick)
-	pl.playEvents()
-	return pl
+	sim.schedule(tickInterval, sim.tick)
+	sim.runEvents()
+	return sim
 }
 
-// playEvents handles events in order of time, and decides after each instant.
-func (pl *player) playEvents() {
-	for len(pl.events) > 0 && pl.now < drainLimit {
-		at := pl.events[0].at
-		pl.integrals.advance(pl, at)
-		pl.now = at
-		for len(pl.events) > 0 && pl.events[0].at == at {
-			heap.Pop(&pl.events).(*event).do()
+// runEvents handles events in order of time. It makes a decision after all events
+// of the same time have been handled.
+func (sim *simulation) runEvents() {
+	for len(sim.events) > 0 && sim.now < simulationLimit {
+		at := sim.events[0].at
+		sim.integrals.advance(sim, at)
+		sim.now = at
+		for len(sim.events) > 0 && sim.events[0].at == at {
+			heap.Pop(&sim.events).(*event).action()
 		}
-		pl.decide()
+		sim.decide()
 	}
 }
 
-// tick keeps decisions coming and lets cooled workers prove themselves.
-func (pl *player) tick() {
-	for _, worker := range pl.tracker.Cooled(pl.wall()) {
-		ok := !pl.sick[worker]
-		pl.tracker.Probed(worker, ok, pl.wall())
+// tick is a periodic event, so that decisions are made at least every
+// tickInterval. It also probes quarantined workers whose cooldown is over.
+func (sim *simulation) tick() {
+	for _, worker := range sim.tracker.Cooled(sim.wallTime()) {
+		ok := !sim.unhealthy[worker]
+		sim.tracker.Probed(worker, ok, sim.wallTime())
 		if ok {
-			pl.setHealth(worker, model.WorkerHealthy)
+			sim.setHealth(worker, model.WorkerHealthy)
 		}
 	}
-	if len(pl.queue)+len(pl.held) > 0 || pl.now < horizon {
-		pl.at(pl.now+tickEvery, pl.tick)
+	if len(sim.queue)+len(sim.active) > 0 || sim.now < horizon {
+		sim.schedule(sim.now+tickInterval, sim.tick)
 	}
 }
 
-func (pl *player) submit(job *play) {
-	if refusal := pl.policy.Admit(pl.holdings(), job.job); refusal != nil {
-		pl.refuse(job)
+func (sim *simulation) submit(job *jobState) {
+	if refusal := sim.policy.Admit(sim.snapshotWithoutQueue(), job.spec); refusal != nil {
+		sim.refuse(job)
 		return
 	}
 	job.status = waiting
-	pl.queue = append(pl.queue, job)
-	pl.markClaims(job)
+	sim.queue = append(sim.queue, job)
+	sim.updateClaims(job)
 }
 
-func (pl *player) refuse(job *play) {
-	if !job.job.Deadline.IsZero() {
-		inTime := pl.wall().Add(startDelay + job.run - job.progress).Before(job.job.Deadline)
-		job.feasible = inTime && fitFirst(pl.workers, freeOf(pl.holdings()), job.job.Shape) != nil
+func (sim *simulation) refuse(job *jobState) {
+	if !job.spec.Deadline.IsZero() {
+		inTime := sim.wallTime().Add(startDelay + job.runTime - job.progress).Before(job.spec.Deadline)
+		job.feasible = inTime && placeFirstFit(sim.workers, freeAccelerators(sim.snapshotWithoutQueue()), job.spec.Shape) != nil
 	}
-	pl.end(job, refused)
+	sim.endJob(job, refused)
 }
 
-func (pl *player) cancel(job *play) {
+func (sim *simulation) cancel(job *jobState) {
 	if job.status != ended {
-		pl.end(job, cancelled)
+		sim.endJob(job, cancelled)
 	}
 }
 
-// end takes a job out of the queue and off its workers.
-func (pl *player) end(job *play, how ending) {
-	pl.queue = without(pl.queue, job)
-	pl.held = without(pl.held, job)
-	job.status, job.ending, job.endAt = ended, how, pl.now
-	job.turn++
+// endJob ends a job and removes it from the queue and from its workers.
+func (sim *simulation) endJob(job *jobState, result outcome) {
+	sim.queue = removeJob(sim.queue, job)
+	sim.active = removeJob(sim.active, job)
+	job.status, job.outcome, job.endedAt = ended, result, sim.now
+	job.generation++
 }
 
-func without(jobs []*play, job *play) []*play {
+func removeJob(jobs []*jobState, job *jobState) []*jobState {
 	if i := slices.Index(jobs, job); i >= 0 {
 		return slices.Delete(jobs, i, i+1)
 	}
 	return jobs
 }
 
-// requeue makes a job that was stopped wait again, in its old place.
-func (pl *player) requeue(job *play) {
-	pl.held = without(pl.held, job)
+// requeue returns a stopped job to the queue, which is ordered by arrival.
+func (sim *simulation) requeue(job *jobState) {
+	sim.active = removeJob(sim.active, job)
 	job.status = waiting
-	job.turn++
-	job.job.Progress = job.progress
-	job.job.Attempt++
-	i, _ := slices.BinarySearchFunc(pl.queue, job, func(a, b *play) int { return int(a.at - b.at) })
-	pl.queue = slices.Insert(pl.queue, i, job)
+	job.generation++
+	job.spec.Progress = job.progress
+	job.spec.Attempt++
+	i, _ := slices.BinarySearchFunc(sim.queue, job, func(a, b *jobState) int { return int(a.at - b.at) })
+	sim.queue = slices.Insert(sim.queue, i, job)
 }
 
-func (pl *player) wall() time.Time { return epoch.Add(pl.now) }
+func (sim *simulation) wallTime() time.Time { return simulationStart.Add(sim.now) }
 
-func (pl *player) setHealth(id string, health model.WorkerHealth) {
-	pl.workers[indexOf(pl.workers, id)].Health = health
+func (sim *simulation) setHealth(id string, health model.WorkerHealth) {
+	sim.workers[workerIndex(sim.workers, id)].Health = health
 }
 
-// snapshot is the zone as a policy sees it.
-func (pl *player) snapshot() placement.Snapshot {
-	s := pl.holdings()
-	s.Waiting = make([]model.Job, len(pl.queue))
-	for i, job := range pl.queue {
-		s.Waiting[i] = job.job
+// snapshot returns the state of the zone that a policy decides on.
+func (sim *simulation) snapshot() placement.Snapshot {
+	s := sim.snapshotWithoutQueue()
+	s.Waiting = make([]model.Job, len(sim.queue))
+	for i, job := range sim.queue {
+		s.Waiting[i] = job.spec
 	}
 	return s
 }
 
-// holdings is a snapshot without the queue, which admission does not look at.
-func (pl *player) holdings() placement.Snapshot {
+// snapshotWithoutQueue returns a snapshot without the waiting jobs, which admission
+// does not use.
+func (sim *simulation) snapshotWithoutQueue() placement.Snapshot {
 	s := placement.Snapshot{
-		Now: pl.wall(), Zone: zoneName, Workers: pl.workers, Accounts: pl.deployment.Accounts,
-		Objectives: pl.deployment.Objectives, Runs: pl.history, Kept: pl.kept, Gangs: make([]model.Gang, len(pl.held)),
+		Now: sim.wallTime(), Zone: zoneName, Workers: sim.workers, Accounts: sim.deployment.Accounts,
+		Objectives: sim.deployment.Objectives, Runs: sim.history, Kept: sim.keptRegions, Gangs: make([]model.Gang, len(sim.active)),
 	}
-	for i, job := range pl.held {
+	for i, job := range sim.active {
 		s.Gangs[i] = job.gang
 	}
 	return s
 }
 
-// decide asks the policy for a plan and applies it.
-func (pl *player) decide() {
-	if len(pl.queue) == 0 {
+// decide applies the plan of the policy. It does nothing while no job waits.
+func (sim *simulation) decide() {
+	if len(sim.queue) == 0 {
 		return
 	}
-	plan := pl.policy.Decide(pl.snapshot())
-	pl.kept = plan.Kept
+	plan := sim.policy.Decide(sim.snapshot())
+	sim.keptRegions = plan.Kept
 	for _, r := range plan.Refusals {
-		pl.refuse(pl.jobs[r.JobID])
+		sim.refuse(sim.jobs[r.JobID])
 	}
 	for _, r := range plan.Reclaims {
-		pl.reclaim(pl.jobs[r.JobID], r)
+		sim.reclaim(sim.jobs[r.JobID], r)
 	}
 	for _, p := range plan.Placements {
-		pl.start(pl.jobs[p.JobID], p)
+		sim.start(sim.jobs[p.JobID], p)
 	}
 }
--- a/internal/measure/gangload/policy.go
+++ b/internal/measure/gangload/policy.go
@@ -8,52 +8,53 @@
 	"github.com/corianderbank/corianderbank/internal/placement"
 )
 
-// Policy decides placements in the harness.
+// Policy makes the placement decisions of a simulation.
 type Policy interface {
-	// Admit refuses a job at its submission, or returns nil.
+	// Admit returns a refusal if a submitted job is not admitted, or else nil.
 	Admit(s placement.Snapshot, job model.Job) *placement.Refusal
-	// Decide returns a plan.
+	// Decide returns the placements, reclaims and refusals for a snapshot.
 	Decide(s placement.Snapshot) placement.Plan
-	// Quarantines reports whether sick workers and jobs are told apart.
-	Quarantines() bool
+	// UsesQuarantine reports whether unhealthy workers are quarantined and faulty
+	// jobs are identified.
+	UsesQuarantine() bool
 }
 
-// NamedPolicy is a policy of the table.
+// NamedPolicy is a policy with its name in the table.
 type NamedPolicy struct {
 	Name string
 	New  func() Policy
-	// Ablation is said of the product without one decision.
+	// Ablation is set for the product with one decision disabled.
 	Ablation bool
 }
 
-// The names of the policies that are compared by the targets.
+// The names of the policies to which the targets refer.
 const (
 	PolicyProduct      = "corianderbank"
 	PolicyFirstFit     = "first come first served, first fit"
 	PolicyWithBackfill = "the same with backfill"
 )
 
-// Baselines names the policies that the product is compared with.
+// Baselines returns the names of the policies that the product is compared with.
 func Baselines() []string { return []string{PolicyFirstFit, PolicyWithBackfill} }
 
 // Policies returns the product, the baselines, and the product with each
-// decision switched off in turn.
+// decision disabled in turn.
 func Policies() []NamedPolicy {
 	policies := []NamedPolicy{
 		{Name: PolicyProduct, New: func() Policy { return &product{} }},
 		{Name: PolicyFirstFit, New: func() Policy { return &firstFit{} }},
 		{Name: PolicyWithBackfill, New: func() Policy { return &firstFit{backfill: true} }},
 	}
-	for _, without := range ablations() {
+	for _, variant := range ablations() {
 		policies = append(policies, NamedPolicy{
-			Name: without.name, Ablation: true,
-			New: func() Policy { return &without.product },
+			Name: variant.name, Ablation: true,
+			New: func() Policy { return &variant.product },
 		})
 	}
 	return policies
 }
 
-// ablation is the product without one decision.
+// ablation is the product with one decision disabled.
 type ablation struct {
 	name    string
 	product product
@@ -61,31 +62,31 @@
 
 func ablations() []ablation {
 	return []ablation{
-		{"without run time correction", product{declaredRuns: true}},
-		{"without refusal at submission", product{admitsAll: true}},
+		{"without run time correction", product{useDeclaredRuns: true}},
+		{"without refusal at submission", product{admitAll: true}},
 		{"without borrowing", product{noBorrowing: true}},
 		{"without quarantine", product{noQuarantine: true}},
-		{"without reservation", product{off: placement.Off{Reservation: true}}},
-		{"without backfill", product{off: placement.Off{Backfill: true}}},
-		{"without fair order of accounts", product{off: placement.Off{FairOrder: true}}},
-		{"without due times by run time", product{off: placement.Off{DueTimes: true}}},
-		{"without heads of accounts", product{off: placement.Off{Heads: true}}},
-		{"guarantees bound to fixed cells", product{off: placement.Off{Repack: true}}},
-		{"without best fit", product{off: placement.Off{BestFit: true}}},
-		{"without reclaim", product{off: placement.Off{Reclaim: true}}},
-		{"without cheapest reclaim", product{off: placement.Off{CheapestReclaim: true}}},
-		{"without objectives", product{off: placement.Off{Objectives: true}}},
+		{"without reservation", product{disabled: placement.Off{Reservation: true}}},
+		{"without backfill", product{disabled: placement.Off{Backfill: true}}},
+		{"without fair order of accounts", product{disabled: placement.Off{FairOrder: true}}},
+		{"without due times by run time", product{disabled: placement.Off{DueTimes: true}}},
+		{"without heads of accounts", product{disabled: placement.Off{Heads: true}}},
+		{"guarantees bound to fixed cells", product{disabled: placement.Off{Repack: true}}},
+		{"without best fit", product{disabled: placement.Off{BestFit: true}}},
+		{"without reclaim", product{disabled: placement.Off{Reclaim: true}}},
+		{"without cheapest reclaim", product{disabled: placement.Off{CheapestReclaim: true}}},
+		{"without objectives", product{disabled: placement.Off{Objectives: true}}},
 	}
 }
 
-// product is corianderbank's placement, with parts of it switched off.
+// product is the placement of corianderbank, with some parts possibly disabled.
 type product struct {
-	declaredRuns, admitsAll, noBorrowing, noQuarantine bool
-	off                                                placement.Off
+	useDeclaredRuns, admitAll, noBorrowing, noQuarantine bool
+	disabled                                             placement.Off
 }
 
-func (p *product) adjust(s placement.Snapshot) placement.Snapshot {
-	if p.declaredRuns {
+func (p *product) adjustSnapshot(s placement.Snapshot) placement.Snapshot {
+	if p.useDeclaredRuns {
 		s.Runs = estimate.Declared{}
 	}
 	if p.noBorrowing {
@@ -101,17 +102,17 @@
 
 // Admit implements Policy.
 func (p *product) Admit(s placement.Snapshot, job model.Job) *placement.Refusal {
-	if p.admitsAll {
+	if p.admitAll {
 		job.Deadline = time.Time{}
 	}
-	_, refusal := placement.Admit(p.adjust(s), job)
+	_, refusal := placement.Admit(p.adjustSnapshot(s), job)
 	return refusal
 }
 
 // Decide implements Policy.
 func (p *product) Decide(s placement.Snapshot) placement.Plan {
-	return placement.DecideWithout(p.adjust(s), p.off)
+	return placement.DecideWithout(p.adjustSnapshot(s), p.disabled)
 }
 
-// Quarantines implements Policy.
-func (p *product) Quarantines() bool { return !p.noQuarantine }
+// UsesQuarantine implements Policy.
+func (p *product) UsesQuarantine() bool { return !p.noQuarantine }
--- a/internal/measure/plot.go
+++ b/internal/measure/plot.go
@@ -11,34 +11,35 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size of a plot.
+// The dimensions of a plot.
 const (
 	plotWidth  = 28 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
-	// groupWidth is the part of a category that its bars fill.
+	// groupWidth is the width of all bars of a category.
 	groupWidth = 2 * vg.Centimeter
 )
 
-// barColors are told apart in grey as well.
+// barColors are distinguishable in grayscale too.
 var barColors = []color.Color{
 	color.RGBA{R: 31, G: 119, B: 180, A: 255},
 	color.RGBA{R: 255, G: 187, B: 120, A: 255},
 	color.RGBA{R: 150, G: 150, B: 150, A: 255},
 }
 
-// Bars is a bar chart: for each category one bar of each policy.
-type Bars struct {
+// BarChart is a bar chart with one bar for each policy in each category.
+type BarChart struct {
 	Title, Unit string
 	Categories  []string
 	Policies    []string
-	// Values are by policy, then by category.
+	// Values are indexed by policy, then by category.
 	Values [][]float64
 }
 
-// BarsOf collects one figure of the rows of a part and a deployment for the
-// given policies. The categories are the patterns, in the order of the rows.
-func BarsOf(rows []Row, part, deployment, figure string, policies []string) Bars {
-	bars := Bars{Title: part + ", " + deployment + ": " + figure, Policies: policies, Values: make([][]float64, len(policies))}
+// NewBarChart returns a chart of one figure of the rows of a part and a
+// deployment for the given policies. The categories are the patterns, in the
+// order of the rows.
+func NewBarChart(rows []Row, part, deployment, figure string, policies []string) BarChart {
+	chart := BarChart{Title: part + ", " + deployment + ": " + figure, Policies: policies, Values: make([][]float64, len(policies))}
 	for i, policy := range policies {
 		for r := range rows {
 			row := &rows[r]
@@ -50,16 +51,16 @@
 				continue
 			}
 			if i == 0 {
-				bars.Categories = append(bars.Categories, row.Pattern)
+				chart.Categories = append(chart.Categories, row.Pattern)
 			}
-			bars.Values[i] = append(bars.Values[i], value)
+			chart.Values[i] = append(chart.Values[i], value)
 		}
 	}
-	return bars
+	return chart
 }
 
 // WriteSVG draws the chart into a file.
-func (b Bars) WriteSVG(path string) error {
+func (b BarChart) WriteSVG(path string) error {
 	p := plot.New()
 	p.Title.Text = b.Title
 	p.Y.Label.Text = b.Unit
@@ -96,23 +97,23 @@
 	return file.Close()
 }
 
-// Changes is a chart of changes with their confidence intervals.
-type Changes struct {
+// ChangeChart is a chart of differences with their confidence intervals.
+type ChangeChart struct {
 	Title, Unit string
 	Names       []string
 	Values      []float64
-	// Intervals are half of each confidence interval.
+	// Intervals are the half-widths of the confidence intervals.
 	Intervals []float64
 }
 
-// errorPoints are the changes as points with error bars.
+// errorPoints holds points with error bars.
 type errorPoints struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
 // WriteSVG draws the chart into a file.
-func (c Changes) WriteSVG(path string) error {
+func (c ChangeChart) WriteSVG(path string) error {
 	p := plot.New()
 	p.Title.Text = c.Title
 	p.Y.Label.Text = c.Unit
--- a/internal/measure/report.go
+++ b/internal/measure/report.go
@@ -8,15 +8,15 @@
 )
 
 // WriteTable writes rows as Markdown tables, one for each pattern and
-// deployment, with a line for each policy. Rows that belong to one table follow
-// each other.
+// deployment, with a line for each policy. The rows of one table must be
+// consecutive.
 func WriteTable(out io.Writer, rows []Row) error {
 	var text strings.Builder
 	for i := range rows {
 		if i == 0 || !sameTable(&rows[i-1], &rows[i]) {
-			writeHead(&text, &rows[i])
+			writeTableHeader(&text, &rows[i])
 		}
-		writeLine(&text, &rows[i])
+		writeTableRow(&text, &rows[i])
 	}
 	_, err := io.WriteString(out, text.String())
 	return err
@@ -26,24 +26,24 @@
 	return a.Part == b.Part && a.Pattern == b.Pattern && a.Deployment == b.Deployment && len(a.Figures) == len(b.Figures)
 }
 
-func writeHead(text *strings.Builder, row *Row) {
+func writeTableHeader(text *strings.Builder, row *Row) {
 	fmt.Fprintf(text, "\n### %s: %s, %s\n\n| policy |", row.Part, row.Pattern, row.Deployment)
 	for _, figure := range row.Figures {
-		fmt.Fprintf(text, " %s |", figureHead(figure))
+		fmt.Fprintf(text, " %s |", columnHeader(figure))
 	}
 	text.WriteString("\n|---|")
 	text.WriteString(strings.Repeat("---:|", len(row.Figures)))
 	text.WriteString("\n")
 }
 
-func figureHead(figure Figure) string {
+func columnHeader(figure Figure) string {
 	if figure.Unit == "" {
 		return figure.Name
 	}
 	return figure.Name + " (" + figure.Unit + ")"
 }
 
-func writeLine(text *strings.Builder, row *Row) {
+func writeTableRow(text *strings.Builder, row *Row) {
 	fmt.Fprintf(text, "| %s |", row.Policy)
 	for _, figure := range row.Figures {
 		text.WriteString(" " + FormatValue(figure.Value) + " |")
@@ -51,7 +51,8 @@
 	text.WriteString("\n")
 }
 
-// FormatValue writes a value with as many digits as it can be read with.
+// FormatValue formats a value with two decimals, and with fewer if its magnitude
+// is 10 or more.
 func FormatValue(value float64) string {
 	switch {
 	case value == 0:
@@ -65,7 +66,7 @@
 	}
 }
 
-// Find returns the value of a figure by its name.
+// Find returns the value of the named figure and reports whether the row has it.
 func (r *Row) Find(name string) (float64, bool) {
 	for _, figure := range r.Figures {
 		if figure.Name == name {
--- a/internal/measure/requestload/choices.go
+++ b/internal/measure/requestload/choices.go
@@ -6,28 +6,30 @@
 	"github.com/corianderbank/corianderbank/internal/routing"
 )
 
-// The choices among backend servers that were weighed against the one in turn.
+// This file contains the alternatives to the product's round-robin choice among
+// backend servers.
 
-func (w *world) routingPolicy(z *zone) routing.Policy {
-	chosen := w.policy.routing
-	if w.policy.choose != nil {
-		chosen.Choose = w.policy.choose(z)
+func (sim *simulation) routingPolicy(z *zone) routing.Policy {
+	result := sim.policy.routing
+	if sim.policy.choose != nil {
+		result.Choose = sim.policy.choose(z)
 	}
-	return chosen
+	return result
 }
 
-// chooseOfTwo draws two at random and takes the one with fewer requests in
-// flight from this instance (the power of two choices).
-func chooseOfTwo(*zone) routing.Choose {
-	return ofTwo(func(c routing.Candidate) float64 { return float64(c.InFlight) })
+// powerOfTwoByInFlight draws two servers at random and chooses the one with fewer
+// requests in flight from this instance (the power of two choices).
+func powerOfTwoByInFlight(*zone) routing.Choose {
+	return betterOfTwo(func(c routing.Candidate) float64 { return float64(c.InFlight) })
 }
 
-// chooseWeighed is chooseOfTwo with requests in flight weighed by slowness.
-func chooseWeighed(*zone) routing.Choose {
-	return ofTwo(func(c routing.Candidate) float64 { return float64(c.InFlight+1) * c.Slowness })
+// powerOfTwoBySlowness is powerOfTwoByInFlight with the requests in flight weighted
+// by slowness.
+func powerOfTwoBySlowness(*zone) routing.Choose {
+	return betterOfTwo(func(c routing.Candidate) float64 { return float64(c.InFlight+1) * c.Slowness })
 }
 
-func ofTwo(score func(routing.Candidate) float64) routing.Choose {
+func betterOfTwo(score func(routing.Candidate) float64) routing.Choose {
 	return func(candidates []routing.Candidate, random *rand.Rand) (best, second int) {
 		best = random.IntN(len(candidates))
 		second = random.IntN(len(candidates) - 1)
@@ -41,15 +43,16 @@
 	}
 }
 
-// chooseProbed takes the least of all by the true requests in flight, weighed by
-// slowness, as if each had just been probed (after Prequal, NSDI 2024).
-func chooseProbed(z *zone) routing.Choose {
+// leastLoadedByProbe chooses the server with the fewest requests in flight from all
+// instances, weighted by slowness, as if each server had just been probed (after
+// Prequal, NSDI 2024).
+func leastLoadedByProbe(z *zone) routing.Choose {
 	return func(candidates []routing.Candidate, _ *rand.Rand) (best, second int) {
-		least := 0.0
+		lowest := 0.0
 		for i, c := range candidates {
 			score := float64(z.servers[c.ID].inFlight+1) * c.Slowness
-			if i == 0 || score < least {
-				best, second, least = i, best, score
+			if i == 0 || score < lowest {
+				best, second, lowest = i, best, score
 			}
 		}
 		return best, second
--- a/internal/measure/requestload/events.go
+++ b/internal/measure/requestload/events.go
@@ -2,91 +2,92 @@
 
 import "time"
 
-// origin is the virtual time at which requests begin to arrive.
-var origin = time.Unix(1_000_000, 0)
+// simulationStart is the wall-clock time of virtual time zero, at which requests
+// begin to arrive.
+var simulationStart = time.Unix(1_000_000, 0)
 
-// clock runs events in virtual time: in order of time, then of creation. Its heap
-// is written out because container/heap allocates for each event.
+// clock runs events in order of virtual time, and events of equal time in order of
+// creation. It has its own heap because container/heap allocates for each event.
 type clock struct {
 	now    time.Duration
-	queue  []scheduled
-	number uint64
+	events []event
+	seq    uint64
 }
 
-type scheduled struct {
+type event struct {
 	at     time.Duration
-	number uint64
-	run    func()
+	seq    uint64
+	action func()
 }
 
-func (c *clock) time() time.Time { return origin.Add(c.now) }
+func (c *clock) wallTime() time.Time { return simulationStart.Add(c.now) }
 
-// after schedules run.
-func (c *clock) after(delay time.Duration, run func()) {
-	c.number++
-	c.queue = append(c.queue, scheduled{at: c.now + delay, number: c.number, run: run})
-	c.up(len(c.queue) - 1)
+// after schedules action to run after delay.
+func (c *clock) after(delay time.Duration, action func()) {
+	c.seq++
+	c.events = append(c.events, event{at: c.now + delay, seq: c.seq, action: action})
+	c.siftUp(len(c.events) - 1)
 }
 
-// runUntil runs all events up to end.
+// runUntil runs all events up to and including end.
 func (c *clock) runUntil(end time.Duration) {
-	for len(c.queue) > 0 && c.queue[0].at <= end {
+	for len(c.events) > 0 && c.events[0].at <= end {
 		next := c.pop()
 		c.now = next.at
-		next.run()
+		next.action()
 	}
 	c.now = end
 }
 
-func (c *clock) pop() scheduled {
-	first, last := c.queue[0], len(c.queue)-1
-	c.queue[0] = c.queue[last]
-	c.queue[last] = scheduled{}
-	c.queue = c.queue[:last]
-	c.down()
+func (c *clock) pop() event {
+	first, last := c.events[0], len(c.events)-1
+	c.events[0] = c.events[last]
+	c.events[last] = event{}
+	c.events = c.events[:last]
+	c.siftDown()
 	return first
 }
 
-func (s scheduled) before(other scheduled) bool {
-	if s.at != other.at {
-		return s.at < other.at
+func (e event) before(other event) bool {
+	if e.at != other.at {
+		return e.at < other.at
 	}
-	return s.number < other.number
+	return e.seq < other.seq
 }
 
-// up moves the event at i to its place in the heap.
-func (c *clock) up(i int) {
-	moved := c.queue[i]
+// siftUp moves the event at i up to its place in the heap.
+func (c *clock) siftUp(i int) {
+	moved := c.events[i]
 	for i > 0 {
 		parent := (i - 1) / 2
-		if !moved.before(c.queue[parent]) {
+		if !moved.before(c.events[parent]) {
 			break
 		}
-		c.queue[i] = c.queue[parent]
+		c.events[i] = c.events[parent]
 		i = parent
 	}
-	c.queue[i] = moved
+	c.events[i] = moved
 }
 
-// down moves the first event to its place in the heap.
-func (c *clock) down() {
-	if len(c.queue) == 0 {
+// siftDown moves the first event down to its place in the heap.
+func (c *clock) siftDown() {
+	if len(c.events) == 0 {
 		return
 	}
-	moved, i := c.queue[0], 0
+	moved, i := c.events[0], 0
 	for {
 		child := 2*i + 1
-		if child >= len(c.queue) {
+		if child >= len(c.events) {
 			break
 		}
-		if child+1 < len(c.queue) && c.queue[child+1].before(c.queue[child]) {
+		if child+1 < len(c.events) && c.events[child+1].before(c.events[child]) {
 			child++
 		}
-		if !c.queue[child].before(moved) {
+		if !c.events[child].before(moved) {
 			break
 		}
-		c.queue[i] = c.queue[child]
+		c.events[i] = c.events[child]
 		i = child
 	}
-	c.queue[i] = moved
+	c.events[i] = moved
 }
--- a/internal/measure/requestload/figures.go
+++ b/internal/measure/requestload/figures.go
@@ -7,65 +7,66 @@
 	"github.com/corianderbank/corianderbank/internal/measure"
 )
 
-// The names of the figures, in order. Goodput is the service time of the answers
-// that came in time, over the time of all slots: shedding changes the mix of what
-// is answered, so that a count of answers says little about the work done.
+// The names of the figures, in the order of the table. Goodput is the service time
+// of the requests answered in time, divided by the total time of all slots. It is
+// not a count of answers, because shedding changes the mix of the answered
+// requests, so that a count does not reflect the completed work.
 const (
-	figureP50        = "completion p50"
-	figureP99        = "completion p99"
-	figureSlowdown   = "slowdown p99"
-	figureDeadlines  = "deadlines met"
-	figureUrgent     = "urgent deadlines met"
-	figureGoodput    = "goodput"
-	figureAnswers    = "answers in time"
-	figureRefused    = "truthful refusals"
-	figureFalse      = "false refusals"
-	figureUnknown    = "unknown"
-	figureRefusedP99 = "refusal p99"
-	figureWorst      = "worst account"
-	figureOverruns   = "over slots"
-	figureTwice      = "ran twice"
+	figureP50           = "completion p50"
+	figureP99           = "completion p99"
+	figureSlowdown      = "slowdown p99"
+	figureDeadlines     = "deadlines met"
+	figureUrgent        = "urgent deadlines met"
+	figureGoodput       = "goodput"
+	figureAnswers       = "answers in time"
+	figureRefused       = "truthful refusals"
+	figureFalseRefusals = "false refusals"
+	figureUnknown       = "unknown"
+	figureRefusalP99    = "refusal p99"
+	figureWorstAccount  = "worst account"
+	figureOverruns      = "over slots"
+	figureRanTwice      = "ran twice"
 )
 
-const measured = measureTo - measureFrom
+const measuredTime = measureTo - measureFrom
 
-// tally adds up the outcomes of one run.
+// tally accumulates the outcomes of the requests of one run.
 type tally struct {
-	completions, slowdowns, refusals         []float64
-	requests, met, useful, urgent, urgentMet float64
-	refused, refusedFalsely, unknown         int
-	offered, got                             map[string]float64
-	countedKeys                              map[string]bool
-	capacity                                 float64
+	completionTimes, slowdowns, refusalTimes     []float64
+	requests, met, usefulTime, urgent, urgentMet float64
+	refused, falseRefusals, unknown              int
+	offered, received                            map[string]float64
+	countedKeys                                  map[string]bool
+	capacity                                     float64
 }
 
-func (w *world) figures() []measure.Figure {
-	t := w.tally()
-	all := max(1, t.requests)
+func (sim *simulation) figures() []measure.Figure {
+	t := sim.tally()
+	total := max(1, t.requests)
 	return []measure.Figure{
-		{Name: figureP50, Value: 1000 * quantile(t.completions, 0.5), Unit: "ms"},
-		{Name: figureP99, Value: 1000 * quantile(t.completions, 0.99), Unit: "ms"},
+		{Name: figureP50, Value: 1000 * quantile(t.completionTimes, 0.5), Unit: "ms"},
+		{Name: figureP99, Value: 1000 * quantile(t.completionTimes, 0.99), Unit: "ms"},
 		{Name: figureSlowdown, Value: quantile(t.slowdowns, 0.99), Unit: "x"},
-		{Name: figureDeadlines, Value: 100 * t.met / all, Unit: "%"},
+		{Name: figureDeadlines, Value: 100 * t.met / total, Unit: "%"},
 		{Name: figureUrgent, Value: 100 * t.urgentMet / max(1, t.urgent), Unit: "%"},
-		{Name: figureGoodput, Value: 100 * t.useful / t.capacity, Unit: "%"},
-		{Name: figureAnswers, Value: t.met / measured.Seconds(), Unit: "/s"},
-		{Name: figureRefused, Value: 100 * float64(t.refused) / all, Unit: "%"},
-		{Name: figureFalse, Value: float64(t.refusedFalsely), Unit: ""},
-		{Name: figureUnknown, Value: 100 * float64(t.unknown) / all, Unit: "%"},
-		{Name: figureRefusedP99, Value: 1000 * quantile(t.refusals, 0.99), Unit: "ms"},
-		{Name: figureWorst, Value: 100 * w.worstAccount(t), Unit: "%"},
-		{Name: figureOverruns, Value: float64(w.overruns), Unit: ""},
-		{Name: figureTwice, Value: float64(w.ranTwice), Unit: ""},
+		{Name: figureGoodput, Value: 100 * t.usefulTime / t.capacity, Unit: "%"},
+		{Name: figureAnswers, Value: t.met / measuredTime.Seconds(), Unit: "/s"},
+		{Name: figureRefused, Value: 100 * float64(t.refused) / total, Unit: "%"},
+		{Name: figureFalseRefusals, Value: float64(t.falseRefusals), Unit: ""},
+		{Name: figureUnknown, Value: 100 * float64(t.unknown) / total, Unit: "%"},
+		{Name: figureRefusalP99, Value: 1000 * quantile(t.refusalTimes, 0.99), Unit: "ms"},
+		{Name: figureWorstAccount, Value: 100 * sim.worstAccount(t), Unit: "%"},
+		{Name: figureOverruns, Value: float64(sim.overruns), Unit: ""},
+		{Name: figureRanTwice, Value: float64(sim.ranTwice), Unit: ""},
 	}
 }
 
-func (w *world) tally() *tally {
+func (sim *simulation) tally() *tally {
 	t := &tally{
-		offered: make(map[string]float64), got: make(map[string]float64), countedKeys: make(map[string]bool),
-		capacity: float64(w.deployment.slots()) * measured.Seconds(),
+		offered: make(map[string]float64), received: make(map[string]float64), countedKeys: make(map[string]bool),
+		capacity: float64(sim.deployment.slots()) * measuredTime.Seconds(),
 	}
-	for _, r := range w.requests {
+	for _, r := range sim.requests {
 		if r.at >= measureFrom && r.at < measureTo {
 			t.add(r)
 		}
@@ -82,27 +83,27 @@
 	if first {
 		t.offered[r.account] += r.service.Seconds()
 	}
-	took := r.outcome.at - r.at
+	elapsed := r.outcome.at - r.at
 	switch r.outcome.kind {
 	case outcomeDone:
-		t.completions = append(t.completions, took.Seconds())
-		ideal := r.service + 2*withinZone
-		t.slowdowns = append(t.slowdowns, float64(took)/float64(ideal))
+		t.completionTimes = append(t.completionTimes, elapsed.Seconds())
+		ideal := r.service + 2*intraZoneLatency
+		t.slowdowns = append(t.slowdowns, float64(elapsed)/float64(ideal))
 		if r.outcome.at <= r.deadline {
 			t.met++
 			if r.kind.priority > 0 {
 				t.urgentMet++
 			}
 			if first {
-				t.useful += r.service.Seconds()
-				t.got[r.account] += r.service.Seconds()
+				t.usefulTime += r.service.Seconds()
+				t.received[r.account] += r.service.Seconds()
 			}
 		}
 	case outcomeNotRun:
 		t.refused++
-		t.refusals = append(t.refusals, took.Seconds())
+		t.refusalTimes = append(t.refusalTimes, elapsed.Seconds())
 		if r.ran {
-			t.refusedFalsely++
+			t.falseRefusals++
 		}
 	default:
 		t.unknown++
@@ -112,42 +113,43 @@
 	}
 }
 
-// worstAccount is the smallest part that an account got of what its weight
-// entitles it to: max-min shares of the slots' time by weight, up to its demand.
-func (w *world) worstAccount(t *tally) float64 {
-	entitled := w.entitled(t)
+// worstAccount returns the smallest share that an account received of its
+// entitlement, which is its weighted max-min fair share of the slot time, up to its
+// demand.
+func (sim *simulation) worstAccount(t *tally) float64 {
+	entitled := sim.entitlements(t)
 	worst := 1.0
-	for _, a := range w.deployment.accounts {
+	for _, a := range sim.deployment.accounts {
 		if entitled[a.name] > 0 {
-			worst = min(worst, t.got[a.name]/entitled[a.name])
+			worst = min(worst, t.received[a.name]/entitled[a.name])
 		}
 	}
 	return worst
 }
 
-func (w *world) entitled(t *tally) map[string]float64 {
+func (sim *simulation) entitlements(t *tally) map[string]float64 {
 	entitled := make(map[string]float64)
-	left, open := t.capacity, slices.Clone(w.deployment.accounts)
-	for len(open) > 0 {
+	remaining, unsettled := t.capacity, slices.Clone(sim.deployment.accounts)
+	for len(unsettled) > 0 {
 		weights := 0
-		for _, a := range open {
+		for _, a := range unsettled {
 			weights += a.weight
 		}
-		share := left / float64(weights)
-		rest := slices.DeleteFunc(slices.Clone(open), func(a account) bool { return t.offered[a.name] <= share*float64(a.weight) })
-		if len(rest) == len(open) {
-			for _, a := range open {
+		share := remaining / float64(weights)
+		aboveShare := slices.DeleteFunc(slices.Clone(unsettled), func(a account) bool { return t.offered[a.name] <= share*float64(a.weight) })
+		if len(aboveShare) == len(unsettled) {
+			for _, a := range unsettled {
 				entitled[a.name] = share * float64(a.weight)
 			}
 			return entitled
 		}
-		for _, a := range open {
+		for _, a := range unsettled {
 			if t.offered[a.name] <= share*float64(a.weight) {
 				entitled[a.name] = t.offered[a.name]
-				left -= t.offered[a.name]
+				remaining -= t.offered[a.name]
 			}
 		}
-		open = rest
+		unsettled = aboveShare
 	}
 	return entitled
 }
--- a/internal/measure/requestload/path.go
+++ b/internal/measure/requestload/path.go
@@ -11,191 +11,197 @@
 	"github.com/corianderbank/corianderbank/internal/routing"
 )
 
-// arrive is a caller's request at its entry instance.
-func (w *world) arrive(a arrival) {
+// arrive handles a caller's request that arrives at its entry instance.
+func (sim *simulation) arrive(a arrival) {
 	r := &request{
-		arrival: a, id: "r" + strconv.Itoa(len(w.requests)), deadline: a.at + a.kind.deadline,
-		home: w.zones[a.zone].entries[a.entry],
+		arrival: a, id: "r" + strconv.Itoa(len(sim.requests)), deadline: a.at + a.kind.deadline,
+		handledBy: sim.zones[a.zone].entries[a.entry],
 	}
-	w.requests = append(w.requests, r)
-	w.after(a.kind.deadline, func() { w.expireAtCaller(r) })
-	if !w.policy.noSpill {
-		if to := r.home.spill.Next(); to != "" {
-			w.forward(r, to)
+	sim.requests = append(sim.requests, r)
+	sim.after(a.kind.deadline, func() { sim.expireDeadline(r) })
+	if !sim.policy.noSpill {
+		if to := r.handledBy.spill.Next(); to != "" {
+			sim.forward(r, to)
 			return
 		}
 	}
-	w.admit(r.home, r)
+	sim.admit(r.handledBy, r)
 }
 
-// expireAtCaller answers a request whose deadline has come.
-func (w *world) expireAtCaller(r *request) {
+// expireDeadline answers a request that is still unanswered at its deadline.
+func (sim *simulation) expireDeadline(r *request) {
 	if r.outcome.kind != "" {
 		return
 	}
 	if r.running || r.ran {
-		w.answer(r, outcomeUnknown)
+		sim.answer(r, outcomeUnknown)
 		return
 	}
-	r.home.queue.Cancel(r.id)
-	w.answer(r, outcomeNotRun)
+	r.handledBy.queue.Cancel(r.id)
+	sim.answer(r, outcomeNotRun)
 }
 
-func (w *world) answer(r *request, kind string) {
+func (sim *simulation) answer(r *request, kind string) {
 	if r.outcome.kind == "" {
-		r.outcome = outcome{kind: kind, at: w.now}
+		r.outcome = outcome{kind: kind, at: sim.now}
 	}
 }
 
-// forward sends a request to another zone; if that refuses it, it is run here.
-func (w *world) forward(r *request, zoneName string) {
+// forward sends a request to another zone. If that zone refuses it, it is admitted
+// at the instance that forwarded it.
+func (sim *simulation) forward(r *request, zoneName string) {
 	r.forwarded = true
-	home := r.home
-	for _, z := range w.zones {
+	origin := r.handledBy
+	for _, z := range sim.zones {
 		if z.name != zoneName {
 			continue
 		}
-		there := z.entries[w.random.IntN(len(z.entries))]
-		w.after(betweenZones, func() {
-			r.home = there
-			if there.queue.Check(w.admitted(r), w.time()) != nil {
-				w.after(betweenZones, func() {
-					r.home = home
-					w.admit(home, r)
+		target := z.entries[sim.random.IntN(len(z.entries))]
+		sim.after(interZoneLatency, func() {
+			r.handledBy = target
+			if target.queue.Check(sim.admissionRequest(r), sim.wallTime()) != nil {
+				sim.after(interZoneLatency, func() {
+					r.handledBy = origin
+					sim.admit(origin, r)
 				})
 				return
 			}
-			w.admit(there, r)
+			sim.admit(target, r)
 		})
 	}
 }
 
-// admitted is what admission knows of the request.
-func (w *world) admitted(r *request) admission.Request {
+// admissionRequest returns the request in the form that package admission uses.
+func (sim *simulation) admissionRequest(r *request) admission.Request {
 	return admission.Request{
-		ID: r.id, Account: r.account, Kind: r.kind.name, Priority: w.priority(r),
-		Arrived: origin.Add(r.at), Deadline: origin.Add(r.deadline),
+		ID: r.id, Account: r.account, Kind: r.kind.name, Priority: sim.priority(r),
+		Arrived: simulationStart.Add(r.at), Deadline: simulationStart.Add(r.deadline),
 	}
 }
 
-func (w *world) priority(r *request) int {
-	if w.policy.unbounded {
+func (sim *simulation) priority(r *request) int {
+	if sim.policy.unbounded {
 		return 0
 	}
 	return r.kind.priority
 }
 
 // admit checks a request, claims its key if it has one, and queues it.
-func (w *world) admit(e *entry, r *request) {
+func (sim *simulation) admit(e *entry, r *request) {
 	if r.outcome.kind != "" {
 		return
 	}
 	if r.key != "" {
-		w.claim(e, r)
+		sim.claimKey(e, r)
 		return
 	}
-	w.offer(e, r)
+	sim.enqueue(e, r)
 }
 
-// claim joins the arrivals of a key. Only the first one is queued, unless the
-// policy lets each arrival take its turn and wait on its slot.
-func (w *world) claim(e *entry, r *request) {
-	state, known := w.keys[r.key]
+// claimKey coalesces the arrivals of a key. Only the first one is queued, unless
+// coalescing is disabled: then every arrival is queued and waits on a slot of its
+// own.
+func (sim *simulation) claimKey(e *entry, r *request) {
+	state, known := sim.keys[r.key]
 	switch {
 	case known && state.done:
-		w.after(claimTime, func() { w.answer(r, outcomeDone) })
-	case known && !w.policy.noCoalescing:
+		sim.after(claimLatency, func() { sim.answer(r, outcomeDone) })
+	case known && !sim.policy.noCoalescing:
 		state.waiting = append(state.waiting, r)
 	case known:
-		w.offer(e, r)
+		sim.enqueue(e, r)
 	default:
-		w.keys[r.key] = &keyed{}
-		w.after(claimTime, func() { w.offer(e, r) })
+		sim.keys[r.key] = &keyState{}
+		sim.after(claimLatency, func() { sim.enqueue(e, r) })
 	}
 }
 
-func (w *world) offer(e *entry, r *request) {
+func (sim *simulation) enqueue(e *entry, r *request) {
 	if r.outcome.kind != "" {
 		return
 	}
-	if refusal := e.queue.Offer(w.admitted(r), w.time()); refusal != nil {
-		if to := w.rescue(r); to != "" {
-			w.forward(r, to)
+	if refusal := e.queue.Offer(sim.admissionRequest(r), sim.wallTime()); refusal != nil {
+		if to := sim.rescueZone(r); to != "" {
+			sim.forward(r, to)
 			return
 		}
-		w.refuse(e, r)
+		sim.refuse(e, r)
 		return
 	}
 	e.waiting[r.id] = r
-	w.serve(e)
+	sim.dispatchQueued(e)
 }
 
-// rescue returns the zone that takes a request which is refused here.
-func (w *world) rescue(r *request) string {
-	if w.policy.noSpill || r.forwarded {
+// rescueZone returns the zone that takes a request which would be refused here, or
+// an empty string.
+func (sim *simulation) rescueZone(r *request) string {
+	if sim.policy.noSpill || r.forwarded {
 		return ""
 	}
-	return routing.Rescue(w.otherLoads(r.home.zone))
+	return routing.Rescue(sim.otherLoads(r.handledBy.zone))
 }
 
-// refuse answers not run, or unknown if an earlier attempt ran. Other arrivals of the key may try in its place.
-func (w *world) refuse(e *entry, r *request) {
+// refuse answers that the request did not run, or that its outcome is unknown if an
+// earlier attempt ran. If its key has never run, the other arrivals of the key are
+// admitted in its place.
+func (sim *simulation) refuse(e *entry, r *request) {
 	if r.ran {
-		w.answer(r, outcomeUnknown)
+		sim.answer(r, outcomeUnknown)
 		return
 	}
-	w.answer(r, outcomeNotRun)
-	state, ok := w.keys[r.key]
+	sim.answer(r, outcomeNotRun)
+	state, ok := sim.keys[r.key]
 	if !ok || state.runs > 0 || state.done {
 		return
 	}
-	delete(w.keys, r.key)
-	next := state.waiting
-	for _, other := range next {
-		w.admit(e, other)
+	delete(sim.keys, r.key)
+	waiters := state.waiting
+	for _, other := range waiters {
+		sim.admit(e, other)
 	}
 }
 
-// serve gives turns while there are free slots, as the dispatcher does.
-func (w *world) serve(e *entry) {
-	now := w.time()
+// dispatchQueued dispatches queued requests while there are free slots, as the
+// product's dispatcher does.
+func (sim *simulation) dispatchQueued(e *entry) {
+	now := sim.wallTime()
 	for _, refusal := range e.queue.Expire(now) {
 		r := e.waiting[refusal.Request.ID]
 		delete(e.waiting, r.id)
-		w.refuse(e, r)
+		sim.refuse(e, r)
 	}
-	usable := w.usable(e)
-	var stalled []admission.Request
+	usable := sim.usableSlots(e)
+	var unrouted []admission.Request
 	for e.table.Free(usable) {
 		next, ok := e.queue.Next()
 		if !ok {
 			break
 		}
 		r := e.waiting[next.ID]
-		if w.policy.codel && e.delay.sheds(now.Sub(next.Arrived), w.now) {
+		if sim.policy.codel && e.queueDelay.shouldShed(now.Sub(next.Arrived), sim.now) {
 			e.queue.Finish(next.ID, 0)
 			delete(e.waiting, r.id)
-			w.refuse(e, r)
+			sim.refuse(e, r)
 			continue
 		}
-		choice, ok := e.table.Pick(now, w.random, usable, r.tried)
+		choice, ok := e.table.Pick(now, sim.random, usable, r.tried)
 		if !ok {
 			e.queue.Finish(next.ID, 0)
-			stalled = append(stalled, next)
+			unrouted = append(unrouted, next)
 			if len(r.tried) == 0 {
 				break
 			}
 			continue
 		}
 		delete(e.waiting, r.id)
-		w.dispatch(e, r, choice)
+		sim.dispatch(e, r, choice)
 	}
-	for _, request := range stalled {
+	for _, request := range unrouted {
 		e.queue.Restore(request)
 	}
 }
 
-// attempt is one dispatch.
+// attempt is one dispatch of a request to a backend server.
 type attempt struct {
 	entry   *entry
 	request *request
@@ -204,136 +210,141 @@
 	started time.Duration
 }
 
-func (w *world) dispatch(e *entry, r *request, choice routing.Choice) {
-	a := &attempt{entry: e, request: r, choice: choice, server: e.zone.servers[choice.ID], started: w.now}
+func (sim *simulation) dispatch(e *entry, r *request, choice routing.Choice) {
+	a := &attempt{entry: e, request: r, choice: choice, server: e.zone.servers[choice.ID], started: sim.now}
 	e.table.Started(choice.ID)
 	r.running = true
-	w.after(withinZone, func() { w.execute(a) })
+	sim.after(intraZoneLatency, func() { sim.execute(a) })
 }
 
-// execute is the request at the backend server.
-func (w *world) execute(a *attempt) {
+// execute runs an attempt at its backend server.
+func (sim *simulation) execute(a *attempt) {
 	if a.server.inFlight >= serverSlots {
-		w.overruns++
-		w.after(withinZone, func() { w.failed(a, true) })
+		sim.overruns++
+		sim.after(intraZoneLatency, func() { sim.handleFailure(a, true) })
 		return
 	}
 	a.server.inFlight++
-	took, ok := w.serviceAt(a)
-	w.after(took, func() {
+	duration, ok := sim.simulateService(a)
+	sim.after(duration, func() {
 		a.server.inFlight--
-		w.after(withinZone, func() {
+		sim.after(intraZoneLatency, func() {
 			if ok {
-				w.succeeded(a)
+				sim.handleSuccess(a)
 				return
 			}
-			w.failed(a, false)
+			sim.handleFailure(a, false)
 		})
 	})
 }
 
-// serviceAt is how long the server takes, and whether it answers.
-func (w *world) serviceAt(a *attempt) (time.Duration, bool) {
-	factor := a.server.slow
-	if w.now-a.server.joined < coldTime {
+// simulateService returns how long the server works on an attempt, and whether it
+// then answers.
+func (sim *simulation) simulateService(a *attempt) (time.Duration, bool) {
+	factor := a.server.slowFactor
+	if sim.now-a.server.joinedAt < coldDuration {
 		factor = coldFactor
 	}
-	if state, ok := w.keys[a.request.key]; ok && w.policy.noCoalescing && state.runs > 0 {
-		return w.waitOnSlot(state, a.request), true
+	if state, ok := sim.keys[a.request.key]; ok && sim.policy.noCoalescing && state.runs > 0 {
+		return sim.slotHoldTime(state, a.request), true
 	}
-	w.countRun(a.request)
-	return time.Duration(math.Round(float64(a.request.service) * factor)), !a.server.failing && !w.sharedFault() && !w.failsAlways(a.request)
+	sim.recordRun(a.request)
+	return time.Duration(math.Round(float64(a.request.service) * factor)), !a.server.failing && !sim.drawSharedFault() && !sim.alwaysFails(a.request)
 }
 
-// sharedFault draws whether a run fails by what all servers depend on.
-func (w *world) sharedFault() bool {
-	share := w.pattern.fault.failShare
-	return share > 0 && w.now >= failAt && w.now < failAt+failTime && w.random.Float64() < share
+// drawSharedFault draws whether a run fails because of a fault in a dependency of
+// all servers.
+func (sim *simulation) drawSharedFault() bool {
+	share := sim.pattern.fault.failShare
+	return share > 0 && sim.now >= faultStart && sim.now < faultStart+faultDuration && sim.random.Float64() < share
 }
 
-// failsAlways says that the request is of the account whose requests fail.
-func (w *world) failsAlways(r *request) bool {
-	accounts := w.deployment.accounts
-	return w.pattern.fault.failAccount && r.account == accounts[len(accounts)-2].name
+// alwaysFails reports whether the request belongs to the account whose requests
+// all fail.
+func (sim *simulation) alwaysFails(r *request) bool {
+	accounts := sim.deployment.accounts
+	return sim.pattern.fault.failAccount && r.account == accounts[len(accounts)-2].name
 }
 
-// waitOnSlot is how long an arrival of a key under way holds its slot.
-func (w *world) waitOnSlot(state *keyed, r *request) time.Duration {
+// slotHoldTime returns how long a further arrival of a key holds its slot while it
+// waits for the first one.
+func (sim *simulation) slotHoldTime(state *keyState, r *request) time.Duration {
 	if state.done {
-		return claimTime
+		return claimLatency
 	}
-	return min(r.service, max(0, r.deadline-w.now))
+	return min(r.service, max(0, r.deadline-sim.now))
 }
 
-func (w *world) countRun(r *request) {
+func (sim *simulation) recordRun(r *request) {
 	r.ran = true
-	state, ok := w.keys[r.key]
+	state, ok := sim.keys[r.key]
 	if !ok {
 		return
 	}
 	state.runs++
 	if state.runs > 1 {
-		w.ranTwice++
+		sim.ranTwice++
 	}
 }
 
-func (w *world) succeeded(a *attempt) {
-	took := w.now - a.started
-	w.finish(a, routing.Result{Took: took}, took)
+func (sim *simulation) handleSuccess(a *attempt) {
+	elapsed := sim.now - a.started
+	sim.finishAttempt(a, routing.Result{Took: elapsed}, elapsed)
 	a.entry.budget.Answered(a.request.account)
 	r := a.request
 	r.running = false
-	w.answer(r, outcomeDone)
-	if state, ok := w.keys[r.key]; ok {
+	sim.answer(r, outcomeDone)
+	if state, ok := sim.keys[r.key]; ok {
 		state.done = true
 		for _, other := range state.waiting {
-			w.answer(other, outcomeDone)
+			sim.answer(other, outcomeDone)
 		}
 		state.waiting = nil
 	}
-	w.serve(a.entry)
+	sim.dispatchQueued(a.entry)
 }
 
-func (w *world) finish(a *attempt, result routing.Result, service time.Duration) {
+func (sim *simulation) finishAttempt(a *attempt, result routing.Result, service time.Duration) {
 	e := a.entry
-	result.Expected = e.queue.Expected(w.admitted(a.request))
+	result.Expected = e.queue.Expected(sim.admissionRequest(a.request))
 	result.Incarnation = a.choice.Incarnation
 	e.table.Finished(a.choice.ID, result)
 	e.queue.Finish(a.request.id, service)
 }
 
-// failed ends an attempt without a whole answer.
-func (w *world) failed(a *attempt, notRun bool) {
+// handleFailure ends an attempt without a complete answer, and retries the request
+// if the retry budget allows it.
+func (sim *simulation) handleFailure(a *attempt, notRun bool) {
 	r, e := a.request, a.entry
 	r.running = false
 	if !notRun {
 		r.ran = true
 	}
-	w.finish(a, routing.Result{Failed: true, Took: w.now - a.started}, 0)
+	sim.finishAttempt(a, routing.Result{Failed: true, Took: sim.now - a.started}, 0)
 	if r.outcome.kind != "" {
-		w.serve(e)
+		sim.dispatchQueued(e)
 		return
 	}
 	r.tried = append(slices.Clone(r.tried), a.choice.ID)
 	decision := e.budget.Decide(retry.Attempt{
-		Account: r.account, Idempotent: r.kind.idempotent, NotRun: notRun, Retries: r.retries, MaxRetries: w.maxRetries(),
-		Deadline: origin.Add(r.deadline), Expected: e.queue.Expected(w.admitted(r)), Others: e.table.Takers(r.tried),
-	}, w.time())
+		Account: r.account, Idempotent: r.kind.idempotent, NotRun: notRun, Retries: r.retries, MaxRetries: sim.maxRetries(),
+		Deadline: simulationStart.Add(r.deadline), Expected: e.queue.Expected(sim.admissionRequest(r)), Others: e.table.Takers(r.tried),
+	}, sim.wallTime())
 	switch {
 	case decision.Again:
 		r.retries++
 		e.waiting[r.id] = r
-		e.queue.Restore(w.admitted(r))
+		e.queue.Restore(sim.admissionRequest(r))
 	case notRun && !r.ran:
-		w.refuse(e, r)
+		sim.refuse(e, r)
 	default:
-		w.answer(r, outcomeUnknown)
+		sim.answer(r, outcomeUnknown)
 	}
-	w.serve(e)
+	sim.dispatchQueued(e)
 }
 
-func (w *world) maxRetries() int {
-	if w.policy.noRetry {
+func (sim *simulation) maxRetries() int {
+	if sim.policy.noRetry {
 		return 0
 	}
 	return 2
--- a/internal/measure/requestload/requestload.go
+++ b/internal/measure/requestload/requestload.go
@@ -1,8 +1,8 @@
 // Package requestload measures the decisions of the request path in virtual
-// time: the product's own packages admission, routing, retry and slots, with
-// fakes of callers, backend servers and messages around them. It plays load
-// patterns at the sizes of both deployments under the product's policy, under
-// baselines, and with each decision switched off in turn.
+// time. It uses the product's packages admission, routing, retry and slots with
+// fake callers, backend servers and messages. It simulates load patterns at the
+// sizes of both deployments under the product's policy, under baselines, and with
+// each decision disabled in turn.
 package requestload
 
 import (
@@ -21,9 +21,9 @@
 	var cases []runCase
 	for _, p := range patterns {
 		for _, d := range deployments {
-			for _, chosen := range policies {
-				if len(chosen.only) == 0 || slices.Contains(chosen.only, p.name) {
-					cases = append(cases, runCase{p, d, chosen})
+			for _, candidate := range policies {
+				if len(candidate.patterns) == 0 || slices.Contains(candidate.patterns, p.name) {
+					cases = append(cases, runCase{p, d, candidate})
 				}
 			}
 		}
@@ -37,26 +37,26 @@
 	policy     policy
 }
 
-// runAll runs the cases side by side; each has a world of its own.
+// runAll runs the cases concurrently. Each case has a simulation of its own.
 func runAll(cases []runCase, seed uint64) []measure.Row {
 	rows := make([]measure.Row, len(cases))
-	free := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var running sync.WaitGroup
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var group sync.WaitGroup
 	for i, c := range cases {
-		free <- struct{}{}
-		running.Go(func() {
+		semaphore <- struct{}{}
+		group.Go(func() {
 			rows[i] = c.run(seed)
-			<-free
+			<-semaphore
 		})
 	}
-	running.Wait()
+	group.Wait()
 	return rows
 }
 
 func (c runCase) run(seed uint64) measure.Row {
-	w := newWorld(c.deployment, c.pattern, c.policy, seed)
-	w.run(arrivalsOf(c.deployment, c.pattern, seed))
+	sim := newSimulation(c.deployment, c.pattern, c.policy, seed)
+	sim.run(drawArrivals(c.deployment, c.pattern, seed))
 	return measure.Row{
-		Part: "requests", Pattern: c.pattern.name, Deployment: c.deployment.name, Policy: c.policy.name, Figures: w.figures(),
+		Part: "requests", Pattern: c.pattern.name, Deployment: c.deployment.name, Policy: c.policy.name, Figures: sim.figures(),
 	}
 }
--- a/internal/measure/requestload/requestload_test.go
+++ b/internal/measure/requestload/requestload_test.go
@@ -11,47 +11,47 @@
 
 const seed = 1
 
-// key names a case.
-type key struct{ pattern, deployment, policy string }
+// caseKey identifies a case.
+type caseKey struct{ pattern, deployment, policy string }
 
-// figuresOf holds the figures of every case that a test here asks for. They are
-// played once, side by side.
-var figuresOf = sync.OnceValue(func() map[key]map[string]float64 {
-	wanted := map[key]bool{{saturation1, "klaverveld", "slot shares without owner"}: true}
+// simulatedFigures returns the figures of every case that the tests use. The cases
+// are simulated only once and concurrently.
+var simulatedFigures = sync.OnceValue(func() map[caseKey]map[string]float64 {
+	wanted := map[caseKey]bool{{saturation1, "klaverveld", "slot shares without owner"}: true}
 	for _, d := range deployments {
-		wanted[key{saturation15, d.name, "first come first served"}] = true
-		wanted[key{saturation15, d.name, product}] = true
-		wanted[key{saturation1, d.name, product}] = true
-		wanted[key{saturation3, d.name, product}] = true
+		wanted[caseKey{saturation15, d.name, "first come first served"}] = true
+		wanted[caseKey{saturation15, d.name, productPolicy}] = true
+		wanted[caseKey{saturation1, d.name, productPolicy}] = true
+		wanted[caseKey{saturation3, d.name, productPolicy}] = true
 	}
 	for _, p := range patterns {
-		wanted[key{p.name, deployments[0].name, product}] = true
+		wanted[caseKey{p.name, deployments[0].name, productPolicy}] = true
 	}
-	for _, w := range worth {
-		wanted[key{w.pattern, w.deployment, w.off}] = true
-		wanted[key{w.pattern, w.deployment, product}] = true
+	for _, benefit := range decisionBenefits {
+		wanted[caseKey{benefit.pattern, benefit.deployment, benefit.disabled}] = true
+		wanted[caseKey{benefit.pattern, benefit.deployment, productPolicy}] = true
 	}
 	var cases []runCase
 	for _, c := range allCases() {
-		if wanted[key{c.pattern.name, c.deployment.name, c.policy.name}] {
+		if wanted[caseKey{c.pattern.name, c.deployment.name, c.policy.name}] {
 			cases = append(cases, c)
 		}
 	}
-	figures := make(map[key]map[string]float64, len(cases))
+	figures := make(map[caseKey]map[string]float64, len(cases))
 	for _, row := range runAll(cases, seed) {
-		figures[key{row.Pattern, row.Deployment, row.Policy}] = byName(row)
+		figures[caseKey{row.Pattern, row.Deployment, row.Policy}] = figuresByName(row)
 	}
 	return figures
 })
 
-func played(t *testing.T, patternName, deploymentName, policyName string) map[string]float64 {
+func figuresFor(t *testing.T, patternName, deploymentName, policyName string) map[string]float64 {
 	t.Helper()
-	figures, ok := figuresOf()[key{patternName, deploymentName, policyName}]
+	figures, ok := simulatedFigures()[caseKey{patternName, deploymentName, policyName}]
 	assert.Assert(t, ok, "no case %s, %s, %s", patternName, deploymentName, policyName)
 	return figures
 }
 
-func byName(row measure.Row) map[string]float64 {
+func figuresByName(row measure.Row) map[string]float64 {
 	figures := make(map[string]float64, len(row.Figures))
 	for _, f := range row.Figures {
 		figures[f.Name] = f.Value
@@ -62,7 +62,7 @@
 func TestSameSeedSameFigures(t *testing.T) {
 	var cases []runCase
 	for _, c := range allCases() {
-		if c.pattern.name == failingServers && c.policy.name == product {
+		if c.pattern.name == failingServers && c.policy.name == productPolicy {
 			cases = append(cases, c)
 		}
 	}
@@ -70,60 +70,60 @@
 	assert.DeepEqual(t, runAll(cases, seed), runAll(cases, seed))
 }
 
-func TestPromisesHoldInEveryPattern(t *testing.T) {
-	for k, figures := range figuresOf() {
-		if k.policy != product {
+func TestProductHasNoFalseRefusalsOverrunsOrSecondRuns(t *testing.T) {
+	for k, figures := range simulatedFigures() {
+		if k.policy != productPolicy {
 			continue
 		}
-		for _, name := range []string{figureFalse, figureOverruns, figureTwice} {
+		for _, name := range []string{figureFalseRefusals, figureOverruns, figureRanTwice} {
 			assert.Equal(t, figures[name], 0.0, "%v: %s", k, name)
 		}
 	}
 }
 
-func TestOverrunsAreSeenWhereThereAreSome(t *testing.T) {
-	figures := played(t, saturation1, "klaverveld", "slot shares without owner")
+func TestOverrunsAreCounted(t *testing.T) {
+	figures := figuresFor(t, saturation1, "klaverveld", "slot shares without owner")
 	assert.Assert(t, figures[figureOverruns] > 0)
 }
 
-func TestGoodputAtThreeTimesSaturation(t *testing.T) {
+func TestGoodputIsKeptAtThreeTimesSaturation(t *testing.T) {
 	for _, d := range deployments {
-		at1 := played(t, saturation1, d.name, product)[figureGoodput]
-		at3 := played(t, saturation3, d.name, product)[figureGoodput]
+		at1 := figuresFor(t, saturation1, d.name, productPolicy)[figureGoodput]
+		at3 := figuresFor(t, saturation3, d.name, productPolicy)[figureGoodput]
 		assert.Assert(t, at3 >= 0.95*at1, "%s: %.1f%% at 3, %.1f%% at 1", d.name, at3, at1)
 	}
 }
 
-// worth lists, for each decision, the pattern that it answers and the figure
-// that it betters.
-var worth = map[string]struct {
-	pattern, deployment, off, figure string
-	// less says that a smaller figure is better.
-	less bool
+// decisionBenefits lists for each decision a pattern and the figure that the decision
+// improves in it. The field disabled is the policy without the decision.
+var decisionBenefits = map[string]struct {
+	pattern, deployment, disabled, figure string
+	// lowerIsBetter is set if a lower figure is better.
+	lowerIsBetter bool
 }{
-	"fair queue protects the other accounts":     {oneBigAccount, "klaverveld", "without fair queue", figureWorst, false},
-	"deadline order meets more deadlines":        {saturation15, "klaverveld", "without deadline order", figureDeadlines, false},
-	"shedding keeps goodput":                     {saturation3, "lankapowder", "without shedding", figureGoodput, false},
-	"deadline slack sheds better than delay":     {saturation3, "lankapowder", "shedding by queue delay", figureGoodput, false},
-	"ejection avoids a slow server":              {slowServer, "klaverveld", "without ejection", figureSlowdown, true},
-	"ejection avoids failing servers":            {failingServers, "klaverveld", "without ejection", figureDeadlines, false},
-	"ramp spares callers of a cold server":       {newServers, "klaverveld", "without ramp", figureP99, true},
-	"owner's grants follow uneven load":          {unevenEntries, "klaverveld", "fixed slot shares", figureDeadlines, false},
-	"retries save requests":                      {failingServers, "klaverveld", "without retries", figureDeadlines, false},
-	"retry budget spares the other accounts":     {failingAccount, "klaverveld", "without retry budget", figureDeadlines, false},
-	"spill uses the other zones":                 {oneHotZone, "klaverveld", "without spill", figureDeadlines, false},
-	"arrivals of a key do not wait on the slots": {fewHotKeys, "klaverveld", "without coalescing", figureP50, true},
+	"fair queue protects the other accounts":                   {oneBigAccount, "klaverveld", "without fair queue", figureWorstAccount, false},
+	"deadline order meets more deadlines":                      {saturation15, "klaverveld", "without deadline order", figureDeadlines, false},
+	"shedding keeps goodput":                                   {saturation3, "lankapowder", "without shedding", figureGoodput, false},
+	"shedding by deadline slack beats shedding by queue delay": {saturation3, "lankapowder", "shedding by queue delay", figureGoodput, false},
+	"ejection avoids a slow server":                            {slowServer, "klaverveld", "without ejection", figureSlowdown, true},
+	"ejection avoids failing servers":                          {failingServers, "klaverveld", "without ejection", figureDeadlines, false},
+	"ramp-up reduces latency with cold servers":                {newServers, "klaverveld", "without ramp", figureP99, true},
+	"slot grants adapt to uneven load":                         {unevenEntries, "klaverveld", "fixed slot shares", figureDeadlines, false},
+	"retries recover failed requests":                          {failingServers, "klaverveld", "without retries", figureDeadlines, false},
+	"retry budget protects the other accounts":                 {failingAccount, "klaverveld", "without retry budget", figureDeadlines, false},
+	"spill uses the other zones":                               {oneHotZone, "klaverveld", "without spill", figureDeadlines, false},
+	"coalesced requests do not occupy slots":                   {fewHotKeys, "klaverveld", "without coalescing", figureP50, true},
 }
 
-// TestDecisionsAreWorthTheirCode compares the product with each decision
-// switched off.
-func TestDecisionsAreWorthTheirCode(t *testing.T) {
-	for name, c := range worth {
+// TestDisablingDecisionWorsensItsFigure compares the product with the product
+// without each decision.
+func TestDisablingDecisionWorsensItsFigure(t *testing.T) {
+	for name, c := range decisionBenefits {
 		t.Run(name, func(t *testing.T) {
-			with := played(t, c.pattern, c.deployment, product)[c.figure]
-			without := played(t, c.pattern, c.deployment, c.off)[c.figure]
+			with := figuresFor(t, c.pattern, c.deployment, productPolicy)[c.figure]
+			without := figuresFor(t, c.pattern, c.deployment, c.disabled)[c.figure]
 			better := with > without
-			if c.less {
+			if c.lowerIsBetter {
 				better = with < without
 			}
 			assert.Assert(t, better, "%s: %.2f with, %.2f without", c.figure, with, without)
@@ -131,10 +131,10 @@
 	}
 }
 
-func TestUrgentRequestsAreAnsweredAtSaturation(t *testing.T) {
+func TestUrgentRequestsMeetDeadlinesAtSaturation(t *testing.T) {
 	for _, d := range deployments {
-		with := played(t, saturation15, d.name, product)[figureUrgent]
-		baseline := played(t, saturation15, d.name, "first come first served")[figureUrgent]
+		with := figuresFor(t, saturation15, d.name, productPolicy)[figureUrgent]
+		baseline := figuresFor(t, saturation15, d.name, "first come first served")[figureUrgent]
 		assert.Assert(t, with > 95, "%s: %.1f%%", d.name, with)
 		assert.Assert(t, baseline < with, "%s: %.1f%% first come first served", d.name, baseline)
 	}
--- a/internal/measure/requestload/sharing.go
+++ b/internal/measure/requestload/sharing.go
@@ -7,46 +7,47 @@
 	"github.com/corianderbank/corianderbank/internal/slots"
 )
 
-// shareState is an entry instance's part in the sharing of slots.
-type shareState struct {
-	demandedAt  time.Duration
-	lastWaiting int
-	need        slots.Need
-	// told is, for sharing without an owner, what the peers know of its demand
-	// on each server.
-	told map[string]int
+// sharingState is the state of an entry instance for the sharing of slots.
+type sharingState struct {
+	lastDemandAt time.Duration
+	lastWaiting  int
+	need         slots.Need
+	// publishedDemand is the demand for each server that the peers have received
+	// from the instance. It is used for sharing without an owner.
+	publishedDemand map[string]int
 }
 
-// usable says how many slots of a server the instance may use now.
-func (w *world) usable(e *entry) func(string) int {
-	switch w.policy.sharing {
+// usableSlots returns a function that reports how many slots of a server the
+// instance may currently use.
+func (sim *simulation) usableSlots(e *entry) func(string) int {
+	switch sim.policy.sharing {
 	case shareFixed:
-		now := w.time()
+		now := sim.wallTime()
 		return func(id string) int { return e.members.Share(e.id, id, serverSlots, now) }
 	case shareByDemand:
-		return func(id string) int { return partOf(e, id) }
+		return func(id string) int { return demandShare(e, id) }
 	}
-	now := w.time()
+	now := sim.wallTime()
 	return func(id string) int { return e.holder.Usable(id, now) }
 }
 
-// partOf computes the instance's part from what it knows of the others' demand
-// and from its own present one.
-func partOf(e *entry, id string) int {
-	wants := make([]int, len(e.zone.entries))
+// demandShare returns the instance's share of a server's slots, computed from the
+// published demand of the other instances and from its own current demand.
+func demandShare(e *entry, id string) int {
+	demands := make([]int, len(e.zone.entries))
 	for i, other := range e.zone.entries {
-		wants[i] = other.sharing.told[id]
+		demands[i] = other.sharing.publishedDemand[id]
 	}
-	wants[slices.Index(e.zone.entries, e)] = e.table.InFlight(id) + perServer(e)
-	parts := make([]int, len(wants))
-	left := serverSlots
-	for _, limit := range []func(i int) int{func(i int) int { return wants[i] }, func(int) int { return slots.MaxPerInstance }} {
-		for progress := true; progress && left > 0; {
+	demands[slices.Index(e.zone.entries, e)] = e.table.InFlight(id) + waitingPerServer(e)
+	parts := make([]int, len(demands))
+	remaining := serverSlots
+	for _, limit := range []func(i int) int{func(i int) int { return demands[i] }, func(int) int { return slots.MaxPerInstance }} {
+		for progress := true; progress && remaining > 0; {
 			progress = false
 			for i := range parts {
-				if left > 0 && parts[i] < limit(i) {
+				if remaining > 0 && parts[i] < limit(i) {
 					parts[i]++
-					left--
+					remaining--
 					progress = true
 				}
 			}
@@ -55,81 +56,83 @@
 	return parts[slices.Index(e.zone.entries, e)]
 }
 
-// perServer is the instance's waiting requests for each server.
-func perServer(e *entry) int {
+// waitingPerServer returns the number of the instance's waiting requests divided by
+// the number of servers, rounded up.
+func waitingPerServer(e *entry) int {
 	servers := max(1, e.table.Takers(nil))
 	return (e.queue.Waiting() + servers - 1) / servers
 }
 
-// share exchanges demands when they are due, as the dispatcher does.
-func (w *world) share(e *entry) {
-	if w.policy.sharing == shareFixed {
-		w.refreshMembers(e)
+// updateShares sends the demand of the instance when it is due, as the product's
+// dispatcher does.
+func (sim *simulation) updateShares(e *entry) {
+	if sim.policy.sharing == shareFixed {
+		sim.refreshMembers(e)
 		return
 	}
-	since := w.now - e.sharing.demandedAt
+	since := sim.now - e.sharing.lastDemandAt
 	changed := (e.queue.Waiting() > 0) != (e.sharing.lastWaiting > 0)
 	if since < slots.DemandInterval && (!changed || since < slots.DemandMinInterval) {
-		w.refreshMembers(e)
+		sim.refreshMembers(e)
 		return
 	}
-	e.sharing.demandedAt, e.sharing.lastWaiting = w.now, e.queue.Waiting()
-	if w.policy.sharing == shareByDemand {
-		w.tellPeers(e)
+	e.sharing.lastDemandAt, e.sharing.lastWaiting = sim.now, e.queue.Waiting()
+	if sim.policy.sharing == shareByDemand {
+		sim.publishDemand(e)
 		return
 	}
-	w.refreshMembers(e)
-	w.demand(e)
+	sim.refreshMembers(e)
+	sim.requestGrants(e)
 }
 
-func (w *world) tellPeers(e *entry) {
-	told := make(map[string]int, len(e.zone.listing))
-	for _, s := range e.zone.listing {
-		told[s.ID] = e.table.InFlight(s.ID) + perServer(e)
+func (sim *simulation) publishDemand(e *entry) {
+	demand := make(map[string]int, len(e.zone.serverList))
+	for _, s := range e.zone.serverList {
+		demand[s.ID] = e.table.InFlight(s.ID) + waitingPerServer(e)
 	}
-	w.after(withinZone, func() { e.sharing.told = told })
+	sim.after(intraZoneLatency, func() { e.sharing.publishedDemand = demand })
 }
 
-func (w *world) refreshMembers(e *entry) {
+func (sim *simulation) refreshMembers(e *entry) {
 	ids := make([]string, len(e.zone.entries))
 	for i, other := range e.zone.entries {
 		ids[i] = other.id
 	}
-	e.members.Set(ids, ids, w.time())
-	sizes := make(map[string]int, len(e.zone.listing))
-	for _, s := range e.zone.listing {
+	e.members.Set(ids, ids, sim.wallTime())
+	sizes := make(map[string]int, len(e.zone.serverList))
+	for _, s := range e.zone.serverList {
 		sizes[s.ID] = serverSlots
 	}
-	e.holder.SetServers(sizes, w.time())
+	e.holder.SetServers(sizes, sim.wallTime())
 }
 
-func (w *world) demand(e *entry) {
-	sentAt := w.time()
+func (sim *simulation) requestGrants(e *entry) {
+	sentAt := sim.wallTime()
 	wanted := e.sharing.need.Update(e.queue.InFlight()+e.queue.Waiting(), e.table.Takers(nil))
 	for _, demand := range e.holder.Demands(sentAt, func(id string) (int, int) { return e.table.InFlight(id), wanted }) {
 		for _, owner := range e.zone.entries {
 			if owner.id != demand.Owner {
 				continue
 			}
-			w.after(withinZone, func() {
-				grants, serial := owner.owner.Demand(e.id, demand.Echo, demand.Wants, w.time())
-				w.after(withinZone, func() {
+			sim.after(intraZoneLatency, func() {
+				grants, serial := owner.owner.Demand(e.id, demand.Echo, demand.Wants, sim.wallTime())
+				sim.after(intraZoneLatency, func() {
 					e.holder.Granted(demand.Owner, serial, grants, sentAt)
-					w.serve(e)
+					sim.dispatchQueued(e)
 				})
 			})
 		}
 	}
 }
 
-// queueDelay sheds by the controlled-delay rule (CoDel, Nichols and Jacobson
-// 2012): when the wait has stayed above a target for an interval, requests are
-// shed at a rising rate until it falls below.
-type queueDelay struct {
+// codelState implements shedding by queue delay (after CoDel, Nichols and Jacobson
+// 2012). Once the wait has stayed above the target for an interval, requests are
+// shed at an increasing rate until the wait falls below the target.
+type codelState struct {
 	aboveSince time.Duration
 	above      bool
 	nextShed   time.Duration
-	count      int
+	shedCount  int
 }
 
 const (
@@ -137,9 +140,9 @@
 	delayInterval = 200 * time.Millisecond
 )
 
-func (q *queueDelay) sheds(waited, now time.Duration) bool {
+func (q *codelState) shouldShed(waited, now time.Duration) bool {
 	if waited < delayTarget {
-		*q = queueDelay{}
+		*q = codelState{}
 		return false
 	}
 	if !q.above {
@@ -149,7 +152,7 @@
 	if now < q.nextShed {
 		return false
 	}
-	q.count++
-	q.nextShed += time.Duration(float64(delayInterval) / float64(q.count))
+	q.shedCount++
+	q.nextShed += time.Duration(float64(delayInterval) / float64(q.shedCount))
 	return true
 }
--- a/internal/measure/requestload/workload.go
+++ b/internal/measure/requestload/workload.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// kind is one sort of request of a deployment.
+// kind describes one kind of request of a deployment.
 type kind struct {
 	name string
-	// share is the part of all requests.
-	share    float64
-	mean     time.Duration
-	deadline time.Duration
-	priority int
+	// share is the proportion of all requests that are of this kind.
+	share       float64
+	meanService time.Duration
+	deadline    time.Duration
+	priority    int
 	// keyed requests are not idempotent and carry an idempotency key.
 	keyed      bool
 	idempotent bool
 }
 
-// account is one client account of a deployment.
+// account describes one client account of a deployment.
 type account struct {
 	name   string
 	weight int
-	// share is the part of all requests.
+	// share is the proportion of all requests that are of this account.
 	share float64
 }
 
-// deployment is the size and the mix of one of the users.
+// deployment describes the size and the request mix of a user's deployment.
 type deployment struct {
 	name string
 	// instances and servers are counts for each availability zone.
@@ -41,25 +41,26 @@
 
 const serverSlots = 8
 
-// deployments are the brief's sizes of today; the mixes are ours.
+// deployments have the current sizes of the users' deployments. Their request mixes
+// are assumptions.
 var deployments = []deployment{
 	{
 		name: "klaverveld", instances: []int{3, 3, 2}, servers: []int{17, 17, 16},
 		kinds: []kind{
-			{name: "advisory-scan", share: 0.30, mean: 120 * time.Millisecond, deadline: time.Second, priority: 2, idempotent: true},
-			{name: "webhook", share: 0.40, mean: 40 * time.Millisecond, deadline: 2 * time.Second},
-			{name: "lockfile", share: 0.25, mean: 200 * time.Millisecond, deadline: 4 * time.Second, idempotent: true},
-			{name: "open-pull-request", share: 0.05, mean: 100 * time.Millisecond, deadline: 2 * time.Second, keyed: true},
+			{name: "advisory-scan", share: 0.30, meanService: 120 * time.Millisecond, deadline: time.Second, priority: 2, idempotent: true},
+			{name: "webhook", share: 0.40, meanService: 40 * time.Millisecond, deadline: 2 * time.Second},
+			{name: "lockfile", share: 0.25, meanService: 200 * time.Millisecond, deadline: 4 * time.Second, idempotent: true},
+			{name: "open-pull-request", share: 0.05, meanService: 100 * time.Millisecond, deadline: 2 * time.Second, keyed: true},
 		},
 		accounts: []account{{"retail", 4, 0.5}, {"bank", 2, 0.25}, {"museum", 1, 0.15}, {"school", 1, 0.1}},
 	},
 	{
 		name: "lankapowder", instances: []int{2, 2, 2}, servers: []int{17, 17, 16},
 		kinds: []kind{
-			{name: "lot-certificate-check", share: 0.35, mean: 100 * time.Millisecond, deadline: 600 * time.Millisecond, priority: 2, idempotent: true},
-			{name: "blend-quote", share: 0.30, mean: 150 * time.Millisecond, deadline: 3 * time.Second, idempotent: true},
-			{name: "spec-match", share: 0.30, mean: 30 * time.Millisecond, deadline: 4 * time.Second, idempotent: true},
-			{name: "tonnage-award", share: 0.05, mean: 60 * time.Millisecond, deadline: 2 * time.Second, keyed: true},
+			{name: "lot-certificate-check", share: 0.35, meanService: 100 * time.Millisecond, deadline: 600 * time.Millisecond, priority: 2, idempotent: true},
+			{name: "blend-quote", share: 0.30, meanService: 150 * time.Millisecond, deadline: 3 * time.Second, idempotent: true},
+			{name: "spec-match", share: 0.30, meanService: 30 * time.Millisecond, deadline: 4 * time.Second, idempotent: true},
+			{name: "tonnage-award", share: 0.05, meanService: 60 * time.Millisecond, deadline: 2 * time.Second, keyed: true},
 		},
 		accounts: []account{{"north", 2, 0.3}, {"south", 2, 0.3}, {"east", 2, 0.25}, {"west", 1, 0.15}},
 	},
@@ -73,61 +74,64 @@
 	return total
 }
 
-// meanService is the mean run time of the mix, in seconds.
-func (d deployment) meanService() float64 {
+// meanServiceSeconds returns the mean service time of the mix, in seconds.
+func (d deployment) meanServiceSeconds() float64 {
 	total := 0.0
 	for _, k := range d.kinds {
-		total += k.share * k.mean.Seconds()
+		total += k.share * k.meanService.Seconds()
 	}
 	return total
 }
 
-// Requests arrive for loadTime. Figures are of those that arrive from
-// measureFrom until measureTo: before, queues fill; after, they would empty
-// into a time without load.
+// Requests arrive for loadDuration. Only those that arrive from measureFrom until
+// measureTo are measured: the queues still fill before that, and requests that
+// arrive later would be served when there is no more load.
 const (
-	loadTime    = 11 * time.Second
-	measureFrom = 4 * time.Second
-	measureTo   = 7 * time.Second
+	loadDuration = 11 * time.Second
+	measureFrom  = 4 * time.Second
+	measureTo    = 7 * time.Second
 )
 
-// pattern is a load pattern: the load over what the slots can carry, and how it
-// differs from the deployment's mix.
+// pattern is a load pattern. It determines the load, the differences from the
+// deployment's mix and the faults.
 type pattern struct {
 	name string
-	// load is the offered service time over the slots' time.
+	// load is the offered service time divided by the total time of all slots.
 	load float64
-	// change edits the arrivals of the plain mix.
-	change func(d deployment, random *rand.Rand, arrivals []arrival) []arrival
-	// fault is what the backend servers play.
+	// modify returns the arrivals of the pattern, given those of the mix.
+	modify func(d deployment, random *rand.Rand, arrivals []arrival) []arrival
+	// fault is the fault of the backend servers.
 	fault fault
-	// hotZone sends that part of the arrivals to the first zone.
-	hotZone float64
-	// hotEntry sends that part of a zone's arrivals to its first instance.
-	hotEntry float64
+	// hotZoneShare is the share of the arrivals that go to the first zone, in
+	// addition to its share of the others.
+	hotZoneShare float64
+	// hotEntryShare is the share of a zone's arrivals that go to its first instance,
+	// in addition to its share of the others.
+	hotEntryShare float64
 }
 
-// fault is what backend servers of each zone play.
+// fault describes the faults of the backend servers of each zone.
 type fault struct {
-	// slow is the factor of one server.
-	slow float64
-	// failing servers fail each request after its run time, for failTime from
-	// failAt.
-	failing int
-	// failShare is the part of all runs that fail, for failTime from failAt: what
-	// the servers depend on has a fault.
+	// slowFactor multiplies the service time of one server.
+	slowFactor float64
+	// failingCount servers fail each request after its service time, for
+	// faultDuration from faultStart.
+	failingCount int
+	// failShare is the share of all runs that fail for faultDuration from
+	// faultStart, because a dependency of all servers has a fault.
 	failShare float64
-	// failAccount makes all requests of the last account but one fail.
+	// failAccount makes all requests of the second-to-last account fail.
 	failAccount bool
-	// fresh servers join at failAt, and are slow by coldFactor for coldTime.
-	fresh int
+	// addedCount servers join at faultStart. They are slower by coldFactor for
+	// coldDuration.
+	addedCount int
 }
 
 const (
-	failAt     = 5 * time.Second
-	failTime   = 2 * time.Second
-	coldFactor = 6
-	coldTime   = 3 * time.Second
+	faultStart    = 5 * time.Second
+	faultDuration = 2 * time.Second
+	coldFactor    = 6
+	coldDuration  = 3 * time.Second
 )
 
 // arrival is one caller's request.
@@ -138,11 +142,11 @@
 	account string
 	kind    kind
 	service time.Duration
-	// key is set for keyed requests; equal keys are one piece of work.
+	// key is set for keyed requests. Requests with the same key must run only once.
 	key string
 }
 
-// The patterns that some policies are confined to.
+// The names of the patterns to which some policies are restricted.
 const (
 	oneBigAccount  = "one account with most of the load"
 	fewHotKeys     = "few hot keys"
@@ -159,51 +163,51 @@
 )
 
 var patterns = []pattern{
-	{name: "burst of small", load: 0.5, change: burstOfSmall},
-	{name: oneBigAccount, load: 0.6, change: oneAccount},
-	{name: fewHotKeys, load: 0.6, change: hotKeys},
-	{name: slowServer, load: 0.7, fault: fault{slow: 10}},
-	{name: failingServers, load: 0.85, fault: fault{failing: 6}},
-	{name: newServers, load: 0.8, fault: fault{fresh: 4}},
+	{name: "burst of small", load: 0.5, modify: burstOfSmall},
+	{name: oneBigAccount, load: 0.6, modify: oneLargeAccount},
+	{name: fewHotKeys, load: 0.6, modify: hotKeys},
+	{name: slowServer, load: 0.7, fault: fault{slowFactor: 10}},
+	{name: failingServers, load: 0.85, fault: fault{failingCount: 6}},
+	{name: newServers, load: 0.8, fault: fault{addedCount: 4}},
 	{name: sharedFault, load: 0.9, fault: fault{failShare: 0.5}},
 	{name: failingAccount, load: 0.85, fault: fault{failAccount: true}},
-	{name: unevenEntries, load: 0.7, hotEntry: 0.7},
-	{name: "long among short", load: 0.95, change: longAmongShort},
-	{name: oneHotZone, load: 0.7, hotZone: 0.6},
+	{name: unevenEntries, load: 0.7, hotEntryShare: 0.7},
+	{name: "long among short", load: 0.95, modify: longAmongShort},
+	{name: oneHotZone, load: 0.7, hotZoneShare: 0.6},
 	{name: saturation1, load: 1},
 	{name: saturation15, load: 1.5},
 	{name: saturation3, load: 3},
 }
 
-// arrivalsOf draws the arrivals of a pattern.
-func arrivalsOf(d deployment, p pattern, seed uint64) []arrival {
+// drawArrivals draws the arrivals of a pattern.
+func drawArrivals(d deployment, p pattern, seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 7))
-	rate := p.load * float64(d.slots()) / d.meanService()
-	var list []arrival
+	rate := p.load * float64(d.slots()) / d.meanServiceSeconds()
+	var arrivals []arrival
 	for at := 0.0; ; {
 		at += random.ExpFloat64() / rate
-		if at >= loadTime.Seconds() {
+		if at >= loadDuration.Seconds() {
 			break
 		}
-		list = append(list, draw(d, p, random, time.Duration(at*float64(time.Second)), len(list)))
+		arrivals = append(arrivals, drawArrival(d, p, random, time.Duration(at*float64(time.Second)), len(arrivals)))
 	}
-	if p.change != nil {
-		list = p.change(d, random, list)
+	if p.modify != nil {
+		arrivals = p.modify(d, random, arrivals)
 	}
-	slices.SortStableFunc(list, func(a, b arrival) int { return int(a.at - b.at) })
-	return list
+	slices.SortStableFunc(arrivals, func(a, b arrival) int { return int(a.at - b.at) })
+	return arrivals
 }
 
-func draw(d deployment, p pattern, random *rand.Rand, at time.Duration, number int) arrival {
-	k := d.kinds[pickShare(random, len(d.kinds), func(i int) float64 { return d.kinds[i].share })]
-	a := arrival{at: at, kind: k, service: serviceTime(random, k.mean)}
-	a.account = d.accounts[pickShare(random, len(d.accounts), func(i int) float64 { return d.accounts[i].share })].name
+func drawArrival(d deployment, p pattern, random *rand.Rand, at time.Duration, number int) arrival {
+	k := d.kinds[drawIndex(random, len(d.kinds), func(i int) float64 { return d.kinds[i].share })]
+	a := arrival{at: at, kind: k, service: serviceTime(random, k.meanService)}
+	a.account = d.accounts[drawIndex(random, len(d.accounts), func(i int) float64 { return d.accounts[i].share })].name
 	a.zone = random.IntN(len(d.instances))
-	if random.Float64() < p.hotZone {
+	if random.Float64() < p.hotZoneShare {
 		a.zone = 0
 	}
 	a.entry = random.IntN(d.instances[a.zone])
-	if random.Float64() < p.hotEntry {
+	if random.Float64() < p.hotEntryShare {
 		a.entry = 0
 	}
 	if k.keyed {
@@ -212,10 +216,10 @@
 	return a
 }
 
-func pickShare(random *rand.Rand, n int, share func(i int) float64) int {
-	value := random.Float64()
+func drawIndex(random *rand.Rand, n int, share func(i int) float64) int {
+	remaining := random.Float64()
 	for i := range n - 1 {
-		if value -= share(i); value < 0 {
+		if remaining -= share(i); remaining < 0 {
 			return i
 		}
 	}
@@ -230,60 +234,60 @@
 	return time.Duration(float64(mean) * factor)
 }
 
-// burstOfSmall adds, within a moment, the work of a second of all slots in small
-// requests of one account.
-func burstOfSmall(d deployment, random *rand.Rand, list []arrival) []arrival {
-	small := kind{name: "small", mean: 40 * time.Millisecond, deadline: 4 * time.Second, idempotent: true}
-	count := int(float64(d.slots()) / small.mean.Seconds())
+// burstOfSmall adds small requests of one account within 100 ms. Their total work
+// occupies all slots for a second.
+func burstOfSmall(d deployment, random *rand.Rand, arrivals []arrival) []arrival {
+	small := kind{name: "small", meanService: 40 * time.Millisecond, deadline: 4 * time.Second, idempotent: true}
+	count := int(float64(d.slots()) / small.meanService.Seconds())
 	for range count {
 		zone := random.IntN(len(d.instances))
-		list = append(list, arrival{
+		arrivals = append(arrivals, arrival{
 			at: 5*time.Second + time.Duration(random.IntN(int(100*time.Millisecond))), zone: zone,
 			entry: random.IntN(d.instances[zone]), account: d.accounts[1].name, kind: small,
-			service: serviceTime(random, small.mean),
+			service: serviceTime(random, small.meanService),
 		})
 	}
-	return list
+	return arrivals
 }
 
-// oneAccount makes the last account, of weight 1, send twice as many requests as
-// there are in addition, all of the sort that goes first.
-func oneAccount(d deployment, random *rand.Rand, list []arrival) []arrival {
+// oneLargeAccount adds two requests for each arrival. All of them are of the last
+// account, which has weight 1, and of the kind with the highest priority.
+func oneLargeAccount(d deployment, random *rand.Rand, arrivals []arrival) []arrival {
 	last := d.accounts[len(d.accounts)-1].name
-	for _, a := range slices.Clone(list) {
+	for _, a := range slices.Clone(arrivals) {
 		for range 2 {
 			a.account, a.entry = last, random.IntN(d.instances[a.zone])
 			a.kind, a.key = d.kinds[0], ""
-			a.service = serviceTime(random, a.kind.mean)
-			list = append(list, a)
+			a.service = serviceTime(random, a.kind.meanService)
+			arrivals = append(arrivals, a)
 		}
 	}
-	return list
+	return arrivals
 }
 
-// hotKeys adds as many keyed arrivals again as there are requests, on three
-// keys at a time that change every 250 ms.
-func hotKeys(d deployment, random *rand.Rand, list []arrival) []arrival {
+// hotKeys adds a keyed request for each arrival. At any time the added requests
+// share three keys, which change every 250 ms.
+func hotKeys(d deployment, random *rand.Rand, arrivals []arrival) []arrival {
 	hot := d.kinds[len(d.kinds)-1]
-	hot.mean = 150 * time.Millisecond
+	hot.meanService = 150 * time.Millisecond
 	const period = 250 * time.Millisecond
-	for _, a := range slices.Clone(list) {
+	for _, a := range slices.Clone(arrivals) {
 		a.kind = hot
 		a.key = "hot" + strconv.Itoa(int(a.at/period)) + "-" + strconv.Itoa(random.IntN(3))
-		a.service = hot.mean
+		a.service = hot.meanService
 		a.entry = random.IntN(d.instances[a.zone])
-		list = append(list, a)
+		arrivals = append(arrivals, a)
 	}
-	return list
+	return arrivals
 }
 
-// longAmongShort turns one in forty requests into one that takes 25 times as
-// long as the mix, and keeps the load.
-func longAmongShort(d deployment, random *rand.Rand, list []arrival) []arrival {
-	mean := time.Duration(25 * d.meanService() * float64(time.Second))
-	long := kind{name: "long", mean: mean, deadline: 6 * time.Second, idempotent: true}
+// longAmongShort turns one in forty requests into one that takes 25 times as long
+// as the mean, and drops 40% of the requests to keep the load.
+func longAmongShort(d deployment, random *rand.Rand, arrivals []arrival) []arrival {
+	mean := time.Duration(25 * d.meanServiceSeconds() * float64(time.Second))
+	long := kind{name: "long", meanService: mean, deadline: 6 * time.Second, idempotent: true}
 	var kept []arrival
-	for _, a := range list {
+	for _, a := range arrivals {
 		if random.Float64() < 0.4 {
 			continue
 		}
--- a/internal/measure/requestload/world.go
+++ b/internal/measure/requestload/world.go
@@ -14,22 +14,24 @@
 )
 
 const (
-	// warmUp lets the instances share the slots before the first request.
-	warmUp = 5 * time.Second
-	// drainTime lets the last requests end; it exceeds every deadline.
+	// warmUpTime is the time before the first request, in which the instances share
+	// the slots.
+	warmUpTime = 5 * time.Second
+	// drainTime is the time for the last requests to end. It exceeds every deadline.
 	drainTime = 7 * time.Second
-	// The one-way times of the network.
-	withinZone   = 250 * time.Microsecond
-	betweenZones = 1400 * time.Microsecond
-	tickInterval = 50 * time.Millisecond
-	// stateInterval is the lag of what instances know of each other.
-	stateInterval = 500 * time.Millisecond
-	// claimTime is a commit in the platform's store.
-	claimTime = 4 * time.Millisecond
+	// intraZoneLatency and interZoneLatency are the one-way network latencies.
+	intraZoneLatency = 250 * time.Microsecond
+	interZoneLatency = 1400 * time.Microsecond
+	tickInterval     = 50 * time.Millisecond
+	// loadPublishInterval is the time after which a zone's load is published again,
+	// and so the greatest age of the load that other zones use.
+	loadPublishInterval = 500 * time.Millisecond
+	// claimLatency is the time of a commit in the platform's store, which claims a key.
+	claimLatency = 4 * time.Millisecond
 )
 
-// world is one run: a deployment under a pattern and a policy.
-type world struct {
+// simulation is one run of a deployment under a pattern and a policy.
+type simulation struct {
 	clock
 	deployment deployment
 	pattern    pattern
@@ -37,55 +39,55 @@
 	random     *rand.Rand
 	zones      []*zone
 	requests   []*request
-	keys       map[string]*keyed
+	keys       map[string]*keyState
 	// overruns counts dispatches to a backend server without a free slot, and
-	// ranTwice the second runs of work that must run at most once.
+	// ranTwice counts repeated runs of work that must run at most once.
 	overruns int
 	ranTwice int
 }
 
 // zone is one availability zone.
 type zone struct {
-	name    string
-	servers map[string]*server
-	listing []model.BackendServer
-	entries []*entry
-	// load is the load level that other zones know.
+	name       string
+	servers    map[string]*server
+	serverList []model.BackendServer
+	entries    []*entry
+	// load is the last published load level, which the other zones use.
 	load float64
 }
 
 // server is a fake backend server.
 type server struct {
-	inFlight int
-	slow     float64
-	failing  bool
-	joined   time.Duration
+	inFlight   int
+	slowFactor float64
+	failing    bool
+	joinedAt   time.Duration
 }
 
-// keyed is the state of one idempotency key in the fake store.
-type keyed struct {
+// keyState is the state of one idempotency key in the fake store.
+type keyState struct {
 	done    bool
 	runs    int
 	waiting []*request
 }
 
-// entry is one entry instance with the product's decisions.
+// entry is an entry instance, which uses the product's packages for its decisions.
 type entry struct {
-	id      string
-	zone    *zone
-	queue   *admission.Queue
-	table   *routing.Table
-	budget  *retry.Budget
-	spill   routing.Spill
-	members *slots.Members
-	holder  *slots.Holder
-	owner   *slots.Owner
-	waiting map[string]*request
-	sharing shareState
-	delay   queueDelay
-}
-
-// request is one caller's request on its way.
+	id         string
+	zone       *zone
+	queue      *admission.Queue
+	table      *routing.Table
+	budget     *retry.Budget
+	spill      routing.Spill
+	members    *slots.Members
+	holder     *slots.Holder
+	owner      *slots.Owner
+	waiting    map[string]*request
+	sharing    sharingState
+	queueDelay codelState
+}
+
+// request is the state of a caller's request.
 type request struct {
 	arrival
 	id        string
@@ -93,13 +95,13 @@
 	tried     []string
 	retries   int
 	forwarded bool
-	home      *entry
+	handledBy *entry
 	running   bool
 	ran       bool
 	outcome   outcome
 }
 
-// outcome is the answer to the caller.
+// outcome is the answer to the caller and its time. The kind is empty until then.
 type outcome struct {
 	kind string
 	at   time.Duration
@@ -112,61 +114,61 @@
 	outcomeUnknown = "unknown"
 )
 
-func newWorld(d deployment, p pattern, chosen policy, seed uint64) *world {
-	w := &world{
-		deployment: d, pattern: p, policy: chosen, random: rand.New(rand.NewPCG(seed, 11)), keys: make(map[string]*keyed),
+func newSimulation(d deployment, p pattern, candidate policy, seed uint64) *simulation {
+	sim := &simulation{
+		deployment: d, pattern: p, policy: candidate, random: rand.New(rand.NewPCG(seed, 11)), keys: make(map[string]*keyState),
 	}
-	w.now = -warmUp
+	sim.now = -warmUpTime
 	for z := range d.instances {
-		w.zones = append(w.zones, w.newZone(z))
+		sim.zones = append(sim.zones, sim.newZone(z))
 	}
-	return w
+	return sim
 }
 
-func (w *world) newZone(index int) *zone {
+func (sim *simulation) newZone(index int) *zone {
 	z := &zone{name: "zone-" + strconv.Itoa(index), servers: make(map[string]*server)}
-	for i := range w.deployment.servers[index] {
-		s := w.addServer(z, i)
-		s.joined = -time.Hour
-		if i == 0 && w.pattern.fault.slow > 0 {
-			s.slow = w.pattern.fault.slow
+	for i := range sim.deployment.servers[index] {
+		s := sim.addServer(z, i)
+		s.joinedAt = -time.Hour
+		if i == 0 && sim.pattern.fault.slowFactor > 0 {
+			s.slowFactor = sim.pattern.fault.slowFactor
 		}
 	}
-	ids := make([]string, w.deployment.instances[index])
+	ids := make([]string, sim.deployment.instances[index])
 	for i := range ids {
 		ids[i] = fmt.Sprintf("%s-entry-%d", z.name, i)
 	}
 	for i, id := range ids {
-		z.entries = append(z.entries, w.newEntry(z, id, uint64(i)))
+		z.entries = append(z.entries, sim.newEntry(z, id, uint64(i)))
 	}
 	return z
 }
 
-func (w *world) addServer(z *zone, number int) *server {
+func (sim *simulation) addServer(z *zone, number int) *server {
 	id := fmt.Sprintf("%s-server-%02d", z.name, number)
-	s := &server{slow: 1, joined: w.now}
+	s := &server{slowFactor: 1, joinedAt: sim.now}
 	z.servers[id] = s
-	z.listing = append(z.listing, model.BackendServer{
+	z.serverList = append(z.serverList, model.BackendServer{
 		ID: id, Zone: z.name, Incarnation: 1, Slots: serverSlots, State: model.BackendReady,
 	})
 	return s
 }
 
-func (w *world) newEntry(z *zone, id string, number uint64) *entry {
-	now := w.time()
+func (sim *simulation) newEntry(z *zone, id string, number uint64) *entry {
+	now := sim.wallTime()
 	members := slots.NewMembers(now)
 	e := &entry{
-		id: id, zone: z, queue: admission.NewQueue(w.policy.queue, admission.NewServiceTimes()),
-		table: routing.NewTable(w.routingPolicy(z)), budget: retry.NewBudget(), members: members,
+		id: id, zone: z, queue: admission.NewQueue(sim.policy.queue, admission.NewServiceTimes()),
+		table: routing.NewTable(sim.routingPolicy(z)), budget: retry.NewBudget(), members: members,
 		holder: slots.NewHolder(id, members), owner: slots.NewOwner(members, (number+1)<<32, now),
 		waiting: make(map[string]*request),
 	}
-	if w.policy.noRetryBudget {
+	if sim.policy.noRetryBudget {
 		e.budget = retry.NewUnlimited()
 	}
-	for _, a := range w.deployment.accounts {
+	for _, a := range sim.deployment.accounts {
 		limits := admission.Limits{Weight: a.weight}
-		if w.policy.unbounded {
+		if sim.policy.unbounded {
 			limits.MaxQueued = 1 << 30
 		}
 		e.queue.SetLimits(a.name, limits)
@@ -174,65 +176,65 @@
 	return e
 }
 
-// run plays the whole pattern.
-func (w *world) run(arrivals []arrival) {
-	for _, z := range w.zones {
+// run simulates all arrivals and faults of the pattern.
+func (sim *simulation) run(arrivals []arrival) {
+	for _, z := range sim.zones {
 		for i, e := range z.entries {
-			w.after(time.Duration(i)*7*time.Millisecond, func() { w.tick(e) })
+			sim.after(time.Duration(i)*7*time.Millisecond, func() { sim.tickEntry(e) })
 		}
-		w.after(0, func() { w.publish(z) })
+		sim.after(0, func() { sim.publishLoad(z) })
 	}
 	for _, a := range arrivals {
-		w.after(a.at-w.now, func() { w.arrive(a) })
+		sim.after(a.at-sim.now, func() { sim.arrive(a) })
 	}
-	w.scheduleFaults()
-	w.runUntil(loadTime + drainTime)
+	sim.scheduleFaults()
+	sim.runUntil(loadDuration + drainTime)
 }
 
-func (w *world) scheduleFaults() {
-	for _, z := range w.zones {
-		w.after(failAt-w.now, func() {
-			for i := range w.pattern.fault.fresh {
-				w.addServer(z, w.deployment.servers[0]+i)
+func (sim *simulation) scheduleFaults() {
+	for _, z := range sim.zones {
+		sim.after(faultStart-sim.now, func() {
+			for i := range sim.pattern.fault.addedCount {
+				sim.addServer(z, sim.deployment.servers[0]+i)
 			}
-			w.setFailing(z, true)
+			sim.setFailing(z, true)
 		})
-		w.after(failAt+failTime-w.now, func() { w.setFailing(z, false) })
+		sim.after(faultStart+faultDuration-sim.now, func() { sim.setFailing(z, false) })
 	}
 }
 
-func (w *world) setFailing(z *zone, failing bool) {
-	for i := range w.pattern.fault.failing {
-		z.servers[z.listing[i].ID].failing = failing
+func (sim *simulation) setFailing(z *zone, failing bool) {
+	for i := range sim.pattern.fault.failingCount {
+		z.servers[z.serverList[i].ID].failing = failing
 	}
 }
 
-// publish makes the load of the zone known, late.
-func (w *world) publish(z *zone) {
+// publishLoad publishes the load of the zone at every loadPublishInterval.
+func (sim *simulation) publishLoad(z *zone) {
 	sum := 0.0
 	for _, e := range z.entries {
 		sum += e.queue.Load()
 	}
 	z.load = sum / float64(len(z.entries))
-	w.after(stateInterval, func() { w.publish(z) })
+	sim.after(loadPublishInterval, func() { sim.publishLoad(z) })
 }
 
-// tick is what an instance does at an interval.
-func (w *world) tick(e *entry) {
-	now := w.time()
-	e.table.Sync(e.zone.listing, now)
-	w.share(e)
-	e.queue.SetCapacity(e.table.Capacity(w.usable(e)))
-	if !w.policy.noSpill {
-		e.spill.Update(e.queue.Load(), w.otherLoads(e.zone), now)
+// tickEntry performs the periodic work of an instance.
+func (sim *simulation) tickEntry(e *entry) {
+	now := sim.wallTime()
+	e.table.Sync(e.zone.serverList, now)
+	sim.updateShares(e)
+	e.queue.SetCapacity(e.table.Capacity(sim.usableSlots(e)))
+	if !sim.policy.noSpill {
+		e.spill.Update(e.queue.Load(), sim.otherLoads(e.zone), now)
 	}
-	w.serve(e)
-	w.after(tickInterval, func() { w.tick(e) })
+	sim.dispatchQueued(e)
+	sim.after(tickInterval, func() { sim.tickEntry(e) })
 }
 
-func (w *world) otherLoads(own *zone) []routing.ZoneLoad {
+func (sim *simulation) otherLoads(own *zone) []routing.ZoneLoad {
 	var loads []routing.ZoneLoad
-	for _, z := range w.zones {
+	for _, z := range sim.zones {
 		if z != own {
 			loads = append(loads, routing.ZoneLoad{Zone: z.name, Load: z.load})
 		}
