--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity measures what the product costs on this machine; its figures
-// are those of docs/CAPACITY.md and docs/MEASUREMENTS.md. They are of real time
-// and vary from run to run.
+// Command capacity measures the resource use of the product on this machine. It
+// produces the figures in docs/CAPACITY.md and docs/MEASUREMENTS.md. They depend
+// on real time and vary from run to run.
 package main
 
 import (
@@ -28,9 +28,9 @@
 func addPlacer(app *kingpin.Application) {
 	command := app.Command("placer", "A zone's placer over the number of workers.")
 	sizes := command.Flag("workers", "Numbers of workers, once for each.").Default("50", "100", "200", "400", "640").Ints()
-	each := command.Flag("each", "Time measured at each size.").Default("10s").Duration()
+	duration := command.Flag("each", "Time measured at each size.").Default("10s").Duration()
 	command.Action(func(*kingpin.ParseContext) error {
-		series, err := capacity.PlacerWorkers(*sizes, *each)
+		series, err := capacity.PlacerWorkers(*sizes, *duration)
 		if err != nil {
 			return err
 		}
@@ -42,9 +42,9 @@
 	command := app.Command("waiting", "A full zone's placer over the number of waiting jobs.")
 	workers := command.Flag("workers", "Number of workers.").Default("640").Int()
 	sizes := command.Flag("waiting", "Numbers of waiting jobs, once for each.").Default("0", "100", "250", "500").Ints()
-	each := command.Flag("each", "Time measured at each size.").Default("10s").Duration()
+	duration := command.Flag("each", "Time measured at each size.").Default("10s").Duration()
 	command.Action(func(*kingpin.ParseContext) error {
-		series, err := capacity.PlacerWaiting(*workers, *sizes, *each)
+		series, err := capacity.PlacerWaiting(*workers, *sizes, *duration)
 		if err != nil {
 			return err
 		}
@@ -69,19 +69,19 @@
 	entry := command.Flag("entry", "IP number and port of an entry instance.").Required().String()
 	backend := command.Flag("backend", "IP number and port of a backend server.").Required().String()
 	concurrency := command.Flag("concurrency", "Calls under way, once for each.").Default("1", "4", "8").Ints()
-	each := command.Flag("each", "Time measured at each concurrency.").Default("5s").Duration()
+	duration := command.Flag("each", "Time measured at each concurrency.").Default("5s").Duration()
 	work := command.Flag("work", "Time that a backend server works on each.").Default("2ms").Duration()
 	command.Action(func(*kingpin.ParseContext) error {
 		fmt.Println("path    calls  per second  p50 ms  p99 ms  not done")
 		for _, calls := range *concurrency {
-			show(capacity.MeasurePath(capacity.Path{Name: "direct", URL: "http://" + *backend + "/v1/execute", Direct: true}, calls, *each, *work))
-			show(capacity.MeasurePath(capacity.Path{Name: "entry", URL: "http://" + *entry + "/v1/requests"}, calls, *each, *work))
+			printResult(capacity.MeasurePath(capacity.Path{Name: "direct", URL: "http://" + *backend + "/v1/execute", Direct: true}, calls, *duration, *work))
+			printResult(capacity.MeasurePath(capacity.Path{Name: "entry", URL: "http://" + *entry + "/v1/requests"}, calls, *duration, *work))
 		}
 		return nil
 	})
 }
 
-func show(r capacity.PathResult) {
+func printResult(r capacity.PathResult) {
 	const perMS = float64(time.Millisecond)
 	fmt.Printf("%-7s %5d  %10.0f  %6.2f  %6.2f  %8d\n", r.Name, r.Concurrency, r.PerSecond, float64(r.P50)/perMS, float64(r.P99)/perMS, r.NotDone)
 }
--- a/cmd/corianderbank/main.go
+++ b/cmd/corianderbank/main.go
@@ -1,5 +1,5 @@
-// Command corianderbank is the one binary: the entry instance and the
-// operators' command line.
+// Command corianderbank runs an entry instance and provides the operators'
+// command line.
 package main
 
 import (
--- a/cmd/standin/drive.go
+++ b/cmd/standin/drive.go
@@ -14,7 +14,7 @@
 	"github.com/corianderbank/corianderbank/internal/standin/drive"
 )
 
-// pollInterval is the time between two looks at something that is waited for.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 50 * time.Millisecond
 
 func addDrive(ctx context.Context, app *kingpin.Application) {
@@ -83,7 +83,7 @@
 		ctx, cancel := context.WithTimeout(ctx, *limit)
 		defer cancel()
 		for _, addr := range *addresses {
-			if err := waitFor(ctx, "http://"+addr+*path); err != nil {
+			if err := waitForOK(ctx, "http://"+addr+*path); err != nil {
 				return err
 			}
 		}
@@ -91,7 +91,7 @@
 	})
 }
 
-func waitFor(ctx context.Context, url string) error {
+func waitForOK(ctx context.Context, url string) error {
 	client := resty.New()
 	return poll(ctx, url+" does not answer", func() bool {
 		response, err := client.R().SetContext(ctx).Get(url)
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs one stand-in for the platform, a backend server or a
-// worker, or drives a run of work through entry instances and checks what
-// became of it. It serves the demo and the tests and is not shipped.
+// Command standin runs a stand-in for the platform, a backend server or a worker,
+// or sends work through entry instances and checks the results. It is used by the
+// demo and the tests and is not shipped.
 package main
 
 import (
@@ -21,19 +21,20 @@
 	"github.com/corianderbank/corianderbank/internal/standin"
 )
 
-// member holds the flags that backend servers and workers share.
-type member struct {
+// memberOptions holds the command-line options that backend servers and workers
+// share.
+type memberOptions struct {
 	listen, id, zone, platform, advertise string
-	grace                                 time.Duration
+	gracePeriod                           time.Duration
 }
 
-func (m *member) flags(command *kingpin.CmdClause) {
+func (m *memberOptions) registerFlags(command *kingpin.CmdClause) {
 	command.Flag("listen", "IP number and port to listen on.").Required().StringVar(&m.listen)
 	command.Flag("id", "Id, unique among the fleet.").Required().StringVar(&m.id)
 	command.Flag("zone", "Availability zone.").Required().StringVar(&m.zone)
 	command.Flag("platform", "IP number and port of the platform.").Required().StringVar(&m.platform)
 	command.Flag("advertise", "IP number and port to announce, if another than the one listened on.").StringVar(&m.advertise)
-	command.Flag("grace", "Time between saying that it leaves and stopping.").Default("0s").DurationVar(&m.grace)
+	command.Flag("grace", "Time between saying that it leaves and stopping.").Default("0s").DurationVar(&m.gracePeriod)
 }
 
 func main() {
@@ -59,7 +60,7 @@
 	listen := command.Flag("listen", "IP number and port to listen on.").Required().String()
 	ttl := command.Flag("list-ttl", "Time an instance stays listed without an announcement.").Default(standin.DefaultListTTL.String()).Duration()
 	command.Action(func(*kingpin.ParseContext) error {
-		logger, listener, err := open("platform", "", *listen)
+		logger, listener, err := newLoggerAndListener("platform", "", *listen)
 		if err != nil {
 			return err
 		}
@@ -68,83 +69,86 @@
 }
 
 func addBackend(ctx context.Context, app *kingpin.Application) {
-	var m member
+	var m memberOptions
 	command := app.Command("backend", "Run a backend server.")
-	m.flags(command)
+	m.registerFlags(command)
 	slots := command.Flag("slots", "Requests that run at the same time.").Default(fmt.Sprint(standin.DefaultSlots)).Int()
 	connections := command.Flag("connections", "Open connections at the same time.").Default(fmt.Sprint(standin.DefaultMaxConnections)).Int()
 	command.Action(func(*kingpin.ParseContext) error {
-		logger, listener, err := open(m.id, m.zone, m.listen)
+		logger, listener, err := newLoggerAndListener(m.id, m.zone, m.listen)
 		if err != nil {
 			return err
 		}
 		incarnation := time.Now().UnixMilli()
-		announcer := m.announcer(api.RoleBackendServer, listener.Addr(), incarnation, logger)
+		announcer := m.newAnnouncer(api.RoleBackendServer, listener.Addr(), incarnation, logger)
 		backend := standin.NewBackend(m.id, incarnation, *slots, announcer.SetLeaving)
 		limited := standin.LimitConnections(listener, *connections)
-		return m.run(ctx, announcer, func() error {
-			return standin.Serve(ctx, limited, backend.Handler(), logger, m.leaving(backend.Leave), stopGrace)
+		return m.announceWhile(ctx, announcer, func() error {
+			return standin.Serve(ctx, limited, backend.Handler(), logger, m.leaveFunc(backend.Leave), stopGracePeriod)
 		})
 	})
 }
 
 func addWorker(ctx context.Context, app *kingpin.Application) {
-	var m member
+	var m memberOptions
 	command := app.Command("worker", "Run a worker.")
-	m.flags(command)
+	m.registerFlags(command)
 	rack := command.Flag("rack", "Rack.").Required().String()
 	accelerators := command.Flag("accelerators", "Number of accelerators.").Default("8").Int()
 	command.Action(func(*kingpin.ParseContext) error {
-		logger, listener, err := open(m.id, m.zone, m.listen)
+		logger, listener, err := newLoggerAndListener(m.id, m.zone, m.listen)
 		if err != nil {
 			return err
 		}
 		config := standin.WorkerConfig{ID: m.id, Zone: m.zone, Rack: *rack, Incarnation: time.Now().UnixMilli(), Accelerators: *accelerators}
-		announcer := m.announcer(api.RoleWorker, listener.Addr(), config.Incarnation, logger)
+		announcer := m.newAnnouncer(api.RoleWorker, listener.Addr(), config.Incarnation, logger)
 		worker := standin.NewWorker(config, standin.NewObjectCheckpoints(m.platform), announcer.SetLeaving)
-		return m.run(ctx, announcer, func() error {
-			return standin.Serve(ctx, listener, worker.Handler(), logger, m.leaving(worker.Leave), stopGrace)
+		return m.announceWhile(ctx, announcer, func() error {
+			return standin.Serve(ctx, listener, worker.Handler(), logger, m.leaveFunc(worker.Leave), stopGracePeriod)
 		})
 	})
 }
 
-// stopGrace bounds the wait for calls in flight at a stop.
-const stopGrace = 30 * time.Second
+// stopGracePeriod is the longest wait for calls in flight when stopping.
+const stopGracePeriod = 30 * time.Second
 
-func (m *member) announcer(role api.Role, addr net.Addr, incarnation int64, logger *zap.Logger) *standin.Announcer {
-	announced := m.advertise
-	if announced == "" {
-		announced = addr.String()
+func (m *memberOptions) newAnnouncer(role api.Role, addr net.Addr, incarnation int64, logger *zap.Logger) *standin.Announcer {
+	addrToAnnounce := m.advertise
+	if addrToAnnounce == "" {
+		addrToAnnounce = addr.String()
 	}
-	listed := api.ListedInstance{ID: m.id, Role: role, Addr: announced, AvailabilityZone: m.zone, Incarnation: incarnation}
-	return standin.NewAnnouncer(m.platform, listed, logger)
+	entry := api.ListedInstance{ID: m.id, Role: role, Addr: addrToAnnounce, AvailabilityZone: m.zone, Incarnation: incarnation}
+	return standin.NewAnnouncer(m.platform, entry, logger)
 }
 
-// leaving returns what a stop begins with: saying so, and the grace time.
-func (m *member) leaving(leave func()) func() {
+// leaveFunc returns the function that a stop calls first. It announces that the
+// member leaves and waits for the grace period.
+func (m *memberOptions) leaveFunc(leave func()) func() {
 	return func() {
 		leave()
-		time.Sleep(m.grace)
+		time.Sleep(m.gracePeriod)
 	}
 }
 
-// run announces while serve runs, and takes the member off the list at the end.
-func (m *member) run(ctx context.Context, announcer *standin.Announcer, serve func() error) error {
-	announced := make(chan struct{})
+// announceWhile announces the member while serve runs. If ctx has ended when
+// serve returns, it removes the member from the instance list.
+func (m *memberOptions) announceWhile(ctx context.Context, announcer *standin.Announcer, serve func() error) error {
+	announcerDone := make(chan struct{})
 	go func() {
-		defer close(announced)
+		defer close(announcerDone)
 		announcer.Run(ctx)
 	}()
 	err := serve()
 	if ctx.Err() != nil {
-		<-announced
+		<-announcerDone
 		announcer.Leave()
 	}
 	return err
 }
 
-// open returns the logger and the listener of a stand-in.
-func open(id, zone, listen string) (*zap.Logger, net.Listener, error) {
+// newLoggerAndListener returns the logger of a stand-in and a listener on the
+// address listen.
+func newLoggerAndListener(id, zone, listen string) (*zap.Logger, net.Listener, error) {
 	logger, err := logging.New(os.Stderr, "info", id, zone)
 	if err != nil {
 		return nil, nil, err
--- a/cmd/standin/settle.go
+++ b/cmd/standin/settle.go
@@ -16,7 +16,7 @@
 	"github.com/corianderbank/corianderbank/internal/standin/drive"
 )
 
-// The line that a stand-in logs once it listens has this message and field.
+// The message and the key of the log line that contains a stand-in's address.
 const (
 	listeningMessage = "msg=listening"
 	addrField        = "addr="
@@ -29,7 +29,7 @@
 	command.Action(func(*kingpin.ParseContext) error {
 		ctx, cancel := context.WithTimeout(ctx, *limit)
 		defer cancel()
-		return poll(ctx, *file+" names no address", func() bool {
+		return poll(ctx, *file+" contains no listening address", func() bool {
 			addr := listeningAddr(*file)
 			if addr != "" {
 				fmt.Println(addr)
@@ -47,28 +47,30 @@
 	defer func() { _ = log.Close() }()
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		if strings.Contains(lines.Text(), listeningMessage) {
-			return field(lines.Text(), addrField)
+			return fieldValue(lines.Text(), addrField)
 		}
 	}
 	return ""
 }
 
-// field returns the value of a key=value line's field.
-func field(line, prefix string) string {
+// fieldValue returns the value of the first key=value pair of the line that starts
+// with keyPrefix, for example "addr=".
+func fieldValue(line, keyPrefix string) string {
 	for _, pair := range strings.Fields(line) {
-		if value, found := strings.CutPrefix(pair, prefix); found {
+		if value, found := strings.CutPrefix(pair, keyPrefix); found {
 			return value
 		}
 	}
 	return ""
 }
 
-// poll calls check until it holds, or until ctx ends; then the error says what.
-func poll(ctx context.Context, what string, check func() bool) error {
-	for !check() {
+// poll calls condition until it returns true or ctx ends. In the latter case it
+// returns an error that starts with message.
+func poll(ctx context.Context, message string, condition func() bool) error {
+	for !condition() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %w", what, ctx.Err())
+			return fmt.Errorf("%s: %w", message, ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
@@ -84,20 +86,21 @@
 		ctx, cancel := context.WithTimeout(ctx, *limit)
 		defer cancel()
 		client := resty.New()
-		var last string
+		var missing string
 		err := poll(ctx, "the fleet did not settle", func() bool {
-			last = unsettled(ctx, client, fleet, *accelerators)
-			return last == ""
+			missing = describeMissing(ctx, client, fleet, *accelerators)
+			return missing == ""
 		})
 		if err != nil {
-			return fmt.Errorf("%w (%s)", err, last)
+			return fmt.Errorf("%w (%s)", err, missing)
 		}
 		return nil
 	})
 }
 
-// unsettled says what is still missing, or returns an empty string.
-func unsettled(ctx context.Context, client *resty.Client, fleet *drive.Fleet, want int) string {
+// describeMissing describes the first instance or zone that does not have the
+// expected members yet. It returns an empty string if there is none.
+func describeMissing(ctx context.Context, client *resty.Client, fleet *drive.Fleet, wantAccelerators int) string {
 	for _, entry := range fleet.Entries {
 		response, err := client.R().SetContext(ctx).Get("http://" + entry + "/v1/status")
 		if err != nil {
@@ -116,8 +119,8 @@
 			workers += zone.Workers
 			accelerators += zone.Accelerators
 		}
-		if backends < len(fleet.Backends) || workers < len(fleet.Workers) || accelerators < want {
-			return fmt.Sprintf("%s knows %d backend servers and %d workers with %d accelerators", entry, backends, workers, accelerators)
+		if backends < len(fleet.Backends) || workers < len(fleet.Workers) || accelerators < wantAccelerators {
+			return fmt.Sprintf("%s reports %d backend servers and %d workers with %d accelerators", entry, backends, workers, accelerators)
 		}
 	}
 	return ""
