--- a/internal/emulator/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -16,6 +16,6 @@
 		b.Fatal(err)
 	}
 	for n := 0; b.Loop(); n++ {
-		play(&deployments[n%len(deployments)], &days[n%len(days)], dispatch.Tuning{}, uint64(n))
+		simulate(&deployments[n%len(deployments)], &days[n%len(days)], dispatch.Tuning{}, uint64(n))
 	}
 }
--- a/internal/emulator/callers.go
+++ b/internal/emulator/callers.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// callerPatience is how long a caller tries to hand a job in, retryPause the time
-	// after which it comes back, as it was told.
-	callerPatience = 3 * time.Second
-	retryPause     = 1 * time.Second
-	// acceptTakes is how long the store takes to have a job.
-	acceptTakes = 10 * time.Millisecond
+	// callerTimeout is the time for which a caller tries to submit a job;
+	// callerRetryPause is the pause between tries, as requested by the retry-after of a
+	// refusal.
+	callerTimeout    = 3 * time.Second
+	callerRetryPause = 1 * time.Second
+	// acceptLatency is the time the store takes to store a job.
+	acceptLatency = 10 * time.Millisecond
 )
 
-// acceptedAt is when a caller's job is accepted: at its first try at which the store
-// is there and reached from its zone, or from where the balancer leads it; false if
-// it gives up before.
-func (pl *player) acceptedAt(a *arrival) (time.Duration, bool) {
-	for at := a.at; at <= a.at+callerPatience; at += retryPause {
-		if pl.day.storeAway(at) {
+// acceptedAt returns the time at which a job is accepted, and false if its caller gives
+// up first. A try succeeds if the store is up and reachable from the caller's zone, or
+// if the balancer already routes the caller to another zone.
+func (sim *simulation) acceptedAt(a *arrival) (time.Duration, bool) {
+	for at := a.submitAt; at <= a.submitAt+callerTimeout; at += callerRetryPause {
+		if sim.day.storeDown(at) {
 			continue
 		}
-		if c := pl.day.cutAt(a.zone, pl.deployment.Zones, at); c != nil && at < seconds(c.From)+a.reroute {
+		if p := sim.day.partitionAt(a.zone, sim.deployment.Zones, at); p != nil && at < seconds(p.From)+a.rerouteDelay {
 			continue
 		}
-		return at + acceptTakes, true
+		return at + acceptLatency, true
 	}
 	return 0, false
 }
--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -9,50 +9,51 @@
 )
 
 const (
-	// downFor is how long a crashed worker is away before its next life begins.
-	downFor = 3 * time.Second
-	// crashAfter is how long a task runs that takes its worker down.
-	crashAfter = 10 * time.Millisecond
+	// downtime is the time until a crashed worker restarts.
+	downtime = 3 * time.Second
+	// crashDelay is the run time after which a crashing task takes down its worker.
+	crashDelay = 10 * time.Millisecond
 )
 
-// takeDown takes a worker down if it is time, or if it runs what does so.
-func (pl *player) takeDown(w *worker) bool {
+// crashIfDue crashes a worker because of a fault of the day or because of a task that
+// runs there, and reports whether it did.
+func (sim *simulation) crashIfDue(w *worker) bool {
 	due := false
 	for _, r := range w.runs {
-		if r.job.crashing && r.key.task.Index == 0 && pl.now-r.began >= crashAfter {
-			pl.tally.crashesOf[r.job]++
+		if r.job.crashing && r.key.task.Index == 0 && sim.now-r.startedAt >= crashDelay {
+			sim.tally.crashesByJob[r.job]++
 			due = true
 		}
 	}
-	t := w.troubled(pl.now)
-	if t != nil && t.CrashEvery > 0 {
-		due = due || pl.random.Float64() < 1-math.Exp(-tick.Seconds()/t.CrashEvery)
+	f := w.activeFault(sim.now)
+	if f != nil && f.CrashIntervalS > 0 {
+		due = due || sim.random.Float64() < 1-math.Exp(-tick.Seconds()/f.CrashIntervalS)
 	}
-	if t != nil && t.Reborn && w.rebornIn != t {
-		w.rebornIn, due = t, true
+	if f != nil && f.PartitionedRestart && w.restartedIn != f {
+		w.restartedIn, due = f, true
 	}
 	if due {
-		pl.crash(w)
+		sim.crash(w)
 	}
 	return due
 }
 
-// crash ends a life of a worker, and everything that runs there without an end that
-// anybody lists. The rest of a gang waits until it is stopped.
-func (pl *player) crash(w *worker) {
-	pl.tally.crashes++
+// crash ends an incarnation of a worker. Its runs are lost and no completion is ever
+// reported for them. The remaining members of a gang wait until they are stopped.
+func (sim *simulation) crash(w *worker) {
+	sim.tally.workerCrashes++
 	for _, r := range w.runs {
-		pl.tally.thrownAway(r)
+		sim.tally.recordWaste(r)
 		if r.gang != nil {
-			r.gang.leave(r)
+			r.gang.removeMember(r)
 		}
 	}
-	w.runs, w.ended, w.number, w.leaseUntil = nil, nil, 0, 0
-	w.backAt = pl.now + downFor
+	w.runs, w.completions, w.completionNumber, w.leaseUntil = nil, nil, 0, 0
+	w.restartAt = sim.now + downtime
 }
 
-// leave takes a member out of a gang, which then makes no progress.
-func (g *gang) leave(r *run) {
+// removeMember removes a run from its gang, which then makes no progress.
+func (g *gang) removeMember(r *run) {
 	for i, m := range g.members {
 		if m.run == r {
 			g.members = append(g.members[:i:i], g.members[i+1:]...)
@@ -61,29 +62,29 @@
 	}
 }
 
-// isDown reports whether a worker has crashed, and begins its next life when it is time.
-func (pl *player) isDown(w *worker) bool {
-	if w.backAt == 0 || pl.now < w.backAt {
-		return w.backAt > 0
+// isDown reports whether a worker is down, and restarts it once its downtime is over.
+func (sim *simulation) isDown(w *worker) bool {
+	if w.restartAt == 0 || sim.now < w.restartAt {
+		return w.restartAt > 0
 	}
-	w.backAt = 0
-	w.lives++
-	w.ID = fmt.Sprintf("%s-%d", w.machine, w.lives)
-	pl.workers[w.ID] = w
-	if pl.leader.core != nil {
-		pl.tellWorkers()
-		pl.touched = true
+	w.restartAt = 0
+	w.restarts++
+	w.ID = fmt.Sprintf("%s-%d", w.machine, w.restarts)
+	sim.workers[w.ID] = w
+	if sim.leader.core != nil {
+		sim.notifyWorkers()
+		sim.roundDue = true
 	}
 	return false
 }
 
-// tellWorkers tells the leader which workers there are; a dead one is listed until its
-// next life begins.
-func (pl *player) tellWorkers() {
-	list := make([]workload.Worker, 0, len(pl.order))
-	for _, w := range pl.order {
+// notifyWorkers passes the list of workers to the leader. A crashed worker stays listed
+// until it restarts.
+func (sim *simulation) notifyWorkers() {
+	list := make([]workload.Worker, 0, len(sim.workerList))
+	for _, w := range sim.workerList {
 		list = append(list, w.Worker)
 	}
-	pl.leader.core.Listed(list, pl.time(), pl.wall())
-	pl.leader.core.Stored(list)
+	sim.leader.core.Listed(list, sim.clock(), sim.wallMS())
+	sim.leader.core.Stored(list)
 }
--- a/internal/emulator/day.go
+++ b/internal/emulator/day.go
@@ -5,149 +5,152 @@
 	"time"
 )
 
-// Day is a load with troubles.
+// Day describes the load and the faults of one simulation.
 type Day struct {
 	Name string `json:"name"`
-	// Load is the arrivals as a multiple of the deployment's.
+	// Load is a factor on the deployment's arrival rates.
 	Load   float64 `json:"load"`
 	Bursts []burst `json:"bursts,omitempty"`
-	// Workers are troubles of workers, Cuts of zones, Outages of the store.
-	Workers []workerTrouble `json:"workers,omitempty"`
-	Cuts    []cut           `json:"cuts,omitempty"`
-	Outages []stretch       `json:"outages,omitempty"`
-	// Crashing are jobs that take down their workers.
-	Crashing []crashing `json:"crashing,omitempty"`
-	// Drains are zones that operators drain.
-	Drains []drained `json:"drains,omitempty"`
-	// Handovers are planned changes of the leader, Crashes are others, by their times
-	// in seconds.
-	Handovers []float64 `json:"handovers_s,omitempty"`
-	Crashes   []float64 `json:"crashes_s,omitempty"`
-	// Cancelled adds to every kind's share of cancelled jobs.
-	Cancelled float64 `json:"cancelled,omitempty"`
+	// WorkerFaults affect workers, Partitions zones, Outages the store.
+	WorkerFaults []workerFault   `json:"workers,omitempty"`
+	Partitions   []zonePartition `json:"cuts,omitempty"`
+	Outages      []timeRange     `json:"outages,omitempty"`
+	// CrashingJobs are jobs that crash their workers.
+	CrashingJobs []crashingJobs `json:"crashing,omitempty"`
+	// Drains are drains of zones by operators.
+	Drains []zoneDrain `json:"drains,omitempty"`
+	// LeaderHandovers are the times of planned leader changes, LeaderCrashes those of
+	// unplanned ones, in seconds.
+	LeaderHandovers []float64 `json:"handovers_s,omitempty"`
+	LeaderCrashes   []float64 `json:"crashes_s,omitempty"`
+	// CancelledShare is added to each kind's share of cancelled jobs.
+	CancelledShare float64 `json:"cancelled,omitempty"`
 }
 
-// stretch is a time of the day, in seconds.
-type stretch struct {
+// timeRange is a period of the day, in seconds.
+type timeRange struct {
 	From float64 `json:"from_s"`
 	To   float64 `json:"to_s"`
 }
 
-func (s stretch) holds(at time.Duration) bool { return at >= seconds(s.From) && at < seconds(s.To) }
+func (r timeRange) contains(at time.Duration) bool {
+	return at >= seconds(r.From) && at < seconds(r.To)
+}
 
-// burst multiplies the arrivals of a kind for a while.
+// burst multiplies the arrivals of a class of jobs during a period.
 type burst struct {
-	stretch
-	Of    sort    `json:"of"`
-	Times float64 `json:"times"`
+	timeRange
+	Class  jobClass `json:"of"`
+	Factor float64  `json:"times"`
 }
 
-// workerTrouble changes a share of the workers for a while.
-type workerTrouble struct {
-	stretch
+// workerFault affects a share of the workers during a period.
+type workerFault struct {
+	timeRange
 	Share float64 `json:"share"`
-	// Slower divides the speed; zero leaves it.
-	Slower float64 `json:"slower,omitempty"`
+	// Slowdown divides the speed; zero means no change.
+	Slowdown float64 `json:"slower,omitempty"`
 	// Stalled workers make no progress.
 	Stalled bool `json:"stalled,omitempty"`
-	// Fails: every task that starts there ends failed after a moment.
-	Fails bool `json:"fails,omitempty"`
-	// Loses is the share of orders that get no answer and are not carried out in time.
-	Loses float64 `json:"loses,omitempty"`
-	// Silent workers are cut off from everybody and run on.
-	Silent bool `json:"silent,omitempty"`
-	// Reborn workers are cut off from everybody, crash meanwhile and come back as others.
-	Reborn bool `json:"reborn,omitempty"`
-	// CrashEvery is the mean time between two crashes of such a worker, in seconds; zero
-	// is never.
-	CrashEvery float64 `json:"crash_every_s,omitempty"`
+	// FailsTasks makes every task that starts during the fault fail after a short time.
+	FailsTasks bool `json:"fails,omitempty"`
+	// LostOrders is the share of orders that are not answered and not executed.
+	LostOrders float64 `json:"loses,omitempty"`
+	// Partitioned workers cannot be reached and keep running.
+	Partitioned bool `json:"silent,omitempty"`
+	// PartitionedRestart workers cannot be reached, crash during the partition and
+	// restart as a new incarnation.
+	PartitionedRestart bool `json:"reborn,omitempty"`
+	// CrashIntervalS is the mean time between two crashes of an affected worker, in
+	// seconds; zero means that it does not crash.
+	CrashIntervalS float64 `json:"crash_every_s,omitempty"`
 }
 
-// crashing makes a share of the jobs that arrive take down each worker that starts them.
-type crashing struct {
-	stretch
-	Of    sort    `json:"of"`
-	Share float64 `json:"share"`
+// crashingJobs makes a share of the arriving jobs crash every worker that starts them.
+type crashingJobs struct {
+	timeRange
+	Class jobClass `json:"of"`
+	Share float64  `json:"share"`
 }
 
-// cut parts a zone from the others and from the store.
-type cut struct {
-	stretch
-	// Zone counts from zero; a deployment with fewer zones has another one cut.
+// zonePartition separates a zone from the other zones and from the store.
+type zonePartition struct {
+	timeRange
+	// Zone counts from zero, modulo the number of zones of the deployment.
 	Zone int `json:"zone"`
-	// Refused connections fail at once; others are silent.
+	// Refused makes connections fail immediately; otherwise calls time out.
 	Refused bool `json:"refused,omitempty"`
 }
 
-// drained is a zone that operators drain for a while.
-type drained struct {
-	stretch
-	// Zone counts from zero; a deployment with fewer zones has another one drained.
+// zoneDrain is the drain of a zone during a period.
+type zoneDrain struct {
+	timeRange
+	// Zone counts from zero, modulo the number of zones of the deployment.
 	Zone int `json:"zone"`
 }
 
-// Days are the days that the decisions are judged by.
-func Days() ([]Day, error) { return load("days", ReadDay) }
+// Days returns the embedded days, on which scheduling decisions are evaluated.
+func Days() ([]Day, error) { return loadAll("days", ReadDay) }
 
-// ReadDay reads a day's file.
+// ReadDay decodes the file of a day.
 func ReadDay(name string, data []byte) (Day, error) {
 	var d Day
 	if err := decode(name, data, &d); err != nil {
 		return d, err
 	}
 	if d.Name == "" || d.Load <= 0 {
-		return d, fmt.Errorf("%s: a name and a load are needed", name)
+		return d, fmt.Errorf("%s: name and load must be set", name)
 	}
 	return d, nil
 }
 
-// times is the factor of a kind's arrivals at a time.
-func (d *Day) times(of sort, at time.Duration) float64 {
+// arrivalFactor returns the factor on the arrivals of a class at a time.
+func (d *Day) arrivalFactor(class jobClass, at time.Duration) float64 {
 	factor := 1.0
 	for _, b := range d.Bursts {
-		if b.Of == of && b.holds(at) {
-			factor *= b.Times
+		if b.Class == class && b.contains(at) {
+			factor *= b.Factor
 		}
 	}
 	return factor
 }
 
-// crashes is the share of a kind's jobs that take down their workers.
-func (d *Day) crashes(of sort, at time.Duration) float64 {
+// crashingShare returns the share of the jobs of a class that crash their workers.
+func (d *Day) crashingShare(class jobClass, at time.Duration) float64 {
 	share := 0.0
-	for _, c := range d.Crashing {
-		if c.Of == of && c.holds(at) {
+	for _, c := range d.CrashingJobs {
+		if c.Class == class && c.contains(at) {
 			share += c.Share
 		}
 	}
 	return share
 }
 
-func (d *Day) storeAway(at time.Duration) bool {
+func (d *Day) storeDown(at time.Duration) bool {
 	for _, o := range d.Outages {
-		if o.holds(at) {
+		if o.contains(at) {
 			return true
 		}
 	}
 	return false
 }
 
-// cutAt returns the cut of a zone at a time, or nil.
-func (d *Day) cutAt(zone, zones int, at time.Duration) *cut {
-	for i := range d.Cuts {
-		if c := &d.Cuts[i]; c.Zone%zones == zone && c.holds(at) {
-			return c
+// partitionAt returns the partition of a zone at a time, or nil.
+func (d *Day) partitionAt(zone, zones int, at time.Duration) *zonePartition {
+	for i := range d.Partitions {
+		if p := &d.Partitions[i]; p.Zone%zones == zone && p.contains(at) {
+			return p
 		}
 	}
 	return nil
 }
 
-// drainedZones are the zones that are drained at a time.
+// drainedZones returns the names of the zones that are drained at a time.
 func (d *Day) drainedZones(zones int, at time.Duration) []string {
 	var list []string
-	for _, one := range d.Drains {
-		if one.holds(at) {
-			list = append(list, zoneName(one.Zone%zones))
+	for _, drain := range d.Drains {
+		if drain.contains(at) {
+			list = append(list, zoneName(drain.Zone%zones))
 		}
 	}
 	return list
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -16,120 +16,122 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// spread is a distribution by its mean and its coefficient of variation, cut off at
-// a most. It is log-normal: sizes and run times are many small and few large.
-type spread struct {
+// distribution is a log-normal distribution given by its mean and its coefficient of
+// variation, truncated at a maximum: sizes and run times are mostly small, with few
+// large values.
+type distribution struct {
 	Mean      float64 `json:"mean"`
 	Variation float64 `json:"variation"`
-	Most      float64 `json:"most"`
+	Max       float64 `json:"most"`
 }
 
-func (s spread) draw(random *rand.Rand) float64 {
-	sigma := math.Sqrt(math.Log(1 + s.Variation*s.Variation))
-	return min(s.Mean*math.Exp(sigma*random.NormFloat64()-sigma*sigma/2), s.Most)
+func (d distribution) sample(random *rand.Rand) float64 {
+	sigma := math.Sqrt(math.Log(1 + d.Variation*d.Variation))
+	return min(d.Mean*math.Exp(sigma*random.NormFloat64()-sigma*sigma/2), d.Max)
 }
 
-// sort is what a kind of job is to a deployment: it has one of each.
-type sort string
+// jobClass distinguishes the kinds of jobs; a deployment has one kind of each class.
+type jobClass string
 
 const (
-	urgent sort = "urgent"
-	large  sort = "large"
-	small  sort = "small"
+	classUrgent jobClass = "urgent"
+	classLarge  jobClass = "large"
+	classSmall  jobClass = "small"
 )
 
-func sorts() []sort { return []sort{urgent, large, small} }
+func jobClasses() []jobClass { return []jobClass{classUrgent, classLarge, classSmall} }
 
-// Kind is one kind of job that a deployment's callers submit.
+// Kind describes the jobs of one class that the callers of a deployment submit.
 type Kind struct {
-	Sort  sort   `json:"sort"`
-	Queue string `json:"queue"`
-	// PerSecond is how many arrive on a day of load one; Initial are there at its
-	// beginning.
+	Class jobClass `json:"sort"`
+	Queue string   `json:"queue"`
+	// PerSecond is the arrival rate at load one; Initial is the number of jobs that
+	// arrive at the start.
 	PerSecond float64 `json:"per_second"`
 	Initial   int     `json:"initial,omitempty"`
-	// Worth is what a job of mean size earns in time, Late what it earns until three
-	// times its objective.
-	Worth float64 `json:"worth"`
-	Late  float64 `json:"late"`
-	// Tasks is the number of tasks, Work their run time in seconds.
-	Tasks    spread `json:"tasks"`
-	Work     spread `json:"work"`
-	MilliCPU int64  `json:"milli_cpu"`
-	MemoryMB int64  `json:"memory_mb"`
-	// Accelerators is drawn from for each job.
+	// Value is the value of a job of mean size that completes within its objective,
+	// LateValue that of one that completes within three times its objective.
+	Value     float64 `json:"worth"`
+	LateValue float64 `json:"late"`
+	// Tasks is the number of tasks of a job, Work their run time in seconds.
+	Tasks    distribution `json:"tasks"`
+	Work     distribution `json:"work"`
+	MilliCPU int64        `json:"milli_cpu"`
+	MemoryMB int64        `json:"memory_mb"`
+	// Accelerators holds the accelerators per task to choose from for each job.
 	Accelerators []int64 `json:"accelerators"`
-	// Gangs, OneRack, Near and Saves are the shares of jobs that are gangs, of gangs
-	// that belong on one rack, of other jobs whose data lies on a rack, and of jobs
-	// that checkpoint.
-	Gangs   float64 `json:"gangs,omitempty"`
-	OneRack float64 `json:"one_rack,omitempty"`
-	Near    float64 `json:"near,omitempty"`
-	Saves   float64 `json:"saves,omitempty"`
-	// DeclaredOff is the standard deviation of the logarithm of declared over real run
-	// time, Uneven that of the tasks of one job.
-	DeclaredOff float64 `json:"declared_off"`
-	Uneven      float64 `json:"uneven"`
-	// Cancelled is the share of jobs that their callers cancel, Fails that of runs
-	// that fail by their own fault.
-	Cancelled float64 `json:"cancelled,omitempty"`
-	Fails     float64 `json:"fails,omitempty"`
-	// Poison is the share of jobs of which every run fails by its own fault.
-	Poison float64 `json:"poison,omitempty"`
-	// Priority, Attempts, Stretch and GraceMS are the queue's.
-	Priority int     `json:"priority"`
-	Attempts int     `json:"attempts"`
-	Stretch  float64 `json:"stretch"`
-	GraceMS  int64   `json:"grace_ms"`
+	// GangShare is the share of jobs that are gangs, OneRackShare the share of gangs that
+	// need a single rack, DataRackShare the share of other jobs whose data lies on a
+	// rack, and CheckpointShare the share of jobs that checkpoint.
+	GangShare       float64 `json:"gangs,omitempty"`
+	OneRackShare    float64 `json:"one_rack,omitempty"`
+	DataRackShare   float64 `json:"near,omitempty"`
+	CheckpointShare float64 `json:"saves,omitempty"`
+	// DeclaredError is the standard deviation of the logarithm of declared over actual
+	// run time, TaskVariation that of the run times within a job.
+	DeclaredError float64 `json:"declared_off"`
+	TaskVariation float64 `json:"uneven"`
+	// CancelledShare is the share of jobs that are cancelled by their callers, FailShare
+	// that of runs that fail because of the job itself.
+	CancelledShare float64 `json:"cancelled,omitempty"`
+	FailShare      float64 `json:"fails,omitempty"`
+	// PoisonShare is the share of jobs whose runs all fail because of the job itself.
+	PoisonShare float64 `json:"poison,omitempty"`
+	// Priority, Attempts, LatencyFactor and GracePeriodMS configure the queue.
+	Priority      int     `json:"priority"`
+	Attempts      int     `json:"attempts"`
+	LatencyFactor float64 `json:"stretch"`
+	GracePeriodMS int64   `json:"grace_ms"`
 }
 
-// Weights are what counts for a deployment's users, and what work thrown away costs.
+// Weights are the weights of a deployment's users for the parts of the value of a
+// simulation, and the penalty for wasted work.
 type Weights struct {
-	Whole   float64 `json:"whole"`
+	Overall float64 `json:"whole"`
 	Windows float64 `json:"windows"`
 	Kind    float64 `json:"kind"`
 	Zone    float64 `json:"zone"`
 	Account float64 `json:"account"`
-	// Waste is taken off for each thousand core-seconds thrown away.
+	// Waste is subtracted for each thousand core-seconds of wasted work.
 	Waste float64 `json:"waste"`
 }
 
-// Deployment is a fleet of workers with the kinds of jobs on it.
+// Deployment describes a fleet of workers and the kinds of jobs submitted to it.
 type Deployment struct {
 	Name           string             `json:"name"`
 	Zones          int                `json:"zones"`
 	RacksPerZone   int                `json:"racks_per_zone"`
 	WorkersPerRack int                `json:"workers_per_rack"`
-	Room           workload.Resources `json:"room"`
-	// Speeds are drawn from for each worker.
+	Capacity       workload.Resources `json:"room"`
+	// Speeds holds the speeds to choose from for each worker.
 	Speeds []float64 `json:"speeds"`
-	// Guaranteed is the share of all accelerators that belongs to each client account.
-	Guaranteed   []float64 `json:"guaranteed"`
-	LeaseMS      int64     `json:"longest_lease_ms"`
-	StopMS       int64     `json:"stop_ms"`
-	ReclaimMS    int64     `json:"reclaim_ms"`
-	RemoteFactor float64   `json:"remote_factor"`
-	CheckpointMS int64     `json:"checkpoint_ms"`
-	RestoreMS    int64     `json:"restore_ms"`
-	Kinds        []Kind    `json:"kinds"`
-	Weights      Weights   `json:"weights"`
+	// Guaranteed holds the share of all accelerators guaranteed to each client account.
+	Guaranteed     []float64 `json:"guaranteed"`
+	LongestLeaseMS int64     `json:"longest_lease_ms"`
+	StopMS         int64     `json:"stop_ms"`
+	ReclaimMS      int64     `json:"reclaim_ms"`
+	RemoteFactor   float64   `json:"remote_factor"`
+	CheckpointMS   int64     `json:"checkpoint_ms"`
+	RestoreMS      int64     `json:"restore_ms"`
+	Kinds          []Kind    `json:"kinds"`
+	Weights        Weights   `json:"weights"`
 
 	config *workload.Configuration
 	bounds workload.Bounds
 }
 
-const pool = "pool"
+const poolName = "pool"
 
 //go:embed deployments days
 var files embed.FS
 
-// Deployments are those of the users' letters.
+// Deployments returns the embedded deployments, which model those of the users.
 func Deployments() ([]Deployment, error) {
-	return load("deployments", ReadDeployment)
+	return loadAll("deployments", ReadDeployment)
 }
 
-// load reads all files of a folder, in the order of their names.
-func load[T any](dir string, read func(name string, data []byte) (T, error)) ([]T, error) {
+// loadAll reads all files of an embedded directory in the order of their names.
+func loadAll[T any](dir string, read func(name string, data []byte) (T, error)) ([]T, error) {
 	var list []T
 	entries, err := fs.ReadDir(files, dir)
 	if err != nil {
@@ -141,11 +143,11 @@
 		if err != nil {
 			return nil, err
 		}
-		one, err := read(name, data)
+		item, err := read(name, data)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, one)
+		list = append(list, item)
 	}
 	return list, nil
 }
@@ -159,7 +161,7 @@
 	return nil
 }
 
-// ReadDeployment reads a deployment's file.
+// ReadDeployment decodes the file of a deployment.
 func ReadDeployment(name string, data []byte) (Deployment, error) {
 	var d Deployment
 	if err := decode(name, data, &d); err != nil {
@@ -168,25 +170,25 @@
 	return d, d.prepare()
 }
 
-// prepare checks a deployment and makes its configuration.
+// prepare validates a deployment and builds its configuration.
 func (d *Deployment) prepare() error {
-	if d.Zones < 1 || d.RacksPerZone < 1 || d.WorkersPerRack < 1 || len(d.Speeds) == 0 || len(d.Kinds) != len(sorts()) || len(d.Guaranteed) == 0 {
-		return fmt.Errorf("deployment %s: zones, racks, workers, speeds, guarantees and one kind of each sort are needed", d.Name)
+	if d.Zones < 1 || d.RacksPerZone < 1 || d.WorkersPerRack < 1 || len(d.Speeds) == 0 || len(d.Kinds) != len(jobClasses()) || len(d.Guaranteed) == 0 {
+		return fmt.Errorf("deployment %s: zones, racks, workers, speeds, guarantees and one kind of each class must be set", d.Name)
 	}
 	d.bounds = workload.Bounds{
-		LongestLease: milliseconds(d.LeaseMS), StopTime: milliseconds(d.StopMS), Reclaim: milliseconds(d.ReclaimMS),
+		LongestLease: milliseconds(d.LongestLeaseMS), StopTime: milliseconds(d.StopMS), Reclaim: milliseconds(d.ReclaimMS),
 		StatusKept: 2 * time.Minute, RemoteFactor: d.RemoteFactor,
 	}
 	d.config = &workload.Configuration{Version: 1}
 	for i := range d.Kinds {
 		k := &d.Kinds[i]
 		d.config.Queues = append(d.config.Queues, workload.Queue{
-			Name: k.Queue, Pool: pool, Priority: k.Priority, Attempts: k.Attempts, Stretch: k.Stretch, GraceMS: k.GraceMS,
+			Name: k.Queue, Pool: poolName, Priority: k.Priority, Attempts: k.Attempts, Stretch: k.LatencyFactor, GraceMS: k.GracePeriodMS,
 		})
 	}
-	all := float64(d.workers()) * float64(d.Room.Accelerators)
+	total := float64(d.workers()) * float64(d.Capacity.Accelerators)
 	for i, share := range d.Guaranteed {
-		guaranteed := workload.Resources{Accelerators: int64(share * all)}
+		guaranteed := workload.Resources{Accelerators: int64(share * total)}
 		d.config.Accounts = append(d.config.Accounts, workload.Account{Name: fmt.Sprintf("account-%d", i+1), Guaranteed: guaranteed})
 	}
 	d.config.Index()
@@ -203,16 +205,16 @@
 
 func rackName(zone, rack int) string { return fmt.Sprintf("rack-%d-%d", zone+1, rack+1) }
 
-// list is the workers as the platform would list them.
-func (d *Deployment) list() []workload.Worker {
+// listWorkers returns the workers as the platform lists them.
+func (d *Deployment) listWorkers() []workload.Worker {
 	var list []workload.Worker
 	for n := range d.workers() {
 		rack := n / d.WorkersPerRack
 		zone := rack / d.RacksPerZone
-		// Ids say nothing of racks, as on a real platform.
+		// As on a real platform, ids carry no rack.
 		id := fmt.Sprintf("worker-%08x-%03d", xxhash.Sum64String(fmt.Sprint(n))>>32, n)
 		list = append(list, workload.Worker{
-			ID: id, Addr: id, Pool: pool, Zone: zoneName(zone), Rack: rackName(zone, rack%d.RacksPerZone), Room: d.Room,
+			ID: id, Addr: id, Pool: poolName, Zone: zoneName(zone), Rack: rackName(zone, rack%d.RacksPerZone), Room: d.Capacity,
 		})
 	}
 	return list
--- a/internal/emulator/digest_test.go
+++ b/internal/emulator/digest_test.go
@@ -13,14 +13,15 @@
 	"github.com/corianderbank/corianderbank/internal/dispatch"
 )
 
-// digestFile holds what some days lead to. A change that is only of names or of form
-// leaves it as it is; one of decisions writes it anew: UPDATE_DIGESTS=1 go test.
+// digestFile holds the digests of the orders on some days. Refactoring must not change
+// it; after a change of scheduling decisions, regenerate it with UPDATE_DIGESTS=1 go
+// test.
 const digestFile = "testdata/digests.json"
 
-// digestOf sums up every order of a day: when, what, which task, which worker.
+// digestOf hashes the time, kind, worker and task of every start and stop on a day.
 func digestOf(t *testing.T, deploymentName, dayName string) string {
 	sum := fnv.New64a()
-	playTraced(deployment(t, deploymentName), day(t, dayName), dispatch.Tuning{}, 11, func(at time.Duration, a dispatch.Action) {
+	simulateTraced(loadDeployment(t, deploymentName), loadDay(t, dayName), dispatch.Tuning{}, 11, func(at time.Duration, a dispatch.Action) {
 		if a.Kind == dispatch.ActStart || a.Kind == dispatch.ActStop {
 			fmt.Fprintf(sum, "%d %d %s %d %v\n", at, a.Kind, a.Order.Worker, a.Order.Attempt, a.Order.Task)
 		}
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,19 +1,20 @@
-// Package emulator plays days of a deployment against the core of
-// internal/dispatch, in virtual time: callers, workers with leases, changes of the
-// leader, zones that are cut off, a store that is away. Deployments and days are
-// files; further deployments are drawn at random around those of the users. It
-// answers within seconds what a change of a decision is worth to callers, and on
-// which deployments. What it leaves out: processor time, the network between
-// instances, and rows that are read late.
+// Package emulator simulates days of a deployment against the core of internal/dispatch
+// in virtual time: callers, workers with leases, leader changes, zone partitions and
+// store outages. Deployments and days are read from files; further deployments are
+// drawn at random around those of the users. Within seconds, an experiment shows how a
+// change of a scheduling decision affects callers, and on which deployments. Not
+// modelled are processor time, the network between instances, and delayed reads of
+// rows.
 //
-//	deployment.go  deployments, their files
-//	draw.go        deployments drawn at random
-//	day.go         days: load, bursts, troubles, their files
-//	arrivals.go    the jobs of a day, with what only a clairvoyant knows
-//	player.go      one play: arrivals, orders, looks, records
-//	leader.go      who schedules, and changes of it
-//	callers.go     how callers get their jobs accepted
+//	deployment.go  deployments and their files
+//	draw.go        randomly drawn deployments
+//	day.go         days and their files: load, bursts, faults
+//	arrivals.go    the jobs of a day, with properties hidden from the scheduler
+//	player.go      a simulation: arrivals, orders, polls, records
+//	leader.go      the leader and its changes
+//	callers.go     how callers submit jobs
 //	world.go       workers, runs, gangs, leases
-//	tally.go       what callers got
-//	experiment.go  two variants over the same plays
+//	crash.go       crashes and restarts of workers
+//	tally.go       the results for callers
+//	experiment.go  comparison of two variants over the same simulations
 package emulator
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -12,14 +12,14 @@
 	"github.com/corianderbank/corianderbank/internal/measure"
 )
 
-// Variant is a way to decide.
+// Variant is a tuning of the scheduler to compare.
 type Variant struct {
 	Name   string
 	Tuning dispatch.Tuning
 }
 
-// Plan says what an experiment plays: every day on every deployment, with a number of
-// seeds.
+// Plan describes an experiment: every day is simulated on every deployment with Plays
+// different seeds, starting from Seed.
 type Plan struct {
 	Deployments []Deployment
 	Days        []Day
@@ -27,37 +27,37 @@
 	Seed        uint64
 }
 
-// Difference is what a variant is worth against another, over the same plays.
+// Difference compares a variant with the base over the same simulations.
 type Difference struct {
-	// Deployment is empty for all of them together.
+	// Deployment is empty for the result over all deployments.
 	Deployment string
 	Variant    string
 	Plays      int
-	// Base and Mean are the mean values, Change their difference and Interval half its
-	// the usual confidence interval.
+	// Base and Mean are the mean values of the base and the variant, Change is their
+	// difference and Interval half the width of its confidence interval.
 	Base, Mean, Change, Interval float64
 }
 
-// Certain reports whether the interval leaves out zero.
+// Certain reports whether the confidence interval excludes zero.
 func (d Difference) Certain() bool { return math.Abs(d.Change) > d.Interval }
 
-// Compare plays the base and the variants over the same plays and returns, for each
-// variant, its difference on all deployments and on each.
+// Compare simulates the base and the variants with the same seeds and returns the
+// differences of each variant over all deployments and on each deployment.
 func (p *Plan) Compare(base Variant, variants []Variant) []Difference {
 	values := p.values(append([]Variant{base}, variants...))
 	var list []Difference
 	for v := range variants {
-		all := difference(variants[v].Name, "", flatten(values[0]), flatten(values[v+1]))
+		all := compareValues(variants[v].Name, "", flatten(values[0]), flatten(values[v+1]))
 		list = append(list, all)
 		for d := range p.Deployments {
-			list = append(list, difference(variants[v].Name, p.Deployments[d].Name, values[0][d], values[v+1][d]))
+			list = append(list, compareValues(variants[v].Name, p.Deployments[d].Name, values[0][d], values[v+1][d]))
 		}
 	}
 	return list
 }
 
-// values plays everything; the result is by variant, by deployment, then by day and
-// seed.
+// values runs all simulations. The result is indexed by variant, by deployment, and by
+// day and seed.
 func (p *Plan) values(variants []Variant) [][][]float64 {
 	workers := pond.NewPool(runtime.GOMAXPROCS(0))
 	group := workers.NewGroup()
@@ -69,13 +69,13 @@
 			for i := range values[v][d] {
 				group.Submit(func() {
 					day := &p.Days[i/p.Plays]
-					values[v][d][i] = play(&p.Deployments[d], day, variants[v].Tuning, p.Seed+uint64(i)).value
+					values[v][d][i] = simulate(&p.Deployments[d], day, variants[v].Tuning, p.Seed+uint64(i)).value
 				})
 			}
 		}
 	}
 	if err := group.Wait(); err != nil {
-		panic(err) // a play that panics
+		panic(err) // a simulation panicked
 	}
 	workers.StopAndWait()
 	return values
@@ -89,10 +89,10 @@
 	return all
 }
 
-// normalQuantile makes the usual confidence interval (19 in 20) of a standard error.
+// normalQuantile scales a standard error to a confidence interval of 19 in 20.
 const normalQuantile = 1.96
 
-func difference(variant, deployment string, base, other []float64) Difference {
+func compareValues(variant, deployment string, base, other []float64) Difference {
 	d := Difference{Deployment: deployment, Variant: variant, Plays: len(base)}
 	n := float64(len(base))
 	for i := range base {
@@ -111,18 +111,18 @@
 	return d
 }
 
-// PartDispatch is the part of the tables that this package fills.
+// PartDispatch is the measure.Row part of the rows that this package computes.
 const PartDispatch = "dispatch"
 
-// PolicyProduct names the core as it is.
+// PolicyProduct names the scheduler with its default tuning.
 const PolicyProduct = "corianderbank"
 
-// rowPlays is the number of plays with different seeds for each row of the table.
-const rowPlays = 8
+// simulationsPerRow is the number of simulations with different seeds for each row.
+const simulationsPerRow = 8
 
-// Rows plays every day on each of the users' deployments and returns the mean figures.
-// Each play is one goroutine in virtual time, so the figures do not depend on how many
-// run at once.
+// Rows simulates every day on each of the users' deployments and returns the mean
+// figures. Each simulation runs in one goroutine in virtual time, so the figures do not
+// depend on the number of concurrent simulations.
 func Rows(seed uint64) ([]measure.Row, error) {
 	deployments, err := Deployments()
 	if err != nil {
@@ -138,26 +138,26 @@
 	group := workers.NewGroup()
 	for i := range days {
 		for j := range deployments {
-			at := i*len(deployments) + j
-			rows[at] = measure.Row{Part: PartDispatch, Pattern: days[i].Name, Deployment: deployments[j].Name, Policy: PolicyProduct}
-			for n := range uint64(rowPlays) {
+			index := i*len(deployments) + j
+			rows[index] = measure.Row{Part: PartDispatch, Pattern: days[i].Name, Deployment: deployments[j].Name, Policy: PolicyProduct}
+			for n := range uint64(simulationsPerRow) {
 				group.Submit(func() {
-					figures := play(&deployments[j], &days[i], dispatch.Tuning{}, seed+n).figures()
+					figures := simulate(&deployments[j], &days[i], dispatch.Tuning{}, seed+n).figures()
 					mu.Lock()
 					defer mu.Unlock()
-					rows[at].Figures = addFigures(rows[at].Figures, figures)
+					rows[index].Figures = addFigures(rows[index].Figures, figures)
 				})
 			}
 		}
 	}
 	if err := group.Wait(); err != nil {
-		return nil, fmt.Errorf("playing days: %w", err)
+		return nil, fmt.Errorf("simulating days: %w", err)
 	}
 	workers.StopAndWait()
 	return rows, nil
 }
 
-// addFigures adds the share that one play has in the mean.
+// addFigures adds the contribution of one simulation to the mean.
 func addFigures(sum, figures []measure.Figure) []measure.Figure {
 	if sum == nil {
 		sum = make([]measure.Figure, len(figures))
@@ -166,7 +166,7 @@
 		}
 	}
 	for i := range sum {
-		sum[i].Value += figures[i].Value / rowPlays
+		sum[i].Value += figures[i].Value / simulationsPerRow
 	}
 	return sum
 }
--- a/internal/emulator/leader.go
+++ b/internal/emulator/leader.go
@@ -8,140 +8,143 @@
 )
 
 const (
-	// crashGap is how long nobody schedules after a leader crashed or was cut off: two
-	// missed renewals, a question, the take-over and a read of the table. handoverGap
-	// is the same for a planned stop.
-	crashGap    = 1300 * time.Millisecond
-	handoverGap = 60 * time.Millisecond
-	// leaseLength is how long a lease holds without a renewal, renewedAgo how old the
-	// last renewal is when a leader is lost.
-	leaseLength = 2 * time.Second
-	renewedAgo  = 200 * time.Millisecond
-	// drainHeard is how long it takes until a leader knows that a zone was drained.
-	drainHeard = 500 * time.Millisecond
-	// storeBack is how long after the store's return a new leader has its lease.
-	storeBack = 100 * time.Millisecond
+	// crashTakeoverDelay is the time without a leader after one crashed or was
+	// partitioned: two missed renewals, a query, the takeover and a read of the table.
+	// handoverDelay is the time without a leader after a planned stop.
+	crashTakeoverDelay = 1300 * time.Millisecond
+	handoverDelay      = 60 * time.Millisecond
+	// leaseDuration is the validity of a lease without renewal; renewalAge is the age of
+	// the last renewal when a leader is lost.
+	leaseDuration = 2 * time.Second
+	renewalAge    = 200 * time.Millisecond
+	// drainLatency is the time until a leader receives a change of the drained zones.
+	drainLatency = 500 * time.Millisecond
+	// storeRecoveryDelay is the time from the end of a store outage until a new leader
+	// can hold the lease.
+	storeRecoveryDelay = 100 * time.Millisecond
 )
 
-// leader is whoever schedules.
+// leader is the instance that holds the lease and schedules.
 type leader struct {
-	// core is nil while nobody does.
+	// core is nil while there is no leader.
 	core  *dispatch.Core
 	epoch int64
 	zone  int
-	// ready is when the next one begins, and earlier until when the one before may have
-	// given orders.
-	ready   time.Duration
-	earlier time.Duration
-	// storeGone is since when the store is away; zero while it is not.
-	storeGone time.Duration
+	// nextStart is the time at which the next leader starts; earlierOrdersUntil is the
+	// time until which its predecessor may have sent orders.
+	nextStart          time.Duration
+	earlierOrdersUntil time.Duration
+	// storeDownSince is the start of the current store outage, or zero.
+	storeDownSince time.Duration
 }
 
-// changeHolders takes what happens to the leader at this tick.
-func (pl *player) changeLeaders() {
-	h := &pl.leader
-	if h.core != nil {
+// changeLeader applies the leader changes of this tick.
+func (sim *simulation) changeLeader() {
+	l := &sim.leader
+	if l.core != nil {
 		switch {
-		case pl.due(&pl.handovers):
-			pl.lose(handoverGap, pl.now)
-		case pl.due(&pl.crashes), pl.day.cutAt(h.zone, pl.deployment.Zones, pl.now) != nil:
-			pl.lose(crashGap, pl.now-renewedAgo+leaseLength)
+		case sim.popDue(&sim.handovers):
+			sim.loseLeader(handoverDelay, sim.now)
+		case sim.popDue(&sim.crashes), sim.day.partitionAt(l.zone, sim.deployment.Zones, sim.now) != nil:
+			sim.loseLeader(crashTakeoverDelay, sim.now-renewalAge+leaseDuration)
 		}
 	}
-	pl.watchStore()
-	if h.core == nil && pl.now >= h.ready && !pl.day.storeAway(pl.now) {
-		pl.begin()
+	sim.trackStore()
+	if l.core == nil && sim.now >= l.nextStart && !sim.day.storeDown(sim.now) {
+		sim.startLeader()
 	}
 }
 
-// due reports whether the next of a list of times has come.
-func (pl *player) due(list *[]float64) bool {
-	if len(*list) == 0 || pl.now < seconds((*list)[0]) {
+// popDue reports whether the first of the times has come, and removes it.
+func (sim *simulation) popDue(times *[]float64) bool {
+	if len(*times) == 0 || sim.now < seconds((*times)[0]) {
 		return false
 	}
-	*list = (*list)[1:]
+	*times = (*times)[1:]
 	return true
 }
 
-func (pl *player) lose(gap, earlier time.Duration) {
-	h := &pl.leader
-	h.core, h.ready, h.earlier = nil, pl.now+gap, earlier
-	pl.answers = nil
-	for _, w := range pl.order {
-		w.poll = nil
+func (sim *simulation) loseLeader(delay, ordersUntil time.Duration) {
+	l := &sim.leader
+	l.core, l.nextStart, l.earlierOrdersUntil = nil, sim.now+delay, ordersUntil
+	sim.pendingAnswers = nil
+	for _, w := range sim.workerList {
+		w.waitingPoll = nil
 	}
 }
 
-// watchStore notes since when the store is away; nobody can take the lease before it
-// is back for a moment.
-func (pl *player) watchStore() {
-	h := &pl.leader
-	switch away := pl.day.storeAway(pl.now); {
-	case away && h.storeGone == 0:
-		h.storeGone = pl.now
-	case !away && h.storeGone != 0:
-		h.storeGone = 0
-		h.ready = max(h.ready, pl.now+storeBack)
+// trackStore records store outages. After an outage, the lease cannot be taken until
+// storeRecoveryDelay has passed.
+func (sim *simulation) trackStore() {
+	l := &sim.leader
+	switch down := sim.day.storeDown(sim.now); {
+	case down && l.storeDownSince == 0:
+		l.storeDownSince = sim.now
+	case !down && l.storeDownSince != 0:
+		l.storeDownSince = 0
+		l.nextStart = max(l.nextStart, sim.now+storeRecoveryDelay)
 	}
 }
 
-// hearDrains tells the leader when operators drain a zone or end that.
-func (pl *player) hearDrains() {
-	if pl.leader.core != nil && !slices.Equal(pl.drained, pl.drainsHeard()) {
-		pl.tellDrains()
+// updateDrains notifies the leader when the drained zones change.
+func (sim *simulation) updateDrains() {
+	if sim.leader.core != nil && !slices.Equal(sim.reportedDrains, sim.knownDrains()) {
+		sim.notifyDrains()
 	}
 }
 
-func (pl *player) tellDrains() {
-	pl.drained = pl.drainsHeard()
-	pl.leader.core.Drain(pl.drained, pl.time(), pl.wall())
-	pl.touched = true
+func (sim *simulation) notifyDrains() {
+	sim.reportedDrains = sim.knownDrains()
+	sim.leader.core.Drain(sim.reportedDrains, sim.clock(), sim.wallMS())
+	sim.roundDue = true
 }
 
-// drainsHeard are the drained zones that a leader knows of now.
-func (pl *player) drainsHeard() []string {
-	return pl.day.drainedZones(pl.deployment.Zones, pl.now-drainHeard)
+// knownDrains returns the drained zones that a leader has received by now.
+func (sim *simulation) knownDrains() []string {
+	return sim.day.drainedZones(sim.deployment.Zones, sim.now-drainLatency)
 }
 
-// paused reports whether the leader's lease ran out because the store is away.
-func (pl *player) paused() bool {
-	h := &pl.leader
-	return h.storeGone != 0 && pl.now-h.storeGone > leaseLength-renewedAgo
+// leaseExpired reports whether the leader's lease has expired because the store is
+// down.
+func (sim *simulation) leaseExpired() bool {
+	l := &sim.leader
+	return l.storeDownSince != 0 && sim.now-l.storeDownSince > leaseDuration-renewalAge
 }
 
-// begin lets a new leader begin with what is stored, in a zone that is not cut off.
-func (pl *player) begin() {
-	h := &pl.leader
-	for range pl.deployment.Zones {
-		if h.epoch > 0 {
-			h.zone = (h.zone + 1) % pl.deployment.Zones
+// startLeader starts a new leader from the stored state, in a zone that is not
+// partitioned.
+func (sim *simulation) startLeader() {
+	l := &sim.leader
+	for range sim.deployment.Zones {
+		if l.epoch > 0 {
+			l.zone = (l.zone + 1) % sim.deployment.Zones
 		}
-		if pl.day.cutAt(h.zone, pl.deployment.Zones, pl.now) == nil {
+		if sim.day.partitionAt(l.zone, sim.deployment.Zones, sim.now) == nil {
 			break
 		}
 	}
-	h.epoch++
-	var earlier time.Time
-	if h.epoch > 1 {
-		earlier = began.Add(max(h.earlier, pl.now))
+	l.epoch++
+	var earlierOrdersUntil time.Time
+	if l.epoch > 1 {
+		earlierOrdersUntil = simulationStart.Add(max(l.earlierOrdersUntil, sim.now))
 	}
-	h.core = dispatch.New(pl.deployment.bounds, h.epoch, pl.time(), earlier)
-	h.core.Tune(pl.tuning)
-	h.core.TrustBegins()
-	h.core.StoreBegins(true)
-	h.core.Configure(pl.deployment.config)
-	pl.tellWorkers()
-	pl.tellDrains()
-	for _, a := range pl.accepted {
-		record, announced := pl.table[a.job.ID], pl.announced[a.job.ID]
+	l.core = dispatch.New(sim.deployment.bounds, l.epoch, sim.clock(), earlierOrdersUntil)
+	l.core.Tune(sim.tuning)
+	l.core.TrustBegins()
+	l.core.StoreBegins(true)
+	l.core.Configure(sim.deployment.config)
+	sim.notifyWorkers()
+	sim.notifyDrains()
+	for _, a := range sim.accepted {
+		record, announced := sim.records[a.job.ID], sim.announced[a.job.ID]
 		if record.Final == "" && announced.Final != "" {
 			record = announced
 		}
-		h.core.AddJob(a.job, record, slices.Contains(pl.cancelled, a), pl.time(), pl.wall())
+		l.core.AddJob(a.job, record, slices.Contains(sim.cancelled, a), sim.clock(), sim.wallMS())
 		if announced.Final != "" {
-			h.core.MarkDirty(a.job.ID)
+			l.core.MarkDirty(a.job.ID)
 		}
 	}
-	pl.writing = false
-	pl.touched = true
+	sim.writeInFlight = false
+	sim.roundDue = true
 }
--- a/internal/emulator/player.go
+++ b/internal/emulator/player.go
@@ -12,78 +12,80 @@
 )
 
 const (
-	// tick is the resolution of the play, and the time that an order, a poll or a
-	// write takes to be answered.
+	// tick is the resolution of the simulation, and the time until an order, a poll or a
+	// write is answered.
 	tick = 10 * time.Millisecond
-	// roundEvery is the longest time between two rounds of decisions.
-	roundEvery = 50 * time.Millisecond
-	// orderTimeout and pollTimeout bound calls to workers that are cut off.
+	// maxRoundInterval is the longest time between two scheduling rounds.
+	maxRoundInterval = 50 * time.Millisecond
+	// orderTimeout and pollTimeout bound calls to unresponsive workers.
 	orderTimeout = 500 * time.Millisecond
 	pollTimeout  = 600 * time.Millisecond
-	// stopLeast is the share of its bound that a stop takes at least: 3,674 stops on the
-	// platform took 0.3 to 1.0 of it, evenly spread.
-	stopLeast = 0.3
-	// announceAfter is after how long without the store an end is announced.
-	announceAfter = 150 * time.Millisecond
+	// minStopShare is the minimum time of a stop as a share of its bound: 3,674 stops on
+	// the platform took 0.3 to 1.0 of it, uniformly distributed.
+	minStopShare = 0.3
+	// announceDelay is the time after which an unstored completion is announced.
+	announceDelay = 150 * time.Millisecond
 )
 
-// began is when every play begins; the steady and the wall clock agree.
-var began = time.Unix(1_800_000_000, 0)
+// simulationStart is the start time of every simulation; the monotonic and the wall
+// clock agree.
+var simulationStart = time.Unix(1_800_000_000, 0)
 
-// answer is an event for the leader that is due at a time.
-type answer struct {
-	at   time.Duration
-	tell func(core *dispatch.Core)
+// pendingAnswer is an event that is delivered to the leader at a time.
+type pendingAnswer struct {
+	dueAt   time.Duration
+	deliver func(core *dispatch.Core)
 }
 
-// player plays one day.
-type player struct {
-	deployment *Deployment
-	day        *Day
-	tuning     dispatch.Tuning
-	leader     leader
-	now        time.Duration
-	workers    map[string]*worker
-	order      []*worker
-	jobs       map[string]*arrival
-	gangs      map[runKey]*gang
-	answers    []answer
-	touched    bool
-	planned    time.Duration
-	// accepted and cancelled are the rows of jobs, table that of their records;
-	// announced are the ends that the store did not take in time.
+// simulation is the state of one simulated day.
+type simulation struct {
+	deployment     *Deployment
+	day            *Day
+	tuning         dispatch.Tuning
+	leader         leader
+	now            time.Duration
+	workers        map[string]*worker
+	workerList     []*worker
+	jobs           map[string]*arrival
+	gangs          map[runKey]*gang
+	pendingAnswers []pendingAnswer
+	roundDue       bool
+	lastRound      time.Duration
+	// accepted and cancelled are the stored jobs and cancellations, records the stored
+	// records; announced holds completions that were not stored in time.
 	accepted, cancelled []*arrival
-	table, announced    map[string]dispatch.Record
-	writing             bool
+	records, announced  map[string]dispatch.Record
+	writeInFlight       bool
 	handovers, crashes  []float64
-	// drained are the zones that the leader was told are drained.
-	drained []string
-	random  *rand.Rand
-	tally   tally
-	// trace, if set, is told of each action.
+	// reportedDrains are the drained zones last reported to the leader.
+	reportedDrains []string
+	random         *rand.Rand
+	tally          tally
+	// trace, if set, is called with each action.
 	trace func(at time.Duration, action dispatch.Action)
 }
 
-// event is something that callers do at a time.
+// event is a submission or a cancellation by a caller.
 type event struct {
 	at  time.Duration
 	job *arrival
 }
 
-// play plays a day to its end.
-func play(d *Deployment, day *Day, tuning dispatch.Tuning, seed uint64) *tally {
-	return playTraced(d, day, tuning, seed, nil)
+// simulate runs a day to its end.
+func simulate(d *Deployment, day *Day, tuning dispatch.Tuning, seed uint64) *tally {
+	return simulateTraced(d, day, tuning, seed, nil)
 }
 
-// playTraced plays a day to its end, and tells of each action if somebody listens.
-func playTraced(d *Deployment, day *Day, tuning dispatch.Tuning, seed uint64, trace func(time.Duration, dispatch.Action)) *tally {
+// simulateTraced runs a day to its end and calls trace with each action, unless trace
+// is nil.
+func simulateTraced(d *Deployment, day *Day, tuning dispatch.Tuning, seed uint64, trace func(time.Duration, dispatch.Action)) *tally {
 	random := rand.New(rand.NewPCG(seed, 29))
-	list := arrivals(d, day, random)
-	pl := newPlayer(d, day, tuning, random)
-	pl.trace = trace
+	list := drawArrivals(d, day, random)
+	sim := newSimulation(d, day, tuning, random)
+	sim.trace = trace
 	var accepts, cancels []event
 	for _, a := range list {
-		if at, ok := pl.acceptedAt(a); ok {
+		if at, ok := sim.acceptedAt(a); ok {
 			accepts = append(accepts, event{at, a})
 			if a.cancelAt > 0 {
 				cancels = append(cancels, event{max(a.cancelAt, at), a})
@@ -93,320 +95,323 @@
 	byTime := func(a, b event) int { return cmp.Compare(a.at, b.at) }
 	slices.SortStableFunc(accepts, byTime)
 	slices.SortStableFunc(cancels, byTime)
-	for ; pl.now < horizon+drain; pl.now += tick {
-		for len(accepts) > 0 && accepts[0].at <= pl.now {
-			pl.accept(accepts[0].job)
+	for ; sim.now < arrivalPeriod+completionPeriod; sim.now += tick {
+		for len(accepts) > 0 && accepts[0].at <= sim.now {
+			sim.accept(accepts[0].job)
 			accepts = accepts[1:]
 		}
-		for len(cancels) > 0 && cancels[0].at <= pl.now && !pl.day.storeAway(pl.now) {
-			pl.cancel(cancels[0].job)
+		for len(cancels) > 0 && cancels[0].at <= sim.now && !sim.day.storeDown(sim.now) {
+			sim.cancel(cancels[0].job)
 			cancels = cancels[1:]
 		}
-		pl.step()
+		sim.advance()
 	}
-	pl.tally.close(d, list)
-	return &pl.tally
+	sim.tally.close(d, list)
+	return &sim.tally
 }
 
-func newPlayer(d *Deployment, day *Day, tuning dispatch.Tuning, random *rand.Rand) *player {
-	pl := &player{
+func newSimulation(d *Deployment, day *Day, tuning dispatch.Tuning, random *rand.Rand) *simulation {
+	sim := &simulation{
 		deployment: d,
 		day:        day,
 		tuning:     tuning,
 		workers:    make(map[string]*worker),
 		jobs:       make(map[string]*arrival),
 		gangs:      make(map[runKey]*gang),
-		table:      make(map[string]dispatch.Record),
+		records:    make(map[string]dispatch.Record),
 		announced:  make(map[string]dispatch.Record),
-		handovers:  day.Handovers,
-		crashes:    day.Crashes,
+		handovers:  day.LeaderHandovers,
+		crashes:    day.LeaderCrashes,
 		random:     random,
 		tally:      newTally(),
 	}
-	for i, listed := range d.list() {
+	for i, listed := range d.listWorkers() {
 		w := &worker{Worker: listed, machine: listed.ID, zone: i / d.WorkersPerRack / d.RacksPerZone, speed: d.Speeds[random.IntN(len(d.Speeds))]}
-		for t := range day.Workers {
-			if random.Float64() < day.Workers[t].Share {
-				w.troubles = append(w.troubles, &day.Workers[t])
+		for t := range day.WorkerFaults {
+			if random.Float64() < day.WorkerFaults[t].Share {
+				w.faults = append(w.faults, &day.WorkerFaults[t])
 			}
 		}
-		pl.workers[w.ID] = w
-		pl.order = append(pl.order, w)
+		sim.workers[w.ID] = w
+		sim.workerList = append(sim.workerList, w)
 	}
-	return pl
+	return sim
 }
 
-func (pl *player) time() time.Time { return began.Add(pl.now) }
+func (sim *simulation) clock() time.Time { return simulationStart.Add(sim.now) }
 
-func (pl *player) wall() int64 { return pl.time().UnixMilli() }
+func (sim *simulation) wallMS() int64 { return sim.clock().UnixMilli() }
 
-func (pl *player) accept(a *arrival) {
-	a.job.AcceptedMS = pl.wall()
-	pl.jobs[a.job.ID] = a
-	pl.accepted = append(pl.accepted, a)
-	if core := pl.leader.core; core != nil {
-		core.AddJob(a.job, dispatch.Record{}, false, pl.time(), pl.wall())
-		pl.touched = true
+func (sim *simulation) accept(a *arrival) {
+	a.job.AcceptedMS = sim.wallMS()
+	sim.jobs[a.job.ID] = a
+	sim.accepted = append(sim.accepted, a)
+	if core := sim.leader.core; core != nil {
+		core.AddJob(a.job, dispatch.Record{}, false, sim.clock(), sim.wallMS())
+		sim.roundDue = true
 	}
 }
 
-func (pl *player) cancel(a *arrival) {
-	pl.cancelled = append(pl.cancelled, a)
-	if core := pl.leader.core; core != nil {
-		core.Cancel(a.job.ID, pl.time(), pl.wall())
-		pl.touched = true
+func (sim *simulation) cancel(a *arrival) {
+	sim.cancelled = append(sim.cancelled, a)
+	if core := sim.leader.core; core != nil {
+		core.Cancel(a.job.ID, sim.clock(), sim.wallMS())
+		sim.roundDue = true
 	}
 }
 
-// step moves everything on by one tick.
-func (pl *player) step() {
-	for _, w := range pl.order {
-		pl.work(w)
+// advance moves the simulation forward by one tick.
+func (sim *simulation) advance() {
+	for _, w := range sim.workerList {
+		sim.advanceWorker(w)
 	}
-	pl.changeLeaders()
-	pl.hearDrains()
-	core := pl.leader.core
+	sim.changeLeader()
+	sim.updateDrains()
+	core := sim.leader.core
 	if core == nil {
 		return
 	}
-	for _, w := range pl.order {
-		pl.answerPoll(w)
+	for _, w := range sim.workerList {
+		sim.answerWaitingPoll(w)
 	}
-	pl.takeAnswers(core)
-	if !pl.touched && pl.now-pl.planned < roundEvery {
+	sim.deliverAnswers(core)
+	if !sim.roundDue && sim.now-sim.lastRound < maxRoundInterval {
 		return
 	}
-	pl.touched, pl.planned = false, pl.now
+	sim.roundDue, sim.lastRound = false, sim.now
 	decide := core.Decide
-	if pl.paused() {
+	if sim.leaseExpired() {
 		decide = core.Watch
 	}
-	for _, action := range decide(pl.time(), pl.wall()) {
-		pl.carryOut(action)
+	for _, action := range decide(sim.clock(), sim.wallMS()) {
+		sim.execute(action)
 	}
-	pl.record(core)
+	sim.writeRecords(core)
 }
 
-func (pl *player) takeAnswers(core *dispatch.Core) {
-	answers := pl.answers
-	pl.answers = nil
+func (sim *simulation) deliverAnswers(core *dispatch.Core) {
+	answers := sim.pendingAnswers
+	sim.pendingAnswers = nil
 	for _, a := range answers {
-		if a.at > pl.now {
-			pl.answers = append(pl.answers, a)
+		if a.dueAt > sim.now {
+			sim.pendingAnswers = append(sim.pendingAnswers, a)
 			continue
 		}
-		a.tell(core)
-		pl.touched = true
+		a.deliver(core)
+		sim.roundDue = true
 	}
 }
 
-// later lets the leader have an answer after a while.
-func (pl *player) later(after time.Duration, tell func(core *dispatch.Core)) {
-	pl.answers = append(pl.answers, answer{pl.now + after, tell})
+// deliverAfter schedules an answer to the leader after a delay.
+func (sim *simulation) deliverAfter(delay time.Duration, deliver func(core *dispatch.Core)) {
+	sim.pendingAnswers = append(sim.pendingAnswers, pendingAnswer{sim.now + delay, deliver})
 }
 
-// route is how the leader reaches a worker.
+// route is the state of the connection from the leader to a worker.
 type route int
 
 const (
-	pathOpen route = iota
-	pathSilent
-	pathRefused
-	// pathReplaced reaches another life of the worker.
-	pathReplaced
+	routeOpen route = iota
+	routeUnresponsive
+	routeRefused
+	// routeReplaced leads to another incarnation of the worker.
+	routeReplaced
 )
 
-func (pl *player) pathTo(w *worker, life string) route {
-	if p := pl.wayTo(w); p == pathSilent {
-		return p
+func (sim *simulation) routeTo(w *worker, id string) route {
+	if r := sim.routeToMachine(w); r == routeUnresponsive {
+		return r
 	}
-	if w.backAt > 0 {
-		return pathRefused
+	if w.restartAt > 0 {
+		return routeRefused
 	}
-	if p := pl.wayTo(w); p != pathOpen || life == w.ID {
-		return p
+	if r := sim.routeToMachine(w); r != routeOpen || id == w.ID {
+		return r
 	}
-	return pathReplaced
+	return routeReplaced
 }
 
-// wayTo is how the leader reaches a worker's machine.
-func (pl *player) wayTo(w *worker) route {
-	if t := w.troubled(pl.now); t != nil && (t.Silent || t.Reborn) {
-		return pathSilent
+// routeToMachine returns the route to a worker's machine, whether or not it is up.
+func (sim *simulation) routeToMachine(w *worker) route {
+	if f := w.activeFault(sim.now); f != nil && (f.Partitioned || f.PartitionedRestart) {
+		return routeUnresponsive
 	}
-	zones := pl.deployment.Zones
-	if w.zone == pl.leader.zone {
-		return pathOpen
+	zones := sim.deployment.Zones
+	if w.zone == sim.leader.zone {
+		return routeOpen
 	}
-	c := cmp.Or(pl.day.cutAt(w.zone, zones, pl.now), pl.day.cutAt(pl.leader.zone, zones, pl.now))
+	p := cmp.Or(sim.day.partitionAt(w.zone, zones, sim.now), sim.day.partitionAt(sim.leader.zone, zones, sim.now))
 	switch {
-	case c == nil:
-		return pathOpen
-	case c.Refused:
-		return pathRefused
+	case p == nil:
+		return routeOpen
+	case p.Refused:
+		return routeRefused
 	}
-	return pathSilent
+	return routeUnresponsive
 }
 
-// lost is the verdict on a call that a path does not carry, and how long it takes.
-func (p route) lost(timeout time.Duration) (workload.Verdict, time.Duration) {
-	switch p {
-	case pathRefused:
+// failure returns the verdict on a call over a route that is not open, and the time
+// after which the leader receives it.
+func (r route) failure(timeout time.Duration) (workload.Verdict, time.Duration) {
+	switch r {
+	case routeRefused:
 		return workload.VerdictClosed, tick
-	case pathReplaced:
+	case routeReplaced:
 		return workload.VerdictGone, tick
 	}
 	return workload.VerdictUnknown, timeout
 }
 
-func (pl *player) carryOut(action dispatch.Action) {
-	if pl.trace != nil {
-		pl.trace(pl.now, action)
+func (sim *simulation) execute(action dispatch.Action) {
+	if sim.trace != nil {
+		sim.trace(sim.now, action)
 	}
 	order := action.Order
 	switch action.Kind {
 	case dispatch.ActStart:
-		receipt, after := pl.give(order, func(w *worker) { pl.start(w, order) })
-		pl.later(after, func(core *dispatch.Core) { core.StartAnswered(order, receipt, pl.time(), pl.wall()) })
+		receipt, after := sim.sendOrder(order, func(w *worker) { sim.executeStart(w, order) })
+		sim.deliverAfter(after, func(core *dispatch.Core) { core.StartAnswered(order, receipt, sim.clock(), sim.wallMS()) })
 	case dispatch.ActStop:
-		receipt, after := pl.give(order, func(w *worker) { pl.stop(w, order, strings.HasPrefix(action.Reason, "makes room")) })
-		pl.later(after, func(core *dispatch.Core) { core.StopAnswered(order, receipt, pl.time(), pl.wall()) })
+		receipt, after := sim.sendOrder(order, func(w *worker) { sim.executeStop(w, order, strings.HasPrefix(action.Reason, "makes room")) })
+		sim.deliverAfter(after, func(core *dispatch.Core) { core.StopAnswered(order, receipt, sim.clock(), sim.wallMS()) })
 	case dispatch.ActPoll:
-		pl.poll(action)
+		sim.sendPoll(action)
 	}
 }
 
-// give carries an order out, if it reaches its worker.
-func (pl *player) give(order workload.Order, do func(w *worker)) (workload.Receipt, time.Duration) {
-	w := pl.workers[order.Worker]
-	if p := pl.pathTo(w, order.Worker); p != pathOpen {
-		verdict, after := p.lost(orderTimeout)
+// sendOrder applies an order if it reaches its worker, and returns the receipt and its
+// delay.
+func (sim *simulation) sendOrder(order workload.Order, apply func(w *worker)) (workload.Receipt, time.Duration) {
+	w := sim.workers[order.Worker]
+	if r := sim.routeTo(w, order.Worker); r != routeOpen {
+		verdict, after := r.failure(orderTimeout)
 		return workload.Receipt{Verdict: verdict}, after
 	}
-	if t := w.troubled(pl.now); t != nil && t.Loses > 0 && pl.random.Float64() < t.Loses {
+	if f := w.activeFault(sim.now); f != nil && f.LostOrders > 0 && sim.random.Float64() < f.LostOrders {
 		return workload.Receipt{Verdict: workload.VerdictUnknown}, orderTimeout
 	}
-	do(w)
-	return workload.Receipt{ClockMS: pl.wall()}, tick
+	apply(w)
+	return workload.Receipt{ClockMS: sim.wallMS()}, tick
 }
 
-func (pl *player) poll(action dispatch.Action) {
-	w := pl.workers[action.Poll.Worker]
-	if p := pl.pathTo(w, action.Poll.Worker); p != pathOpen {
-		verdict, after := p.lost(action.Poll.Wait + pollTimeout)
-		pl.later(after, func(core *dispatch.Core) {
-			core.PollAnswered(action, workload.Report{Verdict: verdict}, pl.time(), pl.wall())
+func (sim *simulation) sendPoll(action dispatch.Action) {
+	w := sim.workers[action.Poll.Worker]
+	if r := sim.routeTo(w, action.Poll.Worker); r != routeOpen {
+		verdict, after := r.failure(action.Poll.Wait + pollTimeout)
+		sim.deliverAfter(after, func(core *dispatch.Core) {
+			core.PollAnswered(action, workload.Report{Verdict: verdict}, sim.clock(), sim.wallMS())
 		})
 		return
 	}
-	w.lease(action.Poll.UntilMS)
-	if action.Poll.Wait == 0 || w.unseen(action.Poll.Acknowledged) {
-		pl.report(w, action)
+	w.extendLease(action.Poll.UntilMS)
+	if action.Poll.Wait == 0 || w.hasUnacknowledged(action.Poll.Acknowledged) {
+		sim.sendReport(w, action)
 		return
 	}
-	w.poll, w.lookBy = &action, pl.now+action.Poll.Wait
+	w.waitingPoll, w.pollDeadline = &action, sim.now+action.Poll.Wait
 }
 
-// answerPoll answers the poll that waits at a worker, if an end has come or its time
-// is over; one whose worker was cut off meanwhile is lost.
-func (pl *player) answerPoll(w *worker) {
-	if w.poll == nil {
+// answerWaitingPoll answers the poll that waits at a worker once there is a new
+// completion or the poll's wait time is over. The poll is lost if the worker has become
+// unreachable.
+func (sim *simulation) answerWaitingPoll(w *worker) {
+	if w.waitingPoll == nil {
 		return
 	}
-	if p := pl.pathTo(w, w.poll.Poll.Worker); p != pathOpen {
-		sent := *w.poll
-		w.poll = nil
-		verdict, after := p.lost(max(w.lookBy-pl.now, 0) + pollTimeout)
-		pl.later(after, func(core *dispatch.Core) {
-			core.PollAnswered(sent, workload.Report{Verdict: verdict}, pl.time(), pl.wall())
+	if r := sim.routeTo(w, w.waitingPoll.Poll.Worker); r != routeOpen {
+		sent := *w.waitingPoll
+		w.waitingPoll = nil
+		verdict, after := r.failure(max(w.pollDeadline-sim.now, 0) + pollTimeout)
+		sim.deliverAfter(after, func(core *dispatch.Core) {
+			core.PollAnswered(sent, workload.Report{Verdict: verdict}, sim.clock(), sim.wallMS())
 		})
 		return
 	}
-	if pl.now < w.lookBy && !w.unseen(w.poll.Poll.Acknowledged) {
+	if sim.now < w.pollDeadline && !w.hasUnacknowledged(w.waitingPoll.Poll.Acknowledged) {
 		return
 	}
-	pl.report(w, *w.poll)
-	w.poll = nil
+	sim.sendReport(w, *w.waitingPoll)
+	w.waitingPoll = nil
 }
 
-// report answers a poll.
-func (pl *player) report(w *worker, action dispatch.Action) {
-	w.ended = slices.DeleteFunc(w.ended, func(e workload.Ended) bool { return e.Number <= action.Poll.Acknowledged })
-	report := workload.Report{ClockMS: pl.wall(), Running: w.running(), Ended: slices.Clone(w.ended)}
-	pl.later(tick, func(core *dispatch.Core) { core.PollAnswered(action, report, pl.time(), pl.wall()) })
+// sendReport answers a poll.
+func (sim *simulation) sendReport(w *worker, action dispatch.Action) {
+	w.completions = slices.DeleteFunc(w.completions, func(e workload.Ended) bool { return e.Number <= action.Poll.Acknowledged })
+	report := workload.Report{ClockMS: sim.wallMS(), Running: w.runningTasks(), Ended: slices.Clone(w.completions)}
+	sim.deliverAfter(tick, func(core *dispatch.Core) { core.PollAnswered(action, report, sim.clock(), sim.wallMS()) })
 }
 
-func (pl *player) start(w *worker, order workload.Order) {
+func (sim *simulation) executeStart(w *worker, order workload.Order) {
 	key := runKey{order.Task, order.Attempt}
-	if w.find(key) != nil {
-		return // the order was repeated
+	if w.findRun(key) != nil {
+		return // the order was resent
 	}
-	a := pl.jobs[order.Task.Job]
-	r := &run{key: key, job: a, began: pl.now, from: decodeCheckpoint(order.Checkpoint)}
-	r.done, r.kept = r.from, r.from
-	if r.from > 0 {
-		r.done -= milliseconds(pl.deployment.RestoreMS)
+	a := sim.jobs[order.Task.Job]
+	r := &run{key: key, job: a, startedAt: sim.now, resumedFrom: decodeCheckpoint(order.Checkpoint)}
+	r.done, r.checkpointed = r.resumedFrom, r.resumedFrom
+	if r.resumedFrom > 0 {
+		r.done -= milliseconds(sim.deployment.RestoreMS)
 	}
-	pl.tally.started(a, pl.now)
-	if pl.drainedFor(w, drainBound) {
-		pl.tally.drainedStarts++
+	sim.tally.recordStart(a, sim.now)
+	if sim.drainedFor(w, drainTolerance) {
+		sim.tally.drainedStarts++
 	}
-	w.lease(order.UntilMS)
-	g := pl.gangOf(a, order)
+	w.extendLease(order.UntilMS)
+	g := sim.gangOf(a, order)
 	if g == nil || len(g.members) == 0 {
-		r.fails = a.failsAfter()
+		r.failAtShare = a.drawFailure()
 	}
-	w.start(r, g)
+	w.startRun(r, g)
 }
 
-// drainedFor reports whether a worker's zone has been drained for a while.
-func (pl *player) drainedFor(w *worker, d time.Duration) bool {
-	for _, at := range []time.Duration{pl.now - d, pl.now} {
-		if !slices.Contains(pl.day.drainedZones(pl.deployment.Zones, at), w.Zone) {
+// drainedFor reports whether a worker's zone has been drained for a duration.
+func (sim *simulation) drainedFor(w *worker, d time.Duration) bool {
+	for _, at := range []time.Duration{sim.now - d, sim.now} {
+		if !slices.Contains(sim.day.drainedZones(sim.deployment.Zones, at), w.Zone) {
 			return false
 		}
 	}
 	return true
 }
 
-// gangOf is the gang that a run belongs to, or nil.
-func (pl *player) gangOf(a *arrival, order workload.Order) *gang {
+// gangOf returns the gang that a run belongs to, or nil.
+func (sim *simulation) gangOf(a *arrival, order workload.Order) *gang {
 	if !a.job.Steps[0].Gang {
 		return nil
 	}
 	key := runKey{workload.TaskID{Job: order.Task.Job}, order.Attempt}
-	if pl.gangs[key] == nil {
-		pl.gangs[key] = &gang{size: a.job.Steps[0].Count, racks: make(map[string]int)}
+	if sim.gangs[key] == nil {
+		sim.gangs[key] = &gang{size: a.job.Steps[0].Count, racks: make(map[string]int)}
 	}
-	return pl.gangs[key]
+	return sim.gangs[key]
 }
 
-func (pl *player) stop(w *worker, order workload.Order, forOthers bool) {
-	r := w.find(runKey{order.Task, order.Attempt})
+func (sim *simulation) executeStop(w *worker, order workload.Order, forOthers bool) {
+	r := w.findRun(runKey{order.Task, order.Attempt})
 	if r == nil || r.stopAt > 0 {
 		return
 	}
-	took := stopLeast + (1-stopLeast)*pl.random.Float64()
-	r.stopAt = pl.now + time.Duration(took*float64(pl.deployment.bounds.StopTime))
+	share := minStopShare + (1-minStopShare)*sim.random.Float64()
+	r.stopAt = sim.now + time.Duration(share*float64(sim.deployment.bounds.StopTime))
 	if forOthers {
-		pl.tally.preempted++
+		sim.tally.preempted++
 	}
 }
 
-// recordsAtOnce bounds the records of one write.
-const recordsAtOnce = 50
+// maxRecordsPerWrite bounds the records of one write.
+const maxRecordsPerWrite = 50
 
-// record writes what the core wants written; the store answers at the next tick. While
-// it is away, ends are announced.
-func (pl *player) record(core *dispatch.Core) {
-	for _, u := range core.EndedUnpersisted(announceAfter) {
-		pl.announce(u)
+// writeRecords writes the records that the core has changed; the store answers at the
+// next tick. While it is down, completions are announced.
+func (sim *simulation) writeRecords(core *dispatch.Core) {
+	for _, u := range core.EndedUnpersisted(announceDelay) {
+		sim.announceCompletion(u)
 	}
-	if !pl.day.storeAway(pl.now) {
-		core.Removed(core.Gone(recordsAtOnce))
+	if !sim.day.storeDown(sim.now) {
+		core.Removed(core.Gone(maxRecordsPerWrite))
 	}
-	list := core.Unpersisted(recordsAtOnce)
-	if len(list) == 0 || pl.writing || pl.day.storeAway(pl.now) {
+	list := core.Unpersisted(maxRecordsPerWrite)
+	if len(list) == 0 || sim.writeInFlight || sim.day.storeDown(sim.now) {
 		return
 	}
 	for _, u := range list {
@@ -414,26 +419,26 @@
 		if err != nil {
 			panic(err) // the core has just encoded it
 		}
-		pl.table[u.Job] = record
-		pl.tally.gaveUp(pl.jobs[u.Job], &record)
+		sim.records[u.Job] = record
+		sim.tally.recordFailure(sim.jobs[u.Job], &record)
 		if u.Final == dispatch.FinalCompleted {
-			pl.tally.completed(pl.jobs[u.Job], pl.now)
+			sim.tally.recordCompletion(sim.jobs[u.Job], sim.now)
 		}
 	}
-	pl.writing = true
-	pl.later(tick, func(core *dispatch.Core) {
-		pl.writing = false
-		core.Recorded(list, pl.time(), pl.wall())
+	sim.writeInFlight = true
+	sim.deliverAfter(tick, func(core *dispatch.Core) {
+		sim.writeInFlight = false
+		core.Recorded(list, sim.clock(), sim.wallMS())
 	})
 }
 
-func (pl *player) announce(u dispatch.Unpersisted) {
+func (sim *simulation) announceCompletion(u dispatch.Unpersisted) {
 	record, err := dispatch.DecodeRecord(u.Record)
 	if err != nil {
-		panic(err) // as above
+		panic(err) // the core has just encoded it
 	}
-	pl.announced[u.Job] = record
+	sim.announced[u.Job] = record
 	if u.Final == dispatch.FinalCompleted {
-		pl.tally.completed(pl.jobs[u.Job], pl.now)
+		sim.tally.recordCompletion(sim.jobs[u.Job], sim.now)
 	}
 }
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -10,84 +10,85 @@
 )
 
 const (
-	// lateFactor: a job earns its late worth until this many times its objective.
+	// lateFactor is the multiple of its objective up to which a job has its late value.
 	lateFactor = 3
-	// acceleratorCores is what an accelerator counts in cores.
+	// acceleratorCores is the weight of an accelerator in cores.
 	acceleratorCores = 8
-	// window is the time over which the worst moments are looked for, worstWindows how
-	// many of them count.
-	window       = 2 * time.Second
-	worstWindows = 2
-	// drainBound is how long after a zone was drained something may still start there:
-	// until the leader knows, and for orders that are under way.
-	drainBound = drainHeard + time.Second
+	// windowLength is the length of the windows by which jobs are grouped;
+	// worstWindowCount is the number of worst windows that count.
+	windowLength     = 2 * time.Second
+	worstWindowCount = 2
+	// drainTolerance is the time after the drain of a zone in which starts there are
+	// allowed: until the leader receives the drain, and for orders in flight.
+	drainTolerance = drainLatency + time.Second
 )
 
-// tally counts what callers got.
+// tally accumulates the results of a simulation.
 type tally struct {
-	jobs         []*arrival
-	ends, starts map[*arrival]time.Duration
-	// failed are the jobs that were shown as failed.
+	jobs                   []*arrival
+	completedAt, startedAt map[*arrival]time.Duration
+	// failed holds the jobs that failed permanently.
 	failed map[*arrival]bool
-	// crashesOf counts the workers that a job took down.
-	crashesOf map[*arrival]int
-	// lost is the work thrown away, in core-seconds.
-	lost      float64
-	preempted int
-	// drainedStarts counts starts in zones that had been drained for drainBound.
+	// crashesByJob counts the workers that a job crashed.
+	crashesByJob map[*arrival]int
+	// wastedWork is measured in core-seconds.
+	wastedWork float64
+	preempted  int
+	// drainedStarts counts starts in zones that had been drained for drainTolerance.
 	drainedStarts int
-	// crashes counts the workers that went down, wronglyGivenUp the jobs that were given
-	// up for it and had not taken them down.
-	crashes, wronglyGivenUp int
-	all                     share
-	bySort                  map[sort]*share
-	byZone                  map[int]*share
-	byAccount               map[string]*share
-	byWindow                map[int]*share
-	// urgent are the times from submission to start of urgent jobs, in seconds.
-	urgent []float64
-	// value is what the users' weights make of it.
+	// workerCrashes counts crashes of workers; wronglyFailed counts jobs that failed
+	// permanently because of crashes that they had not caused.
+	workerCrashes, wronglyFailed int
+	overall                      score
+	byClass                      map[jobClass]*score
+	byZone                       map[int]*score
+	byAccount                    map[string]*score
+	byWindow                     map[int]*score
+	// urgentWaits holds the times from submission to start of urgent jobs, in seconds.
+	urgentWaits []float64
+	// value is the weighted value by the deployment's Weights.
 	value float64
 }
 
 func newTally() tally {
 	return tally{
-		ends: make(map[*arrival]time.Duration), starts: make(map[*arrival]time.Duration), bySort: make(map[sort]*share),
-		failed: make(map[*arrival]bool), crashesOf: make(map[*arrival]int), byZone: make(map[int]*share), byAccount: make(map[string]*share), byWindow: make(map[int]*share),
+		completedAt: make(map[*arrival]time.Duration), startedAt: make(map[*arrival]time.Duration), byClass: make(map[jobClass]*score),
+		failed: make(map[*arrival]bool), crashesByJob: make(map[*arrival]int), byZone: make(map[int]*score), byAccount: make(map[string]*score), byWindow: make(map[int]*score),
 	}
 }
 
-// share is what was earned of what was owed.
-type share struct {
-	earned, owed float64
+// score is the value earned of the value possible.
+type score struct {
+	earned, possible float64
 }
 
-func (s *share) add(earned, owed float64) {
+func (s *score) add(earned, possible float64) {
 	s.earned += earned
-	s.owed += owed
+	s.possible += possible
 }
 
-func (s share) part() float64 {
-	if s.owed == 0 {
+func (s score) ratio() float64 {
+	if s.possible == 0 {
 		return 1
 	}
-	return s.earned / s.owed
+	return s.earned / s.possible
 }
 
-func (t *tally) started(a *arrival, at time.Duration) {
-	if _, known := t.starts[a]; !known {
-		t.starts[a] = at
+func (t *tally) recordStart(a *arrival, at time.Duration) {
+	if _, recorded := t.startedAt[a]; !recorded {
+		t.startedAt[a] = at
 	}
 }
 
-func (t *tally) completed(a *arrival, at time.Duration) {
-	if _, known := t.ends[a]; !known {
-		t.ends[a] = at
+func (t *tally) recordCompletion(a *arrival, at time.Duration) {
+	if _, recorded := t.completedAt[a]; !recorded {
+		t.completedAt[a] = at
 	}
 }
 
-// gaveUp takes a stored record, and counts jobs that were given up because workers went down under them.
-func (t *tally) gaveUp(a *arrival, record *dispatch.Record) {
+// recordFailure records a job that is stored as failed, and counts it as wrongly failed
+// if the reason is crashes that it did not cause.
+func (t *tally) recordFailure(a *arrival, record *dispatch.Record) {
 	if record.Final != dispatch.FinalFailed {
 		return
 	}
@@ -98,108 +99,108 @@
 	for name := range record.Crashed {
 		crashes := quarantine.Crashes{Seen: len(record.Crashed[name]), Shared: len(record.Shared[name]), Unsure: len(record.Unanswered[name])}
 		if crashes.Decide() == quarantine.GiveUp {
-			t.wronglyGivenUp++
+			t.wronglyFailed++
 			return
 		}
 	}
 }
 
-// thrownAway counts the work of a run that did not end done, beyond what it had at its
-// start, unless it is saved.
-func (t *tally) thrownAway(r *run) {
+// recordWaste counts the work of a run that did not complete, beyond its initial
+// progress. Runs of jobs that checkpoint are not counted.
+func (t *tally) recordWaste(r *run) {
 	step := &r.job.job.Steps[0]
 	if step.Checkpoints {
 		return
 	}
 	need := step.Need
 	cores := float64(need.MilliCPU)/1000 + acceleratorCores*float64(need.Accelerators)
-	t.lost += (r.done - r.from).Seconds() * cores
+	t.wastedWork += (r.done - r.resumedFrom).Seconds() * cores
 	if r.gang == nil || r.gang.ended {
 		return
 	}
 	for _, m := range r.gang.members {
 		if m.run != r {
-			t.lost += (m.done - m.from).Seconds() * cores
+			t.wastedWork += (m.done - m.resumedFrom).Seconds() * cores
 		}
 	}
 }
 
-// close closes the account: every job that can end well and was not cancelled is owed
-// its worth.
+// close computes the scores. Every job that can complete and was not cancelled counts
+// with its value.
 func (t *tally) close(d *Deployment, list []*arrival) {
 	t.jobs = list
 	for _, a := range list {
 		if a.cancelAt > 0 || a.poison || a.crashing {
 			continue
 		}
-		got := t.earned(a)
-		t.all.add(got, a.value)
-		of(t.bySort, a.kind.Sort).add(got, a.value)
-		of(t.byZone, a.zone).add(got, a.value)
-		of(t.byAccount, a.job.Account).add(got, a.value)
-		of(t.byWindow, int(a.at/window)).add(got, a.value)
-		if start, ok := t.starts[a]; ok && a.kind.Sort == urgent {
-			t.urgent = append(t.urgent, (start - a.at).Seconds())
+		value := t.earnedBy(a)
+		t.overall.add(value, a.value)
+		scoreOf(t.byClass, a.kind.Class).add(value, a.value)
+		scoreOf(t.byZone, a.zone).add(value, a.value)
+		scoreOf(t.byAccount, a.job.Account).add(value, a.value)
+		scoreOf(t.byWindow, int(a.submitAt/windowLength)).add(value, a.value)
+		if start, ok := t.startedAt[a]; ok && a.kind.Class == classUrgent {
+			t.urgentWaits = append(t.urgentWaits, (start - a.submitAt).Seconds())
 		}
 	}
-	slices.Sort(t.urgent)
+	slices.Sort(t.urgentWaits)
 	w := d.Weights
-	sum := w.Whole*t.all.part() + w.Windows*worst(t.byWindow, worstWindows) + w.Kind*worst(t.bySort, 1) +
-		w.Zone*worst(t.byZone, 1) + w.Account*worst(t.byAccount, 1)
-	t.value = sum/(w.Whole+w.Windows+w.Kind+w.Zone+w.Account) - w.Waste*t.lost/1000
+	sum := w.Overall*t.overall.ratio() + w.Windows*meanOfWorst(t.byWindow, worstWindowCount) + w.Kind*meanOfWorst(t.byClass, 1) +
+		w.Zone*meanOfWorst(t.byZone, 1) + w.Account*meanOfWorst(t.byAccount, 1)
+	t.value = sum/(w.Overall+w.Windows+w.Kind+w.Zone+w.Account) - w.Waste*t.wastedWork/1000
 }
 
-func of[K comparable](shares map[K]*share, key K) *share {
-	if shares[key] == nil {
-		shares[key] = &share{}
+func scoreOf[K comparable](scores map[K]*score, key K) *score {
+	if scores[key] == nil {
+		scores[key] = &score{}
 	}
-	return shares[key]
+	return scores[key]
 }
 
-// worst is the mean of the n worst parts.
-func worst[K comparable](shares map[K]*share, n int) float64 {
-	var parts []float64
-	for _, s := range shares {
-		parts = append(parts, s.part())
+// meanOfWorst returns the mean of the n lowest ratios.
+func meanOfWorst[K comparable](scores map[K]*score, n int) float64 {
+	var ratios []float64
+	for _, s := range scores {
+		ratios = append(ratios, s.ratio())
 	}
-	slices.Sort(parts)
-	n = min(n, len(parts))
+	slices.Sort(ratios)
+	n = min(n, len(ratios))
 	sum := 0.0
-	for _, p := range parts[:n] {
-		sum += p / float64(n)
+	for _, r := range ratios[:n] {
+		sum += r / float64(n)
 	}
 	return sum
 }
 
-func (t *tally) earned(a *arrival) float64 {
-	end, ok := t.ends[a]
-	switch took := end - a.at; {
+func (t *tally) earnedBy(a *arrival) float64 {
+	end, ok := t.completedAt[a]
+	switch took := end - a.submitAt; {
 	case !ok || took > lateFactor*a.objective:
 		return 0
 	case took > a.objective:
-		return a.value * a.kind.Late / a.kind.Worth
+		return a.value * a.kind.LateValue / a.kind.Value
 	}
 	return a.value
 }
 
-// figures are the published figures of a play.
+// figures returns the published figures of a simulation.
 func (t *tally) figures() []measure.Figure {
 	list := []measure.Figure{
 		{Name: "value", Value: 100 * t.value, Unit: "%"},
-		{Name: "earned", Value: 100 * t.all.part(), Unit: "%"},
-		{Name: "worst windows", Value: 100 * worst(t.byWindow, worstWindows), Unit: "%"},
+		{Name: "earned", Value: 100 * t.overall.ratio(), Unit: "%"},
+		{Name: "worst windows", Value: 100 * meanOfWorst(t.byWindow, worstWindowCount), Unit: "%"},
 	}
-	for _, s := range sorts() {
-		list = append(list, measure.Figure{Name: string(s) + " earned", Value: 100 * of(t.bySort, s).part(), Unit: "%"})
+	for _, c := range jobClasses() {
+		list = append(list, measure.Figure{Name: string(c) + " earned", Value: 100 * scoreOf(t.byClass, c).ratio(), Unit: "%"})
 	}
 	return append(
 		list,
-		measure.Figure{Name: "worst zone", Value: 100 * worst(t.byZone, 1), Unit: "%"},
-		measure.Figure{Name: "urgent start p95", Value: quantile(t.urgent, 0.95), Unit: "s"},
-		measure.Figure{Name: "thrown away", Value: t.lost / 1000, Unit: "1000 core-s"},
+		measure.Figure{Name: "worst zone", Value: 100 * meanOfWorst(t.byZone, 1), Unit: "%"},
+		measure.Figure{Name: "urgent start p95", Value: quantile(t.urgentWaits, 0.95), Unit: "s"},
+		measure.Figure{Name: "thrown away", Value: t.wastedWork / 1000, Unit: "1000 core-s"},
 		measure.Figure{Name: "preempted", Value: float64(t.preempted), Unit: "runs"},
-		measure.Figure{Name: "workers crashed", Value: float64(t.crashes), Unit: "lives"},
-		measure.Figure{Name: "wrongly given up", Value: float64(t.wronglyGivenUp), Unit: "jobs"},
+		measure.Figure{Name: "workers crashed", Value: float64(t.workerCrashes), Unit: "lives"},
+		measure.Figure{Name: "wrongly given up", Value: float64(t.wronglyFailed), Unit: "jobs"},
 	)
 }
 
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -9,8 +9,8 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// failAfter is how long a task runs on a failing worker.
-const failAfter = 200 * time.Millisecond
+// failDelay is the time after which a task fails on a worker with FailsTasks.
+const failDelay = 200 * time.Millisecond
 
 type runKey struct {
 	task    workload.TaskID
@@ -19,21 +19,21 @@
 
 // run is one run of a task on a worker.
 type run struct {
-	key   runKey
-	job   *arrival
-	began time.Duration
-	// done is the work done so far, kept what of it a checkpoint holds; from is
-	// what it started with.
-	done, kept, from time.Duration
-	// stopAt is when a stop takes effect; zero while none is under way.
+	key       runKey
+	job       *arrival
+	startedAt time.Duration
+	// done is the work done so far, checkpointed the part of it in the last checkpoint,
+	// and resumedFrom the work done at the start of the run.
+	done, checkpointed, resumedFrom time.Duration
+	// stopAt is the time at which a requested stop takes effect, or zero.
 	stopAt time.Duration
-	// fails is the share of its work after which it fails by its own fault; zero if it
-	// does not.
-	fails float64
-	gang  *gang
+	// failAtShare is the share of its work after which the run fails because of the job
+	// itself, or zero.
+	failAtShare float64
+	gang        *gang
 }
 
-// gang is the members of one attempt that are there.
+// gang holds the current members of one attempt.
 type gang struct {
 	size    int
 	members []member
@@ -41,37 +41,37 @@
 	ended   bool
 }
 
-// member is a run of a gang and where it runs.
+// member is a run of a gang with its worker.
 type member struct {
 	*run
-	at *worker
+	worker *worker
 }
 
-// worker runs what it is told and lists what has ended.
+// worker executes orders and keeps the completions until they are acknowledged.
 type worker struct {
 	workload.Worker
-	zone     int
-	speed    float64
-	troubles []*workerTrouble
-	// leaseUntil ends everything that runs, in milliseconds since 1970.
+	zone   int
+	speed  float64
+	faults []*workerFault
+	// leaseUntil is the time at which all runs end, in milliseconds since 1970.
 	leaseUntil int64
 	// runs are in the order of their starts.
-	runs   []*run
-	ended  []workload.Ended
-	number int64
-	// poll is the poll that waits for an end, until lookBy.
-	poll   *dispatch.Action
-	lookBy time.Duration
-	// machine names the worker over all its lives, lives counts them.
-	machine string
-	lives   int
-	// rebornIn is the trouble in which it came back as another last.
-	rebornIn *workerTrouble
-	// backAt is when the next life begins; zero while this one lasts.
-	backAt time.Duration
-}
-
-// rate is how fast a run goes on now, in work a unit of time.
+	runs             []*run
+	completions      []workload.Ended
+	completionNumber int64
+	// waitingPoll is a long poll that waits for a completion until pollDeadline.
+	waitingPoll  *dispatch.Action
+	pollDeadline time.Duration
+	// machine identifies the worker across its incarnations; restarts counts them.
+	machine  string
+	restarts int
+	// restartedIn is the last fault in which the worker restarted during a partition.
+	restartedIn *workerFault
+	// restartAt is the time of the next restart, or zero while the worker is up.
+	restartAt time.Duration
+}
+
+// rate returns the current speed of a run, in work per unit of time.
 func (w *worker) rate(r *run, now time.Duration, bounds *workload.Bounds) float64 {
 	step := &r.job.job.Steps[0]
 	rate := w.speed
@@ -81,96 +81,98 @@
 	if step.OneRack && len(r.gang.racks) > 1 || step.DataRack != "" && step.DataRack != w.Rack {
 		rate /= bounds.RemoteFactor
 	}
-	if t := w.troubled(now); t != nil {
+	if f := w.activeFault(now); f != nil {
 		switch {
-		case t.Stalled:
+		case f.Stalled:
 			return 0
-		case t.Slower > 0:
-			rate /= t.Slower
+		case f.Slowdown > 0:
+			rate /= f.Slowdown
 		}
 	}
 	return rate
 }
 
-func (w *worker) troubled(now time.Duration) *workerTrouble {
-	for _, t := range w.troubles {
-		if t.holds(now) {
-			return t
+func (w *worker) activeFault(now time.Duration) *workerFault {
+	for _, f := range w.faults {
+		if f.contains(now) {
+			return f
 		}
 	}
 	return nil
 }
 
-// lease extends the lease of what runs.
-func (w *worker) lease(untilMS int64) { w.leaseUntil = max(w.leaseUntil, untilMS) }
+// extendLease extends the lease of all runs.
+func (w *worker) extendLease(untilMS int64) { w.leaseUntil = max(w.leaseUntil, untilMS) }
 
-// unseen reports whether an end has come after a number.
-func (w *worker) unseen(noted int64) bool {
-	return len(w.ended) > 0 && w.ended[len(w.ended)-1].Number > noted
+// hasUnacknowledged reports whether there is a completion after the acknowledged
+// number.
+func (w *worker) hasUnacknowledged(acknowledged int64) bool {
+	return len(w.completions) > 0 && w.completions[len(w.completions)-1].Number > acknowledged
 }
 
-// work moves the runs of a worker on by a tick.
-func (pl *player) work(w *worker) {
-	if pl.isDown(w) || pl.takeDown(w) {
+// advanceWorker moves the runs of a worker forward by one tick.
+func (sim *simulation) advanceWorker(w *worker) {
+	if sim.isDown(w) || sim.crashIfDue(w) {
 		return
 	}
-	lapsed := pl.wall() > w.leaseUntil
+	leaseExpired := sim.wallMS() > w.leaseUntil
 	for _, r := range slices.Clone(w.runs) {
 		if !slices.Contains(w.runs, r) {
 			continue // it ended with another member of its gang
 		}
-		if kind := pl.ends(w, r, lapsed); kind != "" {
+		if kind := sim.advanceRun(w, r, leaseExpired); kind != "" {
 			if kind != workload.EndDone {
-				pl.tally.thrownAway(r)
+				sim.tally.recordWaste(r)
 			}
-			w.end(r, kind)
+			w.endRun(r, kind)
 		}
 	}
 }
 
-// ends moves a run on and says how it ends at this tick; empty if it does not.
-func (pl *player) ends(w *worker, r *run, lapsed bool) workload.EndKind {
-	switch t := w.troubled(pl.now); {
-	case lapsed:
+// advanceRun moves a run forward by one tick and returns its end kind, or an empty one
+// while it runs on.
+func (sim *simulation) advanceRun(w *worker, r *run, leaseExpired bool) workload.EndKind {
+	switch f := w.activeFault(sim.now); {
+	case leaseExpired:
 		return workload.EndLapsed
-	case r.stopAt > 0 && pl.now >= r.stopAt:
+	case r.stopAt > 0 && sim.now >= r.stopAt:
 		return workload.EndStopped
 	case r.stopAt > 0:
 		return ""
-	case t != nil && t.Fails && r.began >= seconds(t.From) && pl.now-r.began > failAfter:
+	case f != nil && f.FailsTasks && r.startedAt >= seconds(f.From) && sim.now-r.startedAt > failDelay:
 		return workload.EndFailed
 	}
-	r.done += time.Duration(float64(tick) * w.rate(r, pl.now, &pl.deployment.bounds))
-	if every := milliseconds(pl.deployment.CheckpointMS); r.done-r.kept >= every {
-		r.kept += every
+	r.done += time.Duration(float64(tick) * w.rate(r, sim.now, &sim.deployment.bounds))
+	if every := milliseconds(sim.deployment.CheckpointMS); r.done-r.checkpointed >= every {
+		r.checkpointed += every
 	}
-	whole := r.job.work[r.key.task.Index]
-	if r.fails > 0 && r.done >= time.Duration(r.fails*float64(whole)) {
-		// Its own fault is no fault of ours: the job may take as much longer.
-		r.job.objective += time.Duration(r.job.kind.Stretch * float64(pl.now-r.began))
+	totalWork := r.job.work[r.key.task.Index]
+	if r.failAtShare > 0 && r.done >= time.Duration(r.failAtShare*float64(totalWork)) {
+		// The failure is not the scheduler's fault: extend the objective.
+		r.job.objective += time.Duration(r.job.kind.LatencyFactor * float64(sim.now-r.startedAt))
 		return workload.EndFailed
 	}
-	if r.done >= whole && r.gang.complete(r) {
+	if r.done >= totalWork && r.gang.readyToEnd(r) {
 		return workload.EndDone
 	}
 	return ""
 }
 
-// complete reports whether a run may end: a gang's members end together.
-func (g *gang) complete(of *run) bool {
+// readyToEnd reports whether a run may end: all members of a gang end together.
+func (g *gang) readyToEnd(r *run) bool {
 	if g == nil {
 		return true
 	}
 	for _, m := range g.members {
-		if m.done < of.job.work[m.key.task.Index] {
+		if m.done < r.job.work[m.key.task.Index] {
 			return false
 		}
 	}
 	return len(g.members) == g.size
 }
 
-// start begins a run.
-func (w *worker) start(r *run, g *gang) {
+// startRun adds a run to the worker and to its gang.
+func (w *worker) startRun(r *run, g *gang) {
 	w.runs = append(w.runs, r)
 	if g != nil {
 		r.gang = g
@@ -179,8 +181,8 @@
 	}
 }
 
-// find returns a run that is under way, or nil.
-func (w *worker) find(key runKey) *run {
+// findRun returns the run with a key, or nil.
+func (w *worker) findRun(key runKey) *run {
 	at := slices.IndexFunc(w.runs, func(r *run) bool { return r.key == key })
 	if at < 0 {
 		return nil
@@ -188,22 +190,22 @@
 	return w.runs[at]
 }
 
-// end lists the end of a run, and of the members that end with it.
-func (w *worker) end(r *run, kind workload.EndKind) {
+// endRun ends a run and the other members of its gang, and lists their completions.
+func (w *worker) endRun(r *run, kind workload.EndKind) {
 	at := slices.Index(w.runs, r)
 	if at < 0 {
 		return
 	}
 	w.runs = slices.Delete(slices.Clone(w.runs), at, at+1)
-	w.number++
+	w.completionNumber++
 	checkpoint := ""
 	if r.job.job.Steps[0].Checkpoints && kind != workload.EndDone {
 		if kind == workload.EndStopped {
-			r.kept = r.done
+			r.checkpointed = r.done
 		}
-		checkpoint = encodeCheckpoint(r.kept)
+		checkpoint = encodeCheckpoint(r.checkpointed)
 	}
-	w.ended = append(w.ended, workload.Ended{Number: w.number, Task: r.key.task, Attempt: r.key.attempt, Kind: kind, Checkpoint: checkpoint})
+	w.completions = append(w.completions, workload.Ended{Number: w.completionNumber, Task: r.key.task, Attempt: r.key.attempt, Kind: kind, Checkpoint: checkpoint})
 	if g := r.gang; g != nil && !g.ended {
 		g.ended = true
 		rest := kind
@@ -211,13 +213,13 @@
 			rest = workload.EndBroken
 		}
 		for _, m := range g.members {
-			m.at.end(m.run, rest)
+			m.worker.endRun(m.run, rest)
 		}
 	}
 }
 
-// running lists the runs as a poll shows them.
-func (w *worker) running() []workload.Running {
+// runningTasks returns the runs as reported in a poll.
+func (w *worker) runningTasks() []workload.Running {
 	var list []workload.Running
 	for _, r := range w.runs {
 		percent := int(100 * r.done / max(r.job.work[r.key.task.Index], 1))
@@ -227,10 +229,10 @@
 }
 
 func (r *run) checkpoint() string {
-	if !r.job.job.Steps[0].Checkpoints || r.kept == 0 {
+	if !r.job.job.Steps[0].Checkpoints || r.checkpointed == 0 {
 		return ""
 	}
-	return encodeCheckpoint(r.kept)
+	return encodeCheckpoint(r.checkpointed)
 }
 
 func encodeCheckpoint(work time.Duration) string {
@@ -240,7 +242,7 @@
 	return strconv.FormatInt(int64(work), 10)
 }
 
-// decodeCheckpoint is the work that a checkpoint holds; none for an empty one.
+// decodeCheckpoint returns the work that a checkpoint holds, or zero for an empty one.
 func decodeCheckpoint(checkpoint string) time.Duration {
 	work, err := strconv.ParseInt(checkpoint, 10, 64)
 	if err != nil {
