--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -76,7 +76,7 @@
 		"no such file":                   {accept(nil), []string{"settings", "check", "/nowhere/s.json"}, ExitUsage, "", "/nowhere"},
 		"valid rules":                    {accept(nil), []string{"rules", "check", exampleConfig}, ExitDone, "", "8 rules"},
 		"rules with problems":            {accept(nil), []string{"rules", "check", writeInput(t, `{"client_accounts":[],"rules":[{"name":"r","when":{"keyed":true},"then":{}}]}`)}, ExitUsage, "", "1:51: /rules/0/when: the last rule"},
-		"explain rules":                  {accept(nil), []string{"rules", "explain", "--config", exampleConfig, "--kind", "spec-match"}, ExitDone, "", "decides\nlet in with priority -20"},
+		"explain rules":                  {accept(nil), []string{"rules", "explain", "--config", exampleConfig, "--kind", "spec-match"}, ExitDone, "", "decides\nadmitted with priority -20"},
 		"apply":                          {accept(api.ConfigVersion{Version: 4}), []string{"config", "apply", "--expect", "3", exampleConfig}, ExitDone, "POST /v1/config", "version 4 accepted"},
 		"apply against a newer version":  {refuse(api.KindConfigConflict), []string{"config", "apply", "--expect", "3", exampleConfig}, ExitFailed, "POST /v1/config", "version in force: 7"},
 		"apply what an instance refuses": {refuse(api.KindConfigInvalid), []string{"config", "apply", "--expect", "3", exampleConfig}, ExitUsage, "POST /v1/config", "config_invalid"},
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -97,7 +97,7 @@
 func (inv *invocation) addRulesExplain(group *kingpin.CmdClause) {
 	command := group.Command("explain", "Print the rule that decides a situation, and why the ones above it do not.")
 	file := command.Flag("config", "Configuration file.").Required().PlaceHolder("FILE").String()
-	situationFile := command.Flag("situation", "File with the situation as JSON; the other flags are then not read.").PlaceHolder("FILE").String()
+	situationFile := command.Flag("situation", "File with the situation as JSON; the other flags are then ignored.").PlaceHolder("FILE").String()
 	situation := situationFlags(command)
 	inv.addAction(command, func() error {
 		if *situationFile != "" {
@@ -110,7 +110,7 @@
 func situationFlags(command *kingpin.CmdClause) *rules.Situation {
 	situation := &rules.Situation{}
 	work := (*string)(&situation.Work)
-	command.Flag("work", "Sort of work: request or job.").Default(string(rules.WorkRequest)).EnumVar(work, string(rules.WorkRequest), string(rules.WorkJob))
+	command.Flag("work", "Type of work: request or job.").Default(string(rules.WorkRequest)).EnumVar(work, string(rules.WorkRequest), string(rules.WorkJob))
 	command.Flag("account", "Client account.").StringVar(&situation.Account)
 	command.Flag("kind", "Kind of work.").StringVar(&situation.Kind)
 	command.Flag("zone", "Availability zone.").StringVar(&situation.Zone)
@@ -162,9 +162,9 @@
 
 func describeVerdict(v rules.Verdict) string {
 	if v.Refuse {
-		return fmt.Sprintf("refused, to come back after %g s", v.RetryAfterS)
+		return fmt.Sprintf("refused, retry after %g s", v.RetryAfterS)
 	}
-	parts := []string{fmt.Sprintf("let in with priority %d", v.Priority), fmt.Sprintf("retries %d", v.Retries)}
+	parts := []string{fmt.Sprintf("admitted with priority %d", v.Priority), fmt.Sprintf("retries %d", v.Retries)}
 	if v.MaxQueued > 0 {
 		parts = append(parts, fmt.Sprintf("at most %d waiting", v.MaxQueued))
 	}
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -13,9 +13,9 @@
 const defaultInterval = 2 * time.Second
 
 func (inv *invocation) addLosses() {
-	command := inv.app.Command("losses", "Say from log files which jobs were late or lost, and where their time went.")
-	files := command.Arg("file", "Log file of an instance; those of all instances together say most.").Required().Strings()
-	interval := command.Flag("stretch", "Time that a row of the table by moments covers.").Default(defaultInterval.String()).Duration()
+	command := inv.app.Command("losses", "Report from log files which jobs were late or lost, and where their time went.")
+	files := command.Arg("file", "Log file of an instance; pass the files of all instances for a complete report.").Required().Strings()
+	interval := command.Flag("stretch", "Time interval that a row of the table by submission time covers.").Default(defaultInterval.String()).Duration()
 	all := command.Flag("all", "List jobs that were on time as well.").Bool()
 	inv.addAction(command, func() error { return inv.reportLosses(*files, *interval, *all) })
 }
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -29,28 +29,28 @@
 	SlackBelowS *float64 `json:"slack_below_s,omitempty"`
 	// SlackAtLeastS matches work with at least this slack, or no deadline.
 	SlackAtLeastS *float64 `json:"slack_at_least_s,omitempty"`
-	// Idempotent is what the work says of itself.
+	// Idempotent matches work by whether it is declared idempotent.
 	Idempotent *bool `json:"idempotent,omitempty"`
-	// Keyed is whether the work carries an idempotency key.
+	// Keyed matches work by whether it carries an idempotency key.
 	Keyed *bool `json:"keyed,omitempty"`
-	// Urgent is what a job says of itself; a request is never urgent.
+	// Urgent matches jobs by whether they are declared urgent; a request is never urgent.
 	Urgent *bool `json:"urgent,omitempty"`
-	// PlatformReachable is whether the zone reaches the platform's store.
+	// PlatformReachable matches by whether the zone can reach the platform's store.
 	PlatformReachable *bool `json:"platform_reachable,omitempty"`
-	// LoadAtLeast and LoadBelow compare the load level: work in progress and
-	// waiting over what the zone can run at the same time.
+	// LoadAtLeast and LoadBelow compare the load level: running and waiting work
+	// divided by the work that the zone can run concurrently.
 	LoadAtLeast *float64 `json:"load_at_least,omitempty"`
 	LoadBelow   *float64 `json:"load_below,omitempty"`
 }
 
 // Then is the decision of a rule. Absent fields take the defaults of Verdict.
 type Then struct {
-	// Refuse turns the work away, to come back after RetryAfterS, in seconds.
+	// Refuse turns the work away; callers may retry after RetryAfterS, in seconds.
 	Refuse      bool    `json:"refuse,omitempty"`
 	RetryAfterS float64 `json:"retry_after_s,omitempty"`
 	// Priority orders work within a client account; higher goes first.
 	Priority int `json:"priority,omitempty"`
-	// MaxQueued bounds the account's waiting work that this rule let in.
+	// MaxQueued bounds the account's waiting work that this rule admitted.
 	MaxQueued int `json:"max_queued,omitempty"`
 	// MaxWaitMS bounds the wait, in milliseconds.
 	MaxWaitMS int64 `json:"max_wait_ms,omitempty"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -24,7 +24,7 @@
 	PeerListen string `json:"peer_listen"`
 	// Platform is the IP number and port of the platform's services.
 	Platform string `json:"platform"`
-	// Peers are instances to begin with; the instance list adds the others.
+	// Peers is the list of instances known at startup; the instance list adds the others.
 	Peers []Peer `json:"peers"`
 	// LogLevel is the lowest level that is logged: debug, info, warn or error.
 	LogLevel string `json:"log_level"`
@@ -58,7 +58,7 @@
 	MaxBackendConnections int `json:"max_backend_connections"`
 	// MaxJobs bounds the jobs that the placer holds in memory.
 	MaxJobs int `json:"max_jobs"`
-	// MaxGoroutines is the bound that readiness is judged by.
+	// MaxGoroutines is the number of goroutines above which the instance is not ready.
 	MaxGoroutines int `json:"max_goroutines"`
 	// MemoryMB is the soft limit of the Go heap, in megabytes.
 	MemoryMB int64 `json:"memory_mb"`
@@ -66,13 +66,13 @@
 
 // Timing holds the durations that a deployment may tune, in milliseconds.
 type Timing struct {
-	// DefaultDeadlineMS is the deadline of a request that names none.
+	// DefaultDeadlineMS is the deadline of a request that does not set one.
 	DefaultDeadlineMS int64 `json:"default_deadline_ms"`
 	// MaxDeadlineMS is the longest deadline of a request.
 	MaxDeadlineMS int64 `json:"max_deadline_ms"`
 	// PlacerLeaseMS is the length of a placer lease.
 	PlacerLeaseMS int64 `json:"placer_lease_ms"`
-	// WorkerLeaseMS is the life of running tasks unless renewed.
+	// WorkerLeaseMS is the time after which running tasks end unless their lease is renewed.
 	WorkerLeaseMS int64 `json:"worker_lease_ms"`
 	// PlaceIntervalMS is the longest time between placement rounds.
 	PlaceIntervalMS int64 `json:"place_interval_ms"`
