--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -49,8 +49,8 @@
 			t.Parallel()
 			tally := simulate(loadDeployment(t, name), loadDay(t, "calm, with a burst of urgent jobs"), dispatch.Tuning{}, 3)
 			for _, a := range tally.jobs {
-				_, ended := tally.completedAt[a]
-				assert.Assert(t, ended || a.cancelAt > 0, "job %s of %s, submitted at %v", a.job.ID, a.kind.Queue, a.submitAt)
+				_, completed := tally.completedAt[a]
+				assert.Assert(t, completed || a.cancelAt > 0, "job %s of %s, submitted at %v", a.job.ID, a.kind.Queue, a.submitAt)
 			}
 		})
 	}
@@ -123,8 +123,8 @@
 			poisoned++
 			assert.Assert(t, a.startedRuns <= a.kind.Attempts*a.job.Steps[0].Count, "job %s ran %d times", a.job.ID, a.startedRuns)
 		}
-		_, ended := tally.completedAt[a]
-		assert.Assert(t, ended || a.poison || a.cancelAt > 0, "job %s of %s, submitted at %v", a.job.ID, a.kind.Queue, a.submitAt)
+		_, completed := tally.completedAt[a]
+		assert.Assert(t, completed || a.poison || a.cancelAt > 0, "job %s of %s, submitted at %v", a.job.ID, a.kind.Queue, a.submitAt)
 	}
 	assert.Assert(t, poisoned > 0)
 }
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestJobsCrashAtMostTheAllowedWorkers(t *testing.T) {
+func TestNoJobCrashesTooManyWorkers(t *testing.T) {
 	tally := simulate(loadDeployment(t, "klaverveld"), loadDay(t, "jobs take down their workers"), dispatch.Tuning{}, 3)
 	failed := 0
 	for a, crashes := range tally.crashesByJob {
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -18,8 +18,8 @@
 	Tuning dispatch.Tuning
 }
 
-// Plan describes an experiment: every day is simulated on every deployment with Plays
-// different seeds, starting from Seed.
+// Plan describes an experiment: every day is simulated Plays times on every deployment,
+// with different seeds derived from Seed.
 type Plan struct {
 	Deployments []Deployment
 	Days        []Day
