--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -24,7 +24,7 @@
 	PeerListen string `json:"peer_listen"`
 	// Platform is the IP number and port of the platform's services.
 	Platform string `json:"platform"`
-	// Peers are instances to begin with; the instance list adds the others.
+	// Peers is the list of instances known at startup; the instance list adds the others.
 	Peers []Peer `json:"peers"`
 	// LogLevel is the lowest level that is logged: debug, info, warn or error.
 	LogLevel string `json:"log_level"`
@@ -58,7 +58,7 @@
 	MaxBackendConnections int `json:"max_backend_connections"`
 	// MaxJobs bounds the jobs that the placer holds in memory.
 	MaxJobs int `json:"max_jobs"`
-	// MaxGoroutines is the bound that readiness is judged by.
+	// MaxGoroutines is the number of goroutines above which the instance is not ready.
 	MaxGoroutines int `json:"max_goroutines"`
 	// MemoryMB is the soft limit of the Go heap, in megabytes.
 	MemoryMB int64 `json:"memory_mb"`
@@ -66,13 +66,13 @@
 
 // Timing holds the durations that a deployment may tune, in milliseconds.
 type Timing struct {
-	// DefaultDeadlineMS is the deadline of a request that names none.
+	// DefaultDeadlineMS is the deadline of a request that does not set one.
 	DefaultDeadlineMS int64 `json:"default_deadline_ms"`
 	// MaxDeadlineMS is the longest deadline of a request.
 	MaxDeadlineMS int64 `json:"max_deadline_ms"`
 	// PlacerLeaseMS is the length of a placer lease.
 	PlacerLeaseMS int64 `json:"placer_lease_ms"`
-	// WorkerLeaseMS is the life of running tasks unless renewed.
+	// WorkerLeaseMS is the time after which running tasks end unless their lease is renewed.
 	WorkerLeaseMS int64 `json:"worker_lease_ms"`
 	// PlaceIntervalMS is the longest time between placement rounds.
 	PlaceIntervalMS int64 `json:"place_interval_ms"`
@@ -86,7 +86,7 @@
 	StopWithinMS int64 `json:"stop_within_ms"`
 }
 
-// Default returns the settings that a file starts from.
+// Default returns the values of the settings that a file does not set.
 func Default() Settings {
 	return Settings{
 		LogLevel: "info",
@@ -101,7 +101,7 @@
 	}
 }
 
-// Duration converts a number of milliseconds.
+// Duration converts milliseconds to a time.Duration.
 func Duration(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 //go:embed schema.json
@@ -109,7 +109,7 @@
 
 var schema = strictjson.MustCompile("settings.json", schemaJSON)
 
-// Load reads and checks the file. All problems come back at once in a
+// Load reads and checks a settings file. All problems are returned together in a
 // *strictjson.Error.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
@@ -119,7 +119,7 @@
 	return Parse(file, data)
 }
 
-// Parse checks data and returns the settings with defaults filled in.
+// Parse checks data and returns the settings, with defaults for absent fields.
 func Parse(file string, data []byte) (*Settings, error) {
 	settings := Default()
 	if err := schema.Decode(file, data, &settings); err != nil {
@@ -131,8 +131,8 @@
 	return &settings, nil
 }
 
-// check finds what the schema cannot say: addresses must be IP numbers, and
-// ids must be unique.
+// check finds problems that the schema cannot express: addresses must be IP numbers
+// with a port, and ids must be unique.
 func (s *Settings) check(positions *strictjson.Positions) []api.Problem {
 	var problems []api.Problem
 	address := func(path, value string) {
