--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,6 +1,6 @@
 // Package chart loads state charts from JSON files and interprets them. The
-// charts are the only place that says which event leads from which state to
-// which; an undeclared transition is an error.
+// charts are the only definition of the transitions between states; an
+// undeclared transition is an error.
 package chart
 
 import (
@@ -22,17 +22,17 @@
 
 // StateSpec is one state of a chart file.
 type StateSpec struct {
-	// Doc says what the state means.
+	// Doc describes the state.
 	Doc string `json:"doc"`
-	// Final states have no way out.
+	// Final marks a state without outgoing transitions.
 	Final bool `json:"final,omitempty"`
-	// On maps each answered event to the next state.
+	// On maps each handled event to the next state.
 	On map[Event]State `json:"on,omitempty"`
-	// Ignore lists events that may arrive here and change nothing.
+	// Ignore lists events that are allowed in this state and do not change it.
 	Ignore []Event `json:"ignore,omitempty"`
 }
 
-// Chart is one loaded state chart. It is immutable.
+// Chart is a loaded state chart. It is immutable.
 type Chart struct {
 	Name    string              `json:"name"`
 	Doc     string              `json:"doc"`
@@ -41,7 +41,7 @@
 	States  map[State]StateSpec `json:"states"`
 }
 
-// TransitionError is an event that the chart does not answer in a state.
+// TransitionError reports an event that the chart does not declare in a state.
 type TransitionError struct {
 	Chart string
 	From  State
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("chart %s: event %q is not declared in state %q", e.Chart, e.Event, e.From)
 }
 
-// Load parses a chart and checks it.
+// Load parses and validates a chart.
 func Load(data []byte) (*Chart, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -67,8 +67,8 @@
 	return &chart, nil
 }
 
-// MustLoad loads the embedded chart of the given name. It panics on an error,
-// which a test of this package rules out for every embedded chart.
+// MustLoad loads the embedded chart of the given name. It panics on an error;
+// a test of this package checks that every embedded chart loads.
 func MustLoad(name string) *Chart {
 	chart, err := loadFrom(charts.Files, name)
 	if err != nil {
@@ -85,7 +85,8 @@
 	return Load(data)
 }
 
-// Next returns the state that follows from after event.
+// Next returns the state that event leads to from the given state. An undeclared
+// event returns the unchanged state and a *TransitionError.
 func (c *Chart) Next(from State, event Event) (State, error) {
 	spec, ok := c.States[from]
 	if !ok {
@@ -102,11 +103,12 @@
 	return from, &TransitionError{c.Name, from, event}
 }
 
-// Final reports whether state is an end of the chart.
+// Final reports whether state is a final state of the chart.
 func (c *Chart) Final(state State) bool { return c.States[state].Final }
 
 // Check returns every fault of the chart: unknown names, unreachable states,
-// events that a state neither answers nor ignores, ends that are not ends.
+// events that a state neither handles nor ignores, and states whose final mark
+// contradicts their transitions.
 func (c *Chart) Check() []string {
 	var problems []string
 	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
@@ -128,33 +130,33 @@
 		report("state %q has no doc", name)
 	}
 	if spec.Final != (len(spec.On) == 0) {
-		report("state %q: final must be said of exactly the states with no way out", name)
+		report("state %q: final must be set if and only if the state has no outgoing transitions", name)
 	}
 	known := make(map[Event]bool, len(c.Events))
 	for _, event := range c.Events {
 		known[event] = true
 	}
-	answered := make(map[Event]int)
+	handled := make(map[Event]int)
 	for event, next := range spec.On {
-		answered[event]++
+		handled[event]++
 		if _, ok := c.States[next]; !ok {
 			report("state %q: event %q leads to undeclared state %q", name, event, next)
 		}
 	}
 	for _, event := range spec.Ignore {
-		answered[event]++
+		handled[event]++
 	}
-	for event, count := range answered {
+	for event, count := range handled {
 		if !known[event] {
 			report("state %q: event %q is not declared", name, event)
 		}
 		if count > 1 {
-			report("state %q: event %q is answered twice", name, event)
+			report("state %q: event %q is handled twice", name, event)
 		}
 	}
 	for _, event := range c.Events {
-		if answered[event] == 0 {
-			report("state %q: event %q is not answered", name, event)
+		if handled[event] == 0 {
+			report("state %q: event %q is not handled", name, event)
 		}
 	}
 }
@@ -172,13 +174,13 @@
 			}
 		}
 	}
-	var missing []State
+	var unreached []State
 	for _, name := range c.stateNames() {
 		if !seen[name] {
-			missing = append(missing, name)
+			unreached = append(unreached, name)
 		}
 	}
-	return missing
+	return unreached
 }
 
 func (c *Chart) stateNames() []State {
@@ -190,7 +192,7 @@
 	return names
 }
 
-// Mermaid draws the chart as a Mermaid state diagram for the docs.
+// Mermaid renders the chart as a Mermaid state diagram for the docs.
 func (c *Chart) Mermaid() string {
 	var out strings.Builder
 	out.WriteString("stateDiagram-v2\n")
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -12,7 +12,7 @@
 	"github.com/corianderbank/corianderbank/charts"
 )
 
-func TestEveryEmbeddedChartIsSound(t *testing.T) {
+func TestEmbeddedChartsAreValid(t *testing.T) {
 	entries, err := charts.Files.ReadDir(".")
 	assert.NilError(t, err)
 	assert.Assert(t, len(entries) >= 6)
@@ -36,13 +36,13 @@
 	assert.Assert(t, errors.As(err, &transition))
 }
 
-func TestCheckNamesFaults(t *testing.T) {
+func TestLoadRejectsInvalidCharts(t *testing.T) {
 	cases := map[string]struct{ data, want string }{
-		"an unreachable state":  {`{"name":"x","doc":"d","initial":"a","events":["e"],"states":{"a":{"doc":"d","on":{"e":"a"}},"b":{"doc":"d","final":true,"ignore":["e"]}}}`, `state "b" is not reachable`},
-		"an unanswered event":   {`{"name":"x","doc":"d","initial":"a","events":["e"],"states":{"a":{"doc":"d","final":true}}}`, `event "e" is not answered`},
-		"an end with a way out": {`{"name":"x","doc":"d","initial":"a","events":["e"],"states":{"a":{"doc":"d","final":true,"on":{"e":"a"}}}}`, `final must be said`},
-		"an unknown state":      {`{"name":"x","doc":"d","initial":"a","events":["e"],"states":{"a":{"doc":"d","on":{"e":"c"}}}}`, `undeclared state "c"`},
-		"an unknown field":      {`{"name":"x","colour":"red"}`, `unknown field`},
+		"an unreachable state":            {`{"name":"x","doc":"d","initial":"a","events":["e"],"states":{"a":{"doc":"d","on":{"e":"a"}},"b":{"doc":"d","final":true,"ignore":["e"]}}}`, `state "b" is not reachable`},
+		"an unhandled event":              {`{"name":"x","doc":"d","initial":"a","events":["e"],"states":{"a":{"doc":"d","final":true}}}`, `event "e" is not handled`},
+		"a final state with a transition": {`{"name":"x","doc":"d","initial":"a","events":["e"],"states":{"a":{"doc":"d","final":true,"on":{"e":"a"}}}}`, `final must be set`},
+		"an unknown state":                {`{"name":"x","doc":"d","initial":"a","events":["e"],"states":{"a":{"doc":"d","on":{"e":"c"}}}}`, `undeclared state "c"`},
+		"an unknown field":                {`{"name":"x","colour":"red"}`, `unknown field`},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -52,11 +52,11 @@
 	}
 }
 
-// TestDrawnChartsAreCurrent compares docs/charts.md with the charts. Run it
-// with UPDATE_DOCS=1 to write the page anew.
-func TestDrawnChartsAreCurrent(t *testing.T) {
+// TestChartsPageIsCurrent compares docs/charts.md with the charts. Run it
+// with UPDATE_DOCS=1 to regenerate the page.
+func TestChartsPageIsCurrent(t *testing.T) {
 	page := filepath.Join("..", "..", "docs", "charts.md")
-	want := drawAll(t)
+	want := renderChartsPage(t)
 	if os.Getenv("UPDATE_DOCS") != "" {
 		assert.NilError(t, os.WriteFile(page, []byte(want), 0o644))
 	}
@@ -65,7 +65,7 @@
 	assert.Equal(t, string(got), want)
 }
 
-func drawAll(t *testing.T) string {
+func renderChartsPage(t *testing.T) string {
 	t.Helper()
 	var out strings.Builder
 	out.WriteString("# State charts\n\nDrawn from the files in `charts/` by `UPDATE_DOCS=1 go test ./internal/chart`.\n")
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// pendingLines bounds the memory of lines that wait for a reader of the log.
-	pendingLines = 2048
-	// linesEachSecond bounds the volume in the long run.
-	linesEachSecond = 800
+	// maxPendingLines limits the queued lines, and thereby their memory.
+	maxPendingLines = 2048
+	// maxLinesPerSecond limits the long-term rate of lines.
+	maxLinesPerSecond = 800
 )
 
 var metricDropped = metrics.NewCounter("corianderbank_log_lines_dropped_total")
 
-// Bounded writes lines to w from a duty of its own. A line that comes while the
-// ring is full, because nobody reads the log or a loop writes too much of it, is
-// dropped and counted; nobody ever waits for the log. Once there is room again
-// one line says how many were dropped.
+// Bounded writes lines to an io.Writer from a goroutine of its own, so that
+// callers never wait for the log. A line that arrives while the queue is full,
+// because the log is not read or too much is logged, is dropped and counted.
+// The number of dropped lines is logged once there is space again.
 type Bounded struct {
 	w       io.Writer
 	lines   *ring.Refusing[[]byte]
@@ -32,14 +32,14 @@
 	stopped chan struct{}
 }
 
-// NewBounded starts the duty; Close ends it.
+// NewBounded returns a Bounded for w and starts its goroutine; Close stops it.
 func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{w: w, lines: ring.NewRefusing[[]byte](pendingLines), stop: make(chan struct{}), stopped: make(chan struct{})}
+	b := &Bounded{w: w, lines: ring.NewRefusing[[]byte](maxPendingLines), stop: make(chan struct{}), stopped: make(chan struct{})}
 	go b.run()
 	return b
 }
 
-// Write implements io.Writer. It never blocks and never fails.
+// Write queues a copy of line. It never blocks and never fails.
 func (b *Bounded) Write(line []byte) (int, error) {
 	if !b.lines.Offer(append([]byte(nil), line...)) {
 		b.dropped.Add(1)
@@ -48,40 +48,41 @@
 	return len(line), nil
 }
 
-// run writes lines, at most linesEachSecond in the long run.
+// run writes queued lines until Close, at most maxLinesPerSecond in the long term.
 func (b *Bounded) run() {
 	defer close(b.stopped)
 	for {
 		select {
 		case line := <-b.lines.C():
-			b.batch(line)
+			b.writeBatch(line)
 		case <-b.stop:
-			b.rest()
+			b.flush()
 			return
 		}
 		select {
-		case <-time.After(time.Second / linesEachSecond * lineBatch):
+		case <-time.After(time.Second / maxLinesPerSecond * maxBatchLines):
 		case <-b.stop:
-			b.rest()
+			b.flush()
 			return
 		}
 	}
 }
 
-// lineBatch lines are written for each wake-up: one for each line would cost more than
-// the line.
-const lineBatch = 40
+// maxBatchLines limits the lines written per wake-up. Waking up for each line
+// would cost more than writing it.
+const maxBatchLines = 40
 
-// writeMost bounds one write in bytes, of whole lines. A pipe takes up to this many as
-// one piece; of a larger write a collector may see a part, and a line cut in two.
-const writeMost = 4096
+// maxWriteBytes limits the size of a write that combines several whole lines. A
+// pipe accepts a write of up to this size atomically; of a larger write, a
+// collector may read only a part and see a line split in two.
+const maxWriteBytes = 4096
 
-func (b *Bounded) batch(first []byte) {
+func (b *Bounded) writeBatch(first []byte) {
 	text := first
-	for range lineBatch - 1 {
+	for range maxBatchLines - 1 {
 		select {
 		case line := <-b.lines.C():
-			if len(text)+len(line) > writeMost {
+			if len(text)+len(line) > maxWriteBytes {
 				b.write(text)
 				text = nil
 			}
@@ -92,34 +93,35 @@
 		break
 	}
 	b.write(text)
-	b.report()
+	b.reportDropped()
 }
 
-// write writes whole lines; a log that cannot be written has nobody to tell.
+// write writes whole lines. It ignores errors, as there is nowhere to report them.
 func (b *Bounded) write(text []byte) { _, _ = b.w.Write(text) }
 
-func (b *Bounded) report() {
+func (b *Bounded) reportDropped() {
 	if n := b.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(b.w, "ts=%s level=warn msg=\"log lines dropped\" lines=%d\n", time.Now().UTC().Format(time.RFC3339Nano), n)
 	}
 }
 
-// rest writes what is left at the end.
-func (b *Bounded) rest() {
+// flush writes the remaining lines.
+func (b *Bounded) flush() {
 	for b.lines.Len() > 0 {
-		b.batch(<-b.lines.C())
+		b.writeBatch(<-b.lines.C())
 	}
-	b.report()
+	b.reportDropped()
 }
 
-// closeWithin bounds writing the rest: nobody may read it.
-const closeWithin = 200 * time.Millisecond
+// closeTimeout limits the final flush, because the log may have no reader.
+const closeTimeout = 200 * time.Millisecond
 
-// Close writes what is left, if somebody reads it, and ends the duty.
+// Close flushes the remaining lines and stops the goroutine. It waits at most
+// closeTimeout and must be called only once.
 func (b *Bounded) Close() {
 	close(b.stop)
 	select {
 	case <-b.stopped:
-	case <-time.After(closeWithin):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -11,16 +11,16 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestALogThatNobodyReadsBlocksNobody(t *testing.T) {
+func TestUnreadLogDoesNotBlockWriters(t *testing.T) {
 	reader, writer := io.Pipe() // unbuffered: a write waits for its reader
 	b := NewBounded(writer)
-	const lines = 3 * pendingLines
+	const lines = 3 * maxPendingLines
 	for n := range lines {
 		_, err := fmt.Fprintf(b, "line=%d\n", n)
 		assert.NilError(t, err)
 	}
-	b.Close() // gives up on the rest
-	assert.Assert(t, b.dropped.Load() >= lines-pendingLines-lineBatch)
+	b.Close() // discards the remaining lines after closeTimeout
+	assert.Assert(t, b.dropped.Load() >= lines-maxPendingLines-maxBatchLines)
 	_ = reader.Close()
 }
 
@@ -35,7 +35,7 @@
 	return l.buf.Write(p)
 }
 
-func TestLinesComeWholeAndInOrderAndDroppedOnesAreCounted(t *testing.T) {
+func TestLinesStayInOrderAndDroppedLinesAreReported(t *testing.T) {
 	var out lockedBuffer
 	b := NewBounded(&out)
 	for n := range 3 {
@@ -48,34 +48,34 @@
 	assert.Assert(t, strings.Contains(text, "lines=7"), text)
 }
 
-// pieces keeps each write apart.
-type pieces struct {
-	mu   sync.Mutex
-	list [][]byte
+// recordingWriter stores each write separately.
+type recordingWriter struct {
+	mu     sync.Mutex
+	writes [][]byte
 }
 
-func (p *pieces) Write(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.list = append(p.list, bytes.Clone(b))
+func (r *recordingWriter) Write(b []byte) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.writes = append(r.writes, bytes.Clone(b))
 	return len(b), nil
 }
 
 func TestEachWriteIsOfWholeLinesAndFitsAPipe(t *testing.T) {
-	var out pieces
+	var out recordingWriter
 	b := NewBounded(&out)
 	const lines = 200
 	for n := range lines {
 		_, _ = fmt.Fprintf(b, "line=%d %s\n", n, strings.Repeat("x", 250))
 	}
-	_, _ = fmt.Fprintf(b, "long=%s\n", strings.Repeat("y", writeMost))
+	_, _ = fmt.Fprintf(b, "long=%s\n", strings.Repeat("y", maxWriteBytes))
 	_, _ = fmt.Fprintf(b, "last\n")
 	b.Close()
 	written := 0
-	for _, piece := range out.list {
-		assert.Assert(t, bytes.HasSuffix(piece, []byte("\n")))
-		count := bytes.Count(piece, []byte("\n"))
-		assert.Assert(t, count == 1 || len(piece) <= writeMost, "%d lines in %d bytes", count, len(piece))
+	for _, write := range out.writes {
+		assert.Assert(t, bytes.HasSuffix(write, []byte("\n")))
+		count := bytes.Count(write, []byte("\n"))
+		assert.Assert(t, count == 1 || len(write) <= maxWriteBytes, "%d lines in %d bytes", count, len(write))
 		written += count
 	}
 	assert.Equal(t, written, lines+2)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -14,20 +14,20 @@
 )
 
 // New returns a logger that writes lines of at least the given level ("debug",
-// "info", "warn", "error") to w, each marked with instance and zone.
+// "info", "warn", "error") to w, each with the fields instance and availability_zone.
 func New(w io.Writer, level, instance, zone string) (*zap.Logger, error) {
-	minimum, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	config.EncodeDuration = zapcore.MillisDurationEncoder
-	core := zapcore.NewCore(zaplogfmt.NewEncoder(config), zapcore.Lock(zapcore.AddSync(w)), minimum)
+	core := zapcore.NewCore(zaplogfmt.NewEncoder(config), zapcore.Lock(zapcore.AddSync(w)), minLevel)
 	return zap.New(core).With(zap.String("instance", instance), zap.String("availability_zone", zone)), nil
 }
 
-// Decision writes the line of one routing or placement decision.
+// Decision logs a routing or placement decision.
 func Decision(logger *zap.Logger, d api.Decision) {
 	logger.Info("decision",
 		zap.Time("at", d.At.Truncate(time.Microsecond)),
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,7 +10,7 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-func TestDecisionIsOneLineOfPairs(t *testing.T) {
+func TestDecisionIsOneLineOfKeyValuePairs(t *testing.T) {
 	var out bytes.Buffer
 	logger, err := New(&out, "info", "i-1", "nl-west-a")
 	assert.NilError(t, err)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestUnknownLevelIsRefused(t *testing.T) {
+func TestUnknownLevelIsRejected(t *testing.T) {
 	_, err := New(&bytes.Buffer{}, "loud", "i", "z")
 	assert.Assert(t, err != nil)
 }
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,7 +1,7 @@
-// Package strictjson checks a JSON file against a JSON schema and reports all
-// errors at once, each with file, path, line and column. The schema does the
-// judging (santhosh-tekuri/jsonschema); this package adds positions, duplicate
-// names and the decoding into a Go type.
+// Package strictjson validates a JSON file against a JSON schema and reports all
+// errors at once, each with file, path, line and column. The validation is done
+// by santhosh-tekuri/jsonschema; this package adds positions, the detection of
+// duplicate names and the decoding into a Go type.
 package strictjson
 
 import (
@@ -20,12 +20,12 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// Error carries every problem found in one file.
+// Error lists every problem found in one file.
 type Error struct {
 	Problems []api.Problem
 }
 
-// Error implements error with one line a problem.
+// Error returns one line per problem.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, problem := range e.Problems {
@@ -34,18 +34,18 @@
 	return strings.Join(lines, "\n")
 }
 
-// Format renders a problem as file:line:column: path: message.
+// Format formats a problem as file:line:column: path: message.
 func Format(p api.Problem) string {
 	return fmt.Sprintf("%s:%d:%d: %s: %s", p.File, p.Line, p.Column, p.Path, p.Message)
 }
 
-// Schema is a compiled schema.
+// Schema is a compiled JSON schema.
 type Schema struct {
 	compiled *jsonschema.Schema
 }
 
-// MustCompile compiles an embedded schema and panics on an error, which the
-// tests of the embedding package rule out.
+// MustCompile compiles an embedded schema. It panics on an error; the tests of
+// the embedding package check that the schema compiles.
 func MustCompile(name string, data []byte) *Schema {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
@@ -58,10 +58,10 @@
 	return &Schema{compiled: compiler.MustCompile(name)}
 }
 
-// Decode checks data and decodes it into target. On any problem it returns an
-// *Error with all of them and leaves target alone.
+// Decode validates data and decodes it into target. If there are problems, it
+// returns an *Error with all of them and leaves target unchanged.
 func (s *Schema) Decode(file string, data []byte, target any) error {
-	positions, problems := index(file, data)
+	positions, problems := buildIndex(file, data)
 	if len(problems) == 0 {
 		problems = s.validate(file, data, positions)
 	}
@@ -80,8 +80,8 @@
 	if err != nil {
 		return []api.Problem{{File: file, Path: "/", Line: 1, Column: 1, Message: err.Error()}}
 	}
-	var failure *jsonschema.ValidationError
-	if err := s.compiled.Validate(document); !errors.As(err, &failure) {
+	var validationErr *jsonschema.ValidationError
+	if err := s.compiled.Validate(document); !errors.As(err, &validationErr) {
 		return nil
 	}
 	printer := message.NewPrinter(language.English)
@@ -89,13 +89,13 @@
 	var walk func(*jsonschema.ValidationError)
 	walk = func(e *jsonschema.ValidationError) {
 		if len(e.Causes) == 0 {
-			problems = append(problems, positions.Problem(pointer(e.InstanceLocation), e.ErrorKind.LocalizedString(printer)))
+			problems = append(problems, positions.Problem(jsonPointer(e.InstanceLocation), e.ErrorKind.LocalizedString(printer)))
 		}
 		for _, cause := range e.Causes {
 			walk(cause)
 		}
 	}
-	walk(failure)
+	walk(validationErr)
 	return problems
 }
 
@@ -108,7 +108,7 @@
 	})
 }
 
-func pointer(location []string) string {
+func jsonPointer(location []string) string {
 	escape := strings.NewReplacer("~", "~0", "/", "~1")
 	var out strings.Builder
 	for _, part := range location {
@@ -120,22 +120,22 @@
 	return out.String()
 }
 
-// Positions maps JSON pointers of a file to their offsets.
+// Positions maps the JSON pointers of a file to byte offsets.
 type Positions struct {
 	file    string
 	data    []byte
 	offsets map[string]int64
 }
 
-// Problem makes a problem at the place of a JSON pointer. A pointer that is not
-// in the file gets the place of its nearest parent.
+// Problem returns a problem at the position of a JSON pointer. A pointer that is
+// not in the file gets the position of its nearest parent.
 func (p *Positions) Problem(path, text string) api.Problem {
 	offset, found := p.offsets[path]
 	for parent := path; !found && parent != ""; {
 		parent = parent[:max(strings.LastIndexByte(parent, '/'), 0)]
 		offset, found = p.offsets[parent]
 	}
-	line, column := position(p.data, offset)
+	line, column := lineAndColumn(p.data, offset)
 	return api.Problem{File: p.file, Path: path, Line: line, Column: column, Message: text}
 }
 
@@ -145,23 +145,23 @@
 	return found
 }
 
-// Sort orders problems by their place in the file.
+// Sort orders problems by their position in the file.
 func Sort(problems []api.Problem) { sortProblems(problems) }
 
-// Index finds the place of every value of a well-formed file.
+// Index returns the position of every value of a well-formed file.
 func Index(file string, data []byte) *Positions {
-	positions, _ := index(file, data)
+	positions, _ := buildIndex(file, data)
 	return positions
 }
 
-func position(data []byte, offset int64) (line, column int) {
+func lineAndColumn(data []byte, offset int64) (line, column int) {
 	before := data[:min(offset, int64(len(data)))]
 	line = bytes.Count(before, []byte("\n")) + 1
 	column = len(before) - bytes.LastIndexByte(before, '\n')
 	return line, column
 }
 
-// maxDepth bounds the nesting of a file, so that hostile input cannot exhaust
+// maxDepth limits the nesting of a file, so that hostile input cannot exhaust
 // the stack.
 const maxDepth = 64
 
@@ -171,30 +171,30 @@
 	problems  []api.Problem
 }
 
-func index(file string, data []byte) (*Positions, []api.Problem) {
+func buildIndex(file string, data []byte) (*Positions, []api.Problem) {
 	positions := &Positions{file: file, data: data, offsets: map[string]int64{"": 0, "/": 0}}
-	walker := &indexer{positions: positions, decoder: json.NewDecoder(bytes.NewReader(data))}
-	walker.decoder.UseNumber()
-	err := walker.value("", 0)
+	w := &indexer{positions: positions, decoder: json.NewDecoder(bytes.NewReader(data))}
+	w.decoder.UseNumber()
+	err := w.indexValue("", 0)
 	if err == nil {
-		err = walker.end()
+		err = w.checkEnd()
 	}
 	if err != nil {
-		line, column := position(data, walker.decoder.InputOffset())
-		walker.problems = append(walker.problems, api.Problem{File: file, Path: "/", Line: line, Column: column, Message: err.Error()})
+		line, column := lineAndColumn(data, w.decoder.InputOffset())
+		w.problems = append(w.problems, api.Problem{File: file, Path: "/", Line: line, Column: column, Message: err.Error()})
 	}
-	return positions, walker.problems
+	return positions, w.problems
 }
 
-func (w *indexer) end() error {
+func (w *indexer) checkEnd() error {
 	if _, err := w.decoder.Token(); !errors.Is(err, io.EOF) {
 		return errors.New("data after the end of the document")
 	}
 	return nil
 }
 
-// start returns the offset of the next token, past separators.
-func (w *indexer) start() int64 {
+// nextOffset returns the offset of the next token, skipping separators.
+func (w *indexer) nextOffset() int64 {
 	offset := w.decoder.InputOffset()
 	for offset < int64(len(w.positions.data)) && strings.IndexByte(" \t\r\n,:", w.positions.data[offset]) >= 0 {
 		offset++
@@ -202,11 +202,11 @@
 	return offset
 }
 
-func (w *indexer) value(path string, depth int) error {
+func (w *indexer) indexValue(path string, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("nested deeper than %d", maxDepth)
 	}
-	w.positions.offsets[path] = w.start()
+	w.positions.offsets[path] = w.nextOffset()
 	token, err := w.decoder.Token()
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -216,17 +216,17 @@
 	}
 	switch token {
 	case json.Delim('{'):
-		return w.object(path, depth)
+		return w.indexObject(path, depth)
 	case json.Delim('['):
-		return w.array(path, depth)
+		return w.indexArray(path, depth)
 	}
 	return nil
 }
 
-func (w *indexer) object(path string, depth int) error {
+func (w *indexer) indexObject(path string, depth int) error {
 	seen := make(map[string]bool)
 	for w.decoder.More() {
-		offset := w.start()
+		offset := w.nextOffset()
 		token, err := w.decoder.Token()
 		if err != nil {
 			return err
@@ -235,13 +235,13 @@
 		if !ok {
 			return errors.New("object name is not a string")
 		}
-		child := path + pointer([]string{name})
+		child := path + jsonPointer([]string{name})
 		if seen[name] {
-			line, column := position(w.positions.data, offset)
+			line, column := lineAndColumn(w.positions.data, offset)
 			w.problems = append(w.problems, api.Problem{File: w.positions.file, Path: child, Line: line, Column: column, Message: "duplicate name"})
 		}
 		seen[name] = true
-		if err := w.value(child, depth+1); err != nil {
+		if err := w.indexValue(child, depth+1); err != nil {
 			return err
 		}
 	}
@@ -249,9 +249,9 @@
 	return err
 }
 
-func (w *indexer) array(path string, depth int) error {
+func (w *indexer) indexArray(path string, depth int) error {
 	for i := 0; w.decoder.More(); i++ {
-		if err := w.value(fmt.Sprintf("%s/%d", path, i), depth+1); err != nil {
+		if err := w.indexValue(fmt.Sprintf("%s/%d", path, i), depth+1); err != nil {
 			return err
 		}
 	}
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -17,20 +17,20 @@
 	Size int    `json:"size"`
 }
 
-func TestDecodeReportsEveryProblemWithItsPlace(t *testing.T) {
+func TestDecodeReportsEveryProblemWithItsPosition(t *testing.T) {
 	cases := map[string]struct {
 		data string
 		want []string
 	}{
-		"a good file has none":             {`{"name": "a", "size": 2}`, nil},
-		"two faults are reported together": {"{\n \"name\": \"\",\n \"size\": 0\n}", []string{"f.json:2:10: /name", "f.json:3:10: /size"}},
-		"an unknown field":                 {`{"name":"a","colour":1}`, []string{"colour"}},
-		"a duplicate name":                 {"{\"name\":\"a\",\n\"name\":\"b\"}", []string{"f.json:2:1: /name: duplicate name"}},
-		"a wrong type deep inside":         {`{"name":"a","list":[{"x":1},{"x":"q"}]}`, []string{"/list/1/x"}},
-		"a missing field":                  {`{}`, []string{"f.json:1:1"}},
-		"a truncated file":                 {`{"name":`, []string{"unexpected EOF"}},
-		"data after the end":               {`{"name":"a"} x`, []string{"after the end"}},
-		"nesting that is too deep":         {strings.Repeat("[", 100), []string{"nested deeper"}},
+		"a valid file has no problems":   {`{"name": "a", "size": 2}`, nil},
+		"two problems are both reported": {"{\n \"name\": \"\",\n \"size\": 0\n}", []string{"f.json:2:10: /name", "f.json:3:10: /size"}},
+		"an unknown field":               {`{"name":"a","colour":1}`, []string{"colour"}},
+		"a duplicate name":               {"{\"name\":\"a\",\n\"name\":\"b\"}", []string{"f.json:2:1: /name: duplicate name"}},
+		"a wrong type in a nested value": {`{"name":"a","list":[{"x":1},{"x":"q"}]}`, []string{"/list/1/x"}},
+		"a missing field":                {`{}`, []string{"f.json:1:1"}},
+		"a truncated file":               {`{"name":`, []string{"unexpected EOF"}},
+		"data after the end":             {`{"name":"a"} x`, []string{"after the end"}},
+		"too deep nesting":               {strings.Repeat("[", 100), []string{"nested deeper"}},
 	}
 	schema := MustCompile("test.json", []byte(testSchema))
 	for name, test := range cases {
@@ -41,11 +41,11 @@
 				assert.NilError(t, err)
 				return
 			}
-			var all *Error
-			assert.Assert(t, errors.As(err, &all))
-			assert.Equal(t, len(all.Problems), len(test.want), "%v", err)
+			var decodeErr *Error
+			assert.Assert(t, errors.As(err, &decodeErr))
+			assert.Equal(t, len(decodeErr.Problems), len(test.want), "%v", err)
 			for i, want := range test.want {
-				assert.Assert(t, strings.Contains(Format(all.Problems[i]), want), "%v", Format(all.Problems[i]))
+				assert.Assert(t, strings.Contains(Format(decodeErr.Problems[i]), want), "%v", Format(decodeErr.Problems[i]))
 			}
 			assert.Equal(t, target, testTarget{})
 		})
@@ -62,7 +62,7 @@
 		var target testTarget
 		err := schema.Decode("f.json", data, &target)
 		if err == nil && target.Name == "" {
-			t.Fatal("a file without a name passed")
+			t.Fatal("a file without a name was accepted")
 		}
 	})
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,4 +1,4 @@
-// Package worker calls the workers of an availability zone.
+// Package worker implements the client of the workers of an availability zone.
 package worker
 
 import (
@@ -14,9 +14,9 @@
 )
 
 // Client calls workers by their address. Implementations are safe for
-// concurrent use. An error carries the worker's own kind; KindNotReady if the
-// call surely did not reach the worker; KindResultUnknown if its answer was
-// lost, so that the call may have taken effect.
+// concurrent use. An error has the kind that the worker returned, KindNotReady
+// if the call definitely did not reach the worker, or KindResultUnknown if the
+// answer was lost or has no kind, so that the call may have taken effect.
 type Client interface {
 	Reserve(ctx context.Context, addr string, call api.Reserve) error
 	Start(ctx context.Context, addr string, call api.Start) error
@@ -26,19 +26,20 @@
 	Renew(ctx context.Context, addr string, call api.Renew) (api.WorkerReport, error)
 }
 
-// callTimeout bounds a call that names no time of its own. A worker answers
-// from memory, and urgent work must start soon even where one does not.
+// callTimeout limits a call that has no time limit of its own. It is short because
+// workers answer from memory, and urgent work must start soon even if one of them
+// does not respond.
 const callTimeout = 2 * time.Second
 
-// maxConnectionsPerWorker bounds the connections to one worker.
+// maxConnectionsPerWorker limits the connections to one worker.
 const maxConnectionsPerWorker = 4
 
-// HTTP is the client over HTTP with JSON bodies.
+// HTTP is a Client that sends JSON over HTTP.
 type HTTP struct {
 	client *resty.Client
 }
 
-// NewHTTP returns a client.
+// NewHTTP returns a client that follows no redirects.
 func NewHTTP() *HTTP {
 	transport := &http.Transport{
 		MaxConnsPerHost:     maxConnectionsPerWorker,
@@ -67,14 +68,14 @@
 // Stop implements Client.
 func (c *HTTP) Stop(ctx context.Context, addr string, call api.Stop) (api.StopAnswer, error) {
 	var answer api.StopAnswer
-	err := c.post(ctx, addr, "/v1/stop", withinOf(call), call, &answer)
+	err := c.post(ctx, addr, "/v1/stop", stopTimeout(call), call, &answer)
 	return answer, err
 }
 
 // Checkpoint implements Client.
 func (c *HTTP) Checkpoint(ctx context.Context, addr string, call api.Stop) (api.StopAnswer, error) {
 	var answer api.StopAnswer
-	err := c.post(ctx, addr, "/v1/checkpoint", withinOf(call), call, &answer)
+	err := c.post(ctx, addr, "/v1/checkpoint", stopTimeout(call), call, &answer)
 	return answer, err
 }
 
@@ -85,7 +86,7 @@
 	return report, err
 }
 
-func withinOf(call api.Stop) time.Duration {
+func stopTimeout(call api.Stop) time.Duration {
 	return time.Duration(call.WithinMS)*time.Millisecond + callTimeout
 }
 
@@ -110,8 +111,8 @@
 	return api.NewError(failure.Kind, "worker %s: %s", addr, failure.Message)
 }
 
-// Refused reports whether err says for sure that the worker did not do what it
-// was asked to: it said so, or the call never left.
+// Refused reports whether err shows that the worker definitely did not carry out
+// the call: the worker refused it, or the call was never sent.
 func Refused(err error) bool {
 	switch api.KindOf(err) {
 	case api.KindNotReady, api.KindStaleEpoch, api.KindNoCapacity, api.KindConflict, api.KindNotFound, api.KindInvalidField:
@@ -120,7 +121,8 @@
 	return false
 }
 
-// transportError tells a call that never left from one whose answer was lost.
+// transportError distinguishes a call that was never sent, because the dial
+// failed, from one whose answer was lost.
 func transportError(addr string, err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -15,10 +15,10 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// TestErrorsSayWhetherTheCallArrived holds the client against workers that
-// refuse, fail, redirect, hang up or are not there.
-func TestErrorsSayWhetherTheCallArrived(t *testing.T) {
-	refuse := func(kind api.Kind) http.HandlerFunc {
+// TestErrorKindShowsWhetherTheCallMayHaveRun calls workers that refuse, fail,
+// redirect or abort the connection.
+func TestErrorKindShowsWhetherTheCallMayHaveRun(t *testing.T) {
+	refuseWith := func(kind api.Kind) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(api.AnswerFor(kind).Status)
@@ -26,15 +26,15 @@
 		}
 	}
 	cases := map[string]struct {
-		worker http.HandlerFunc
-		kind   api.Kind
+		handler http.HandlerFunc
+		kind    api.Kind
 	}{
-		"the worker refuses the epoch":   {refuse(api.KindStaleEpoch), api.KindStaleEpoch},
-		"the worker has no room":         {refuse(api.KindNoCapacity), api.KindNoCapacity},
-		"the worker knows no such gang":  {refuse(api.KindNotFound), api.KindNotFound},
-		"the worker fails without words": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, api.KindResultUnknown},
-		"the worker hangs up":            {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, api.KindResultUnknown},
-		"the worker sends it elsewhere": {func(w http.ResponseWriter, r *http.Request) {
+		"the worker refuses the epoch":      {refuseWith(api.KindStaleEpoch), api.KindStaleEpoch},
+		"the worker has no free capacity":   {refuseWith(api.KindNoCapacity), api.KindNoCapacity},
+		"the gang is unknown to the worker": {refuseWith(api.KindNotFound), api.KindNotFound},
+		"the worker returns no error kind":  {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, api.KindResultUnknown},
+		"the worker aborts the connection":  {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, api.KindResultUnknown},
+		"the worker redirects the call": {func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 		}, api.KindResultUnknown},
 	}
@@ -43,7 +43,7 @@
 			var calls atomic.Int32
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
-				test.worker(w, r)
+				test.handler(w, r)
 			}))
 			defer server.Close()
 			err := NewHTTP().Start(context.Background(), server.Listener.Addr().String(), api.Start{})
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestACallToNobodySurelyDidNotArrive(t *testing.T) {
+func TestRefusedConnectionIsNotReady(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := listener.Addr().String()
@@ -62,7 +62,7 @@
 	assert.Assert(t, api.IsKind(err, api.KindNotReady), "%v", err)
 }
 
-func TestALateAnswerIsUnknown(t *testing.T) {
+func TestLateAnswerIsResultUnknown(t *testing.T) {
 	done := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-done }))
 	defer server.Close()
