--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,7 +1,7 @@
-// Package model holds the nouns that the decision packages share: workers,
+// Package model defines the types that the decision packages share: workers,
 // gangs, client accounts, backend servers and the configuration that binds
-// them. The types are plain data. Whoever holds a value may read it; a value
-// that was handed to another goroutine is not written again.
+// them. The types are plain data. Every holder of a value may read it; a value
+// that was passed to another goroutine must not be written again.
 package model
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// WorkerHealth is what the fleet knows of a worker.
+// WorkerHealth is a state of charts/worker.json.
 type WorkerHealth string
 
-// The states of a worker in charts/worker.json.
+// The health states of a worker.
 const (
 	WorkerHealthy     WorkerHealth = "healthy"
 	WorkerSuspect     WorkerHealth = "suspect"
@@ -23,7 +23,7 @@
 	WorkerLost        WorkerHealth = "lost"
 )
 
-// Worker is one worker of an availability zone.
+// Worker describes a worker of an availability zone.
 type Worker struct {
 	ID           string
 	Addr         string
@@ -32,7 +32,7 @@
 	Incarnation  int64
 	Accelerators int
 	Health       WorkerHealth
-	// LastReport is the local time of the last report.
+	// LastReport is the local time of the worker's last report.
 	LastReport time.Time
 }
 
@@ -42,7 +42,7 @@
 // GangState is a state of charts/gang.json.
 type GangState string
 
-// The states of a gang that hold or ask for accelerators.
+// The states in which a gang holds or requests accelerators.
 const (
 	GangWaiting   GangState = "waiting"
 	GangReserving GangState = "reserving"
@@ -51,7 +51,7 @@
 	GangStopping  GangState = "stopping"
 )
 
-// Job is an accepted job in the terms of the scheduler.
+// Job describes an accepted job to the scheduler.
 type Job struct {
 	ID             string
 	Account        string
@@ -64,24 +64,25 @@
 	// Deadline is zero if the job has none.
 	Deadline    time.Time
 	DeclaredRun time.Duration
-	// Progress is the run time already covered by a checkpoint.
+	// Progress is the run time that the last checkpoint covers.
 	Progress time.Duration
-	// Priority is set by the rule; higher goes first within an account.
+	// Priority is set by the rule; within an account, jobs of higher priority
+	// are placed first.
 	Priority int
 	// MayBorrow is set by the rule: the job may use accelerators beyond its
 	// account's guarantee.
 	MayBorrow bool
 	// MaxWait is set by the rule; zero means no limit.
 	MaxWait time.Duration
-	// Attempt is the number of the last start, 0 before the first.
+	// Attempt is the number of the last start; 0 before the first start.
 	Attempt int
-	// Avoid lists workers on which the job failed: it goes elsewhere as long as
-	// the zone has other workers that could hold it.
+	// Avoid lists workers on which the job failed. It is placed on others as
+	// long as the zone has other workers that could hold it.
 	Avoid []string
 }
 
 // Stoppable reports whether the scheduler may stop the job to reclaim its
-// accelerators: it can be resumed from a checkpoint, or run again.
+// accelerators: it can be resumed from a checkpoint or run again.
 func (j Job) Stoppable() bool { return j.Idempotent || j.Checkpointable }
 
 // Gang is a job that holds accelerators.
@@ -90,9 +91,9 @@
 	State      GangState
 	Placements []api.TaskPlacement
 	StartedAt  time.Time
-	// ExpectedEnd is the corrected estimate.
+	// ExpectedEnd is the corrected estimate of the completion time.
 	ExpectedEnd time.Time
-	// Borrowed says that the gang runs beyond its account's guarantee.
+	// Borrowed is true if the gang runs beyond its account's guarantee.
 	Borrowed bool
 }
 
@@ -108,7 +109,8 @@
 	Name string `json:"name"`
 	// Guarantees lists the guaranteed shapes by availability zone.
 	Guarantees map[string][]GuaranteedShape `json:"guarantees,omitempty"`
-	// Weight shares what no guarantee covers; zero means 1.
+	// Weight is the account's share, relative to other accounts, of what no
+	// guarantee covers; zero means 1.
 	Weight int `json:"weight,omitempty"`
 	// MaxInFlight bounds the requests dispatched at the same time by one
 	// availability zone; zero takes the default of the admission package.
@@ -150,7 +152,7 @@
 	BackendGone    BackendState = "gone"
 )
 
-// BackendServer is one backend server of an availability zone.
+// BackendServer describes a backend server of an availability zone.
 type BackendServer struct {
 	ID          string
 	Addr        string
@@ -160,7 +162,7 @@
 	State       BackendState
 }
 
-// Instance is one entry instance, as the members of the fleet know it.
+// Instance describes an entry instance of the fleet.
 type Instance struct {
 	ID          string
 	Addr        string
@@ -168,6 +170,6 @@
 	Zone        string
 	Incarnation int64
 	Leaving     bool
-	// LastSeen is the local time of the last sign of life.
+	// LastSeen is the local time of the last contact.
 	LastSeen time.Time
 }
--- a/internal/serve/config.go
+++ b/internal/serve/config.go
@@ -13,26 +13,27 @@
 	"github.com/corianderbank/corianderbank/internal/strictjson"
 )
 
-// guaranteeCheckTimeout bounds the question to one zone's placer.
+// guaranteeCheckTimeout limits the query to the placer of one zone.
 const guaranteeCheckTimeout = 2 * time.Second
 
-// checkConfig finds what is wrong with a proposed configuration beyond its
-// schema: faults of the document itself, and guarantees that do not pack into a
-// zone's workers. A zone that cannot be asked does not block the operators: a
-// shape that cannot be given is reported as at risk once the zone answers.
+// checkConfig returns the problems of a proposed configuration that its schema
+// does not cover: faults of the document itself, and guarantees that do not fit
+// into the workers of a zone. A zone that cannot be queried does not block the
+// operators: a shape that cannot be provided is reported as at risk once the
+// zone answers.
 func (i *instance) checkConfig(document *config.Document, positions *strictjson.Positions) []api.Problem {
 	problems := config.Check(document, positions)
 	if len(problems) > 0 {
 		return problems
 	}
-	for _, zone := range guaranteedZones(document) {
+	for _, zone := range zonesWithGuarantees(document) {
 		ctx, cancel := context.WithTimeout(context.Background(), guaranteeCheckTimeout)
 		err := i.jobs.CheckGuarantees(ctx, zone, document.Accounts)
 		cancel()
 		switch {
 		case err == nil:
 		case api.IsKind(err, api.KindShapeNeverFits):
-			problems = append(problems, positions.Problem(firstGuarantee(document, zone), err.Error()))
+			problems = append(problems, positions.Problem(firstGuaranteePath(document, zone), err.Error()))
 		default:
 			i.logger.Warn("guarantees not checked", zap.String("zone", zone), zap.Error(err))
 		}
@@ -40,7 +41,7 @@
 	return problems
 }
 
-func guaranteedZones(document *config.Document) []string {
+func zonesWithGuarantees(document *config.Document) []string {
 	seen := make(map[string]bool)
 	for _, account := range document.Accounts {
 		for zone := range account.Guarantees {
@@ -55,8 +56,8 @@
 	return zones
 }
 
-// firstGuarantee is the path of the first guarantee in a zone.
-func firstGuarantee(document *config.Document, zone string) string {
+// firstGuaranteePath returns the JSON pointer of the first guarantee in a zone.
+func firstGuaranteePath(document *config.Document, zone string) string {
 	for i, account := range document.Accounts {
 		if _, ok := account.Guarantees[zone]; ok {
 			return fmt.Sprintf("/client_accounts/%d/guarantees/%s", i, zone)
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -14,21 +14,21 @@
 	"github.com/corianderbank/corianderbank/internal/zone"
 )
 
-// peerCallTimeout bounds a call to one peer for status and explanations.
+// peerCallTimeout limits a call to one peer for its configuration or explanations.
 const peerCallTimeout = 2 * time.Second
 
-// local is what this instance tells its peers of itself.
-func (i *instance) local() membership.Local {
-	inForce, _ := i.config.Age()
+// localState returns the state that this instance sends to its peers.
+func (i *instance) localState() membership.Local {
+	configAge, _ := i.config.Age()
 	return membership.Local{
-		ConfigVersion: i.config.Version(), ConfigAge: inForce,
+		ConfigVersion: i.config.Version(), ConfigAge: configAge,
 		Epoch: i.placer.Epoch(), PlatformReachable: i.platform.Reachable(),
 		LoadPermille: int64(1000 * i.dispatch.Load()),
 	}
 }
 
-// mayPlace reports whether the placer, whose lease is past its time, may start
-// waiting jobs; package zone decides.
+// mayPlace reports whether the placer may start waiting jobs although its lease
+// has expired; package zone decides.
 func (i *instance) mayPlace() bool {
 	zonePeers, otherPeers, epoch := i.fleet.Reach()
 	permission := zone.Decide(zone.Situation{
@@ -39,7 +39,8 @@
 	return permission.Starts != zone.StartsNone
 }
 
-// evaluateJob applies the rules in force to a job for a zone.
+// evaluateJob applies the rules in force to a job submitted for a zone. Without
+// a configuration it refuses the job.
 func (i *instance) evaluateJob(job api.JobSubmission, zone string) rules.Verdict {
 	snapshot := i.config.Current()
 	if snapshot == nil {
@@ -60,10 +61,10 @@
 	return snapshot.Rules.Decide(situation)
 }
 
-// configFromPeers asks peers for a higher configuration version than this
-// instance has, whenever a peer's state names one. It carries configuration
-// into an instance that does not reach the platform.
-func (i *instance) configFromPeers(ctx context.Context) {
+// syncConfigFromPeers fetches the configuration from a peer whenever the state of
+// a peer has a higher version than this instance. It updates instances that
+// cannot reach the platform.
+func (i *instance) syncConfigFromPeers(ctx context.Context) {
 	ticker := time.NewTicker(time.Duration(i.settings.Timing.PeerIntervalMS) * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -71,14 +72,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			i.takeHigherConfig(ctx)
+			i.fetchHigherConfig(ctx)
 		}
 	}
 }
 
-func (i *instance) takeHigherConfig(ctx context.Context) {
-	for id, heard := range i.fleet.PeerStates() {
-		if heard.State.GetConfigVersion() <= i.config.Version() {
+func (i *instance) fetchHigherConfig(ctx context.Context) {
+	for id, peerState := range i.fleet.PeerStates() {
+		if peerState.State.GetConfigVersion() <= i.config.Version() {
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
@@ -99,22 +100,23 @@
 	}
 }
 
-// zonePeers implements jobs.Peers.
+// zonePeers implements jobs.Peers with the states of the peers.
 type zonePeers struct{ *instance }
 
-// PlacerOf implements jobs.Peers.
+// PlacerOf returns the id of the peer with the highest placer epoch of a zone,
+// leaving peers excluded. It returns false if there is none.
 func (z zonePeers) PlacerOf(zone string) (string, bool) {
-	best, epoch := "", int64(0)
-	for id, heard := range z.fleet.PeerStates() {
-		state := heard.State
+	placerID, epoch := "", int64(0)
+	for id, peerState := range z.fleet.PeerStates() {
+		state := peerState.State
 		if state.GetAvailabilityZone() == zone && state.GetEpoch() > epoch && !state.GetLeaving() {
-			best, epoch = id, state.GetEpoch()
+			placerID, epoch = id, state.GetEpoch()
 		}
 	}
-	return best, epoch > 0
+	return placerID, epoch > 0
 }
 
-// Zones implements jobs.Peers.
+// Zones returns the sorted availability zones of all known instances.
 func (z zonePeers) Zones() []string {
 	seen := map[string]bool{z.settings.AvailabilityZone: true}
 	for _, other := range z.fleet.Instances() {
@@ -131,11 +133,11 @@
 // fleetView implements entry.Fleet.
 type fleetView struct{ *instance }
 
-// Status implements entry.Fleet.
+// Status returns the status of the jobs, the zones and all known instances.
 func (f fleetView) Status(ctx context.Context) api.Status {
 	status := f.jobs.Status(ctx)
 	status.Instance = f.settings.Instance
-	status.Instances = append([]api.InstanceStatus{statusOf(f.fleet.OwnState(), time.Now())}, f.peerStatuses()...)
+	status.Instances = append([]api.InstanceStatus{instanceStatus(f.fleet.OwnState(), time.Now())}, f.peerStatuses()...)
 	for k := range status.Zones {
 		status.Zones[k].BackendServers = len(f.fleet.BackendServers(status.Zones[k].AvailabilityZone))
 	}
@@ -144,31 +146,31 @@
 
 func (f fleetView) peerStatuses() []api.InstanceStatus {
 	var list []api.InstanceStatus
-	for _, heard := range f.fleet.PeerStates() {
-		list = append(list, statusOf(heard.State, heard.HeardAt))
+	for _, peerState := range f.fleet.PeerStates() {
+		list = append(list, instanceStatus(peerState.State, peerState.HeardAt))
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].ID < list[b].ID })
 	return list
 }
 
-func statusOf(state *peerpb.State, heardAt time.Time) api.InstanceStatus {
-	condition := "ready"
+func instanceStatus(state *peerpb.State, lastContact time.Time) api.InstanceStatus {
+	stateName := "ready"
 	if state.GetLeaving() {
-		condition = "leaving"
+		stateName = "leaving"
 	}
 	return api.InstanceStatus{
-		ID: state.GetInstance(), AvailabilityZone: state.GetAvailabilityZone(), Addr: state.GetAddr(), State: condition,
+		ID: state.GetInstance(), AvailabilityZone: state.GetAvailabilityZone(), Addr: state.GetAddr(), State: stateName,
 		Placer: state.GetEpoch() > 0, Epoch: state.GetEpoch(), ConfigVersion: state.GetConfigVersion(),
-		ConfigAgeS: float64(state.GetConfigAgeMs()) / 1000, LastSeenS: time.Since(heardAt).Seconds(),
+		ConfigAgeS: float64(state.GetConfigAgeMs()) / 1000, LastSeenS: time.Since(lastContact).Seconds(),
 	}
 }
 
-// Explain implements entry.Fleet: the decisions of every instance that answers,
-// in order of time.
+// Explain returns the decisions that all responding instances have recorded for
+// an id, in chronological order.
 func (f fleetView) Explain(ctx context.Context, id string) api.Explanation {
 	explanation := api.Explanation{ID: id, Decisions: f.recorder.Explain(id)}
 	for _, other := range f.fleet.Instances() {
-		explanation.Decisions = append(explanation.Decisions, f.explainAt(ctx, other.ID, id)...)
+		explanation.Decisions = append(explanation.Decisions, f.explainOnPeer(ctx, other.ID, id)...)
 	}
 	sort.SliceStable(explanation.Decisions, func(a, b int) bool {
 		return explanation.Decisions[a].At.Before(explanation.Decisions[b].At)
@@ -176,11 +178,11 @@
 	return explanation
 }
 
-func (f fleetView) explainAt(ctx context.Context, other, id string) []api.Decision {
+func (f fleetView) explainOnPeer(ctx context.Context, peerID, id string) []api.Decision {
 	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	request := &peerpb.Request{Body: &peerpb.Request_Explain{Explain: &peerpb.ExplainQuery{Id: id}}}
-	response, err := f.node.Call(callCtx, other, request)
+	response, err := f.node.Call(callCtx, peerID, request)
 	if err != nil {
 		return nil
 	}
--- a/internal/serve/limits_test.go
+++ b/internal/serve/limits_test.go
@@ -9,7 +9,7 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-func TestGoroutinesBoundNewWork(t *testing.T) {
-	assert.NilError(t, withinGoroutines(runtime.NumGoroutine()+1000))
-	assert.Assert(t, api.IsKind(withinGoroutines(1), api.KindQueueFull))
+func TestGoroutineLimitRefusesNewWork(t *testing.T) {
+	assert.NilError(t, checkGoroutineLimit(runtime.NumGoroutine()+1000))
+	assert.Assert(t, api.IsKind(checkGoroutineLimit(1), api.KindQueueFull))
 }
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -11,12 +11,12 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// statusTimeout bounds the placer's part of an answer with metrics.
+// statusTimeout limits the time to read the placer's status for the metrics.
 const statusTimeout = time.Second
 
-// writeMetrics writes the metrics that are read from the parts when they are
-// asked for: the store, the configuration, and the zone while this instance is
-// its placer. It is the Metrics of the entry server.
+// writeMetrics writes the metrics whose values are read at each request: those of
+// the store, of the configuration, and of the zone while this instance is its
+// placer. It is the Metrics option of the entry server.
 func (i *instance) writeMetrics(w io.Writer) {
 	i.platform.WriteMetrics(w)
 	_, confirmed := i.config.Age()
@@ -30,14 +30,14 @@
 	defer cancel()
 	status := i.placer.Status(ctx)
 	for _, zone := range status.Zones {
-		writeZone(w, zone)
+		writeZoneMetrics(w, zone)
 	}
 	for _, account := range status.Accounts {
-		writeAccount(w, account)
+		writeAccountMetrics(w, account)
 	}
 }
 
-func writeZone(w io.Writer, zone api.ZoneStatus) {
+func writeZoneMetrics(w io.Writer, zone api.ZoneStatus) {
 	gauge := func(format string, value float64) {
 		metrics.WriteGaugeFloat64(w, fmt.Sprintf(format, zone.AvailabilityZone), value)
 	}
@@ -50,7 +50,7 @@
 	gauge(`corianderbank_zone_fragmentation{availability_zone=%q}`, zone.Fragmentation)
 }
 
-func writeAccount(w io.Writer, account api.AccountStatus) {
+func writeAccountMetrics(w io.Writer, account api.AccountStatus) {
 	gauge := func(use string, value int) {
 		name := fmt.Sprintf(`corianderbank_account_accelerators{client_account=%q,availability_zone=%q,use=%q}`,
 			account.Account, account.AvailabilityZone, use)
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -10,16 +10,16 @@
 	"github.com/corianderbank/corianderbank/internal/config"
 )
 
-// handler answers the calls of other instances.
-type handler struct{ *instance }
+// peerHandler handles the calls of other instances.
+type peerHandler struct{ *instance }
 
 // Handle implements peer.Handler.
-func (h handler) Handle(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
+func (h peerHandler) Handle(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_State:
 		return &peerpb.Response{Body: &peerpb.Response_State{State: h.fleet.HandleState(body.State)}}, nil
 	case *peerpb.Request_Config:
-		return h.configFor(body.Config), nil
+		return h.handleConfigQuery(body.Config), nil
 	case *peerpb.Request_Job:
 		reply, err := h.jobs.Handle(ctx, body.Job)
 		if err != nil {
@@ -33,14 +33,14 @@
 		}
 		return &peerpb.Response{Body: &peerpb.Response_Slots{Slots: grants}}, nil
 	case *peerpb.Request_Execute:
-		return h.execute(ctx, body.Execute)
+		return h.handleExecute(ctx, body.Execute)
 	case *peerpb.Request_Explain:
-		return h.explain(body.Explain)
+		return h.handleExplain(body.Explain)
 	}
 	return nil, api.NewError(api.KindInvalidField, "unknown call")
 }
 
-func (h handler) configFor(query *peerpb.ConfigQuery) *peerpb.Response {
+func (h peerHandler) handleConfigQuery(query *peerpb.ConfigQuery) *peerpb.Response {
 	number, digest, document := h.config.Highest()
 	version := &peerpb.ConfigVersion{}
 	if number > query.GetHave() {
@@ -49,8 +49,8 @@
 	return &peerpb.Response{Body: &peerpb.Response_Config{Config: version}}
 }
 
-// execute runs a request that another availability zone passed on.
-func (h handler) execute(ctx context.Context, call *peerpb.ExecuteCall) (*peerpb.Response, error) {
+// handleExecute runs a request that was forwarded from another availability zone.
+func (h peerHandler) handleExecute(ctx context.Context, call *peerpb.ExecuteCall) (*peerpb.Response, error) {
 	if err := h.ready(); err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 	return &peerpb.Response{Body: &peerpb.Response_Execute{Execute: &peerpb.ExecuteReply{Answer: body}}}, nil
 }
 
-func (h handler) explain(query *peerpb.ExplainQuery) (*peerpb.Response, error) {
+func (h peerHandler) handleExplain(query *peerpb.ExplainQuery) (*peerpb.Response, error) {
 	body, err := json.Marshal(api.Explanation{ID: query.GetId(), Decisions: h.recorder.Explain(query.GetId())})
 	if err != nil {
 		return nil, api.NewError(api.KindInternal, "%v", err)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve wires the parts of an entry instance together and runs them.
+// Package serve assembles the components of an entry instance and runs them.
 package serve
 
 import (
@@ -38,30 +38,30 @@
 	"github.com/corianderbank/corianderbank/internal/worker"
 )
 
-// rememberedSubjects bounds the requests and jobs that can be explained, and with
-// them the memory of their decisions.
-const rememberedSubjects = 20000
+// maxRecordedSubjects limits the requests and jobs that can be explained, and
+// thereby the memory for their decisions.
+const maxRecordedSubjects = 20000
 
-// instance is one entry instance and its parts.
+// instance holds the components of an entry instance.
 type instance struct {
-	settings *settings.Settings
-	logger   *zap.Logger
-	platform *platform.Client
-	config   *config.Manager
-	recorder *decision.Recorder
-	fleet    *membership.Fleet
-	node     *peer.Node
-	placer   *placer.Placer
-	jobs     *jobs.Router
-	claims   *claim.Store
-	executor *request.Executor
-	dispatch *request.Dispatcher
-	server   *entry.Server
-	life     *lifecycle.Life
+	settings  *settings.Settings
+	logger    *zap.Logger
+	platform  *platform.Client
+	config    *config.Manager
+	recorder  *decision.Recorder
+	fleet     *membership.Fleet
+	node      *peer.Node
+	placer    *placer.Placer
+	jobs      *jobs.Router
+	claims    *claim.Store
+	executor  *request.Executor
+	dispatch  *request.Dispatcher
+	server    *entry.Server
+	lifecycle *lifecycle.Life
 }
 
-// Run serves with the settings of a file until SIGTERM or SIGINT, then shuts
-// down gracefully.
+// Run runs an entry instance with the settings of a file until SIGTERM or SIGINT,
+// then shuts it down gracefully.
 func Run(file string) error {
 	loaded, err := settings.Load(file)
 	if err != nil {
@@ -81,30 +81,30 @@
 	client := platform.NewClient(s.Platform)
 	i := &instance{
 		settings: s, logger: logger, platform: client,
-		recorder: decision.NewRecorder(logger, s.Instance, rememberedSubjects),
+		recorder: decision.NewRecorder(logger, s.Instance, maxRecordedSubjects),
 	}
 	i.config = config.NewManager(config.Options{Tables: client, Objects: client, Check: i.checkConfig, Logger: logger})
 	incarnation := time.Now().UnixMilli()
 	i.node = peer.New(peer.Options{
 		Instance: s.Instance, Incarnation: incarnation, Listen: s.PeerListen,
-		Handler: handler{i}, Logger: logger, Resolve: func(id string) (string, bool) { return i.fleet.Resolve(id) },
+		Handler: peerHandler{i}, Logger: logger, Resolve: func(id string) (string, bool) { return i.fleet.Resolve(id) },
 	})
 	i.fleet = membership.New(membership.Options{
 		Self:  model.Instance{ID: s.Instance, Addr: s.Listen, PeerAddr: s.PeerListen, Zone: s.AvailabilityZone, Incarnation: incarnation},
-		Seeds: s.Peers, Lister: client, Caller: i.node, Local: i.local, Logger: logger,
+		Seeds: s.Peers, Lister: client, Caller: i.node, Local: i.localState, Logger: logger,
 		Prober:       membership.NewHTTPProber(),
 		PeerInterval: settings.Duration(s.Timing.PeerIntervalMS), ListInterval: settings.Duration(s.Timing.ListPollMS),
 	})
-	i.buildWork(incarnation)
+	i.buildExecution(incarnation)
 	i.server = entry.New(entry.Options{
 		Settings: s, Requests: i.executor, Jobs: i.jobs, Fleet: fleetView{i}, Config: i.config, Logger: logger, Ready: i.ready, Metrics: i.writeMetrics,
 	})
-	i.life = i.newLife()
+	i.lifecycle = i.newLifecycle()
 	return i
 }
 
-// buildWork makes the parts that run requests and jobs.
-func (i *instance) buildWork(incarnation int64) {
+// buildExecution creates the components that run requests and jobs.
+func (i *instance) buildExecution(incarnation int64) {
 	s := i.settings
 	store := jobstore.New(i.platform)
 	i.placer = placer.New(placer.Options{
@@ -133,8 +133,8 @@
 	}
 }
 
-// run starts every duty, and ends them when a signal has led the instance
-// through its shutdown.
+// run starts the servers and background loops, and stops them after the shutdown
+// that a signal has triggered.
 func (i *instance) run(signals <-chan os.Signal) error {
 	listener, err := net.Listen("tcp", i.settings.Listen)
 	if err != nil {
@@ -145,34 +145,35 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var duties sync.WaitGroup
-	duties.Go(func() { i.fleet.Run(ctx) })
-	duties.Go(func() { i.config.Run(ctx, settings.Duration(i.settings.Timing.ConfigPollMS)) })
-	duties.Go(func() { i.configFromPeers(ctx) })
-	duties.Go(func() { i.placer.Run(ctx) })
-	duties.Go(func() { i.dispatch.Run(ctx) })
-	duties.Go(func() { i.claims.Run(ctx) })
-	duties.Go(func() { i.shareStore(ctx) })
+	var loops sync.WaitGroup
+	loops.Go(func() { i.fleet.Run(ctx) })
+	loops.Go(func() { i.config.Run(ctx, settings.Duration(i.settings.Timing.ConfigPollMS)) })
+	loops.Go(func() { i.syncConfigFromPeers(ctx) })
+	loops.Go(func() { i.placer.Run(ctx) })
+	loops.Go(func() { i.dispatch.Run(ctx) })
+	loops.Go(func() { i.claims.Run(ctx) })
+	loops.Go(func() { i.updateStoreShare(ctx) })
 	served := make(chan error, 1)
 	go func() { served <- i.server.Serve(listener) }()
 	i.logger.Info("started", zap.String("listen", i.settings.Listen), zap.String("peer_listen", i.settings.PeerListen))
 
 	stopped := make(chan error, 1)
-	go func() { stopped <- i.life.StopOnSignal(signals) }()
+	go func() { stopped <- i.lifecycle.StopOnSignal(signals) }()
 	err = <-stopped
 	if serveErr := <-served; err == nil {
 		err = serveErr
 	}
 	cancel()
-	duties.Wait()
+	loops.Wait()
 	i.node.Close()
 	i.platform.Close()
 	i.logger.Info("stopped", zap.Error(err))
 	return err
 }
 
-// newLife names the steps of a graceful shutdown; package lifecycle orders them.
-func (i *instance) newLife() *lifecycle.Life {
+// newLifecycle defines the steps of a graceful shutdown; package lifecycle
+// determines their order.
+func (i *instance) newLifecycle() *lifecycle.Life {
 	return lifecycle.New(lifecycle.Options{
 		Logger:     i.logger,
 		StopWithin: settings.Duration(i.settings.Timing.StopWithinMS),
@@ -183,16 +184,16 @@
 		},
 		Drain: func(ctx context.Context) error {
 			err := errors.Join(i.server.Shutdown(ctx), i.node.Drain(ctx), i.executor.Drain(ctx))
-			i.recordClaims(ctx)
+			i.recordClaimOutcomes(ctx)
 			return err
 		},
 	})
 }
 
 func (i *instance) ready() error {
-	refusal := i.life.Refusal()
+	refusal := i.lifecycle.Refusal()
 	if refusal == nil {
-		return withinGoroutines(i.settings.Limits.MaxGoroutines)
+		return checkGoroutineLimit(i.settings.Limits.MaxGoroutines)
 	}
 	if !api.IsKind(refusal, api.KindNotReady) {
 		return refusal
@@ -203,6 +204,6 @@
 	if !i.dispatch.Warm() {
 		return api.NewError(api.KindNotReady, "instance %s has no slots of backend servers yet", i.settings.Instance)
 	}
-	i.life.Configured()
+	i.lifecycle.Configured()
 	return nil
 }
--- a/internal/serve/store.go
+++ b/internal/serve/store.go
@@ -7,14 +7,14 @@
 	"go.uber.org/zap"
 )
 
-// shareInterval is the time between two counts of the instances that share the
-// store.
-const shareInterval = 5 * time.Second
+// storeShareInterval is the time between two counts of the instances that share
+// the store.
+const storeShareInterval = 5 * time.Second
 
-// shareStore keeps this instance's share of the store's budget in line with the
-// number of live instances.
-func (i *instance) shareStore(ctx context.Context) {
-	ticker := time.NewTicker(shareInterval)
+// updateStoreShare adjusts this instance's share of the store's budget to the
+// number of live instances until ctx is done.
+func (i *instance) updateStoreShare(ctx context.Context) {
+	ticker := time.NewTicker(storeShareInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -26,9 +26,10 @@
 	}
 }
 
-// recordClaims records the ends of claims that the store missed. It never fails
-// the shutdown: a store that is out leaves those keys with the outcome unknown.
-func (i *instance) recordClaims(ctx context.Context) {
+// recordClaimOutcomes records the claim outcomes that the store has not received
+// yet. It never fails the shutdown: if the store is unavailable, the outcome of
+// these keys stays unknown.
+func (i *instance) recordClaimOutcomes(ctx context.Context) {
 	if err := i.claims.Drain(ctx); err != nil {
 		i.logger.Warn("claims not recorded", zap.Error(err))
 	}
