--- a/test/docs/comments_test.go
+++ b/test/docs/comments_test.go
@@ -13,13 +13,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// plainPackages are those whose comments and names are held to the rules below.
-var plainPackages = []string{
+// checkedPackages are the packages whose comments and names must follow the
+// rules below.
+var checkedPackages = []string{
 	"internal/deployment", "internal/dispatch", "internal/emulator", "internal/losses", "internal/workload", "platform",
 }
 
-// What comments must not hold: figures of runs, which belong in the commit or on a page;
-// history, dates and numbers of issues.
+// commentRules match what comments must not contain: figures of runs, which
+// belong in the commit or on a page; history, dates and issue numbers.
 var commentRules = map[string]*regexp.Regexp{
 	"a figure":         regexp.MustCompile(`\b\d+(\.\d+)? ?(ms|s|%|MB|cores|of a core)(\W|$)`),
 	"history":          regexp.MustCompile(`(?i)\b(used to be|previously|an earlier (rule|version)|before this change)\b`),
@@ -28,39 +29,41 @@
 	"a measuring tool": regexp.MustCompile(`(?i)fleet[b]ench|\bthe [b]ench\b`),
 }
 
-// retiredNames have a standard word in docs/GLOSSARY.md.
+// retiredNames are identifiers that docs/GLOSSARY.md replaces with a standard
+// term.
 var retiredNames = regexp.MustCompile(`(?i)^(conductor|holder|holders|sight|sights|foreign|indoubt|noroom|unwritten|tellheld|keepsout|withoutheadroom|claimagain|spinwatch)$`)
 
-// wordingFaults lists what a file's comments and names should not hold.
+// wordingFaults returns every violation of commentRules and retiredNames in a
+// source file.
 func wordingFaults(t *testing.T, name, source string) []string {
 	t.Helper()
 	files := token.NewFileSet()
 	parsed, err := parser.ParseFile(files, name, source, parser.ParseComments)
 	assert.NilError(t, err)
 	var faults []string
-	note := func(at token.Pos, what, text string) {
+	report := func(at token.Pos, what, text string) {
 		faults = append(faults, files.Position(at).String()+": "+what+": "+strings.TrimSpace(text))
 	}
 	for _, group := range parsed.Comments {
 		for _, comment := range group.List {
 			for what, rule := range commentRules {
 				if rule.MatchString(comment.Text) {
-					note(comment.Pos(), what, comment.Text)
+					report(comment.Pos(), what, comment.Text)
 				}
 			}
 		}
 	}
 	ast.Inspect(parsed, func(node ast.Node) bool {
 		if id, ok := node.(*ast.Ident); ok && retiredNames.MatchString(id.Name) {
-			note(id.Pos(), "a retired name", id.Name)
+			report(id.Pos(), "a retired name", id.Name)
 		}
 		return true
 	})
 	return faults
 }
 
-func TestCommentsGiveReasonsAndNamesAreThoseOfTheGlossary(t *testing.T) {
-	for _, dir := range plainPackages {
+func TestCommentsAndNamesFollowTheWordingRules(t *testing.T) {
+	for _, dir := range checkedPackages {
 		list, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
 		assert.NilError(t, err)
 		for _, file := range list {
@@ -74,7 +77,7 @@
 	}
 }
 
-func TestFaultsOfWordingAreFound(t *testing.T) {
+func TestWordingFaultsAreDetected(t *testing.T) {
 	for sentence, c := range map[string]struct {
 		source string
 		faults int
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -28,7 +28,7 @@
 	operatingPage = "docs/OPERATIONS.md"
 )
 
-func TestErrorKindsOfThePageAreThoseOfTheTable(t *testing.T) {
+func TestErrorKindsMatchThePage(t *testing.T) {
 	var rows [][]string
 	for _, answer := range api.Answers {
 		after := "–"
@@ -38,10 +38,10 @@
 		status := fmt.Sprintf("%d %s", answer.Status, http.StatusText(answer.Status))
 		rows = append(rows, []string{"`" + string(answer.Kind) + "`", status, after, answer.Doc})
 	}
-	block(t, apiPage, "kinds", table("error kind | HTTP status | default `retry_after_s` | what happened", rows))
+	checkBlock(t, apiPage, "kinds", markdownTable("error kind | HTTP status | default `retry_after_s` | what happened", rows))
 }
 
-func TestEndpointsOfThePageAreThoseOfTheServer(t *testing.T) {
+func TestEndpointsMatchThePage(t *testing.T) {
 	var served []string
 	goFiles(t, func(path, text string) {
 		if strings.Contains(filepath.ToSlash(path), "internal/entry/") {
@@ -49,11 +49,11 @@
 		}
 	})
 	sort.Strings(served)
-	assert.DeepEqual(t, matches("(?m)^\\| `([A-Z]+ /[^`?]*)", page(t, apiPage)), served)
+	assert.DeepEqual(t, matches("(?m)^\\| `([A-Z]+ /[^`?]*)", readPage(t, apiPage)), served)
 }
 
-func TestMessagesOfThePageAreThoseOfTheCode(t *testing.T) {
-	for mark, source := range map[string]struct{ file, name string }{
+func TestMessagesMatchThePage(t *testing.T) {
+	for marker, source := range map[string]struct{ file, name string }{
 		"request":        {"api/caller.go", "RequestSubmission"},
 		"request-answer": {"api/caller.go", "RequestAnswer"},
 		"job":            {"api/caller.go", "JobSubmission"},
@@ -61,7 +61,7 @@
 		"shape":          {"api/caller.go", "Shape"},
 		"decision":       {"api/caller.go", "Decision"},
 	} {
-		block(t, apiPage, mark, fieldTable(structFields(t, source.file, source.name)))
+		checkBlock(t, apiPage, marker, fieldTable(structFields(t, source.file, source.name)))
 	}
 }
 
@@ -70,10 +70,10 @@
 	for _, f := range fields {
 		rows = append(rows, []string{"`" + f.name + "`", f.kind, f.doc})
 	}
-	return table("field | type | meaning", rows)
+	return markdownTable("field | type | meaning", rows)
 }
 
-func TestCommandsOfThePageAreThoseOfTheCode(t *testing.T) {
+func TestCommandsMatchThePage(t *testing.T) {
 	var out strings.Builder
 	model := cli.App().Model()
 	out.WriteString("Flags of every command:\n\n" + flagTable(model.Flags))
@@ -91,7 +91,7 @@
 		}
 	}
 	walk("", model.Commands)
-	block(t, operatingPage, "commands", out.String())
+	checkBlock(t, operatingPage, "commands", out.String())
 }
 
 func describeCommand(out *strings.Builder, name string, command *kingpin.CmdModel) {
@@ -123,10 +123,10 @@
 		}
 		rows = append(rows, []string{"`--" + flag.Name + "`", value, flag.Help})
 	}
-	return table("flag | default | meaning", rows)
+	return markdownTable("flag | default | meaning", rows)
 }
 
-func TestSettingsOfThePageAreThoseOfTheCode(t *testing.T) {
+func TestSettingsMatchThePage(t *testing.T) {
 	var defaults map[string]any
 	data, err := json.Marshal(settings.Default())
 	assert.NilError(t, err)
@@ -154,33 +154,34 @@
 	add("peers[].", "Peer", nil)
 	add("limits.", "Limits", defaults["limits"].(map[string]any))
 	add("timing.", "Timing", defaults["timing"].(map[string]any))
-	block(t, operatingPage, "settings", table("field | type | default | meaning", rows))
+	checkBlock(t, operatingPage, "settings", markdownTable("field | type | default | meaning", rows))
 }
 
-func TestConfigurationFieldsOfThePageAreThoseOfTheCode(t *testing.T) {
-	for mark, source := range map[string]struct{ file, name string }{
+func TestConfigurationFieldsMatchThePage(t *testing.T) {
+	for marker, source := range map[string]struct{ file, name string }{
 		"when":       {"internal/rules/rules.go", "When"},
 		"then":       {"internal/rules/rules.go", "Then"},
 		"account":    {"internal/model/model.go", "ClientAccount"},
 		"objectives": {"internal/model/model.go", "Objectives"},
 	} {
-		block(t, operatingPage, mark, fieldTable(structFields(t, source.file, source.name)))
+		checkBlock(t, operatingPage, marker, fieldTable(structFields(t, source.file, source.name)))
 	}
 }
 
-// metricPattern finds the product's own metrics in code and pages.
+// metricPattern matches the names of the product's own metrics in code and
+// pages.
 const metricPattern = `(corianderbank_[a-z0-9_]+)`
 
-func TestMetricsOfThePageAreThoseOfTheCode(t *testing.T) {
+func TestMetricsMatchThePage(t *testing.T) {
 	var inCode []string
 	goFiles(t, func(_, text string) { inCode = append(inCode, matches("[\"`]"+metricPattern, text)...) })
 	sort.Strings(inCode)
-	assert.DeepEqual(t, matches("(?m)^\\| `"+metricPattern, page(t, operatingPage)), slices.Compact(inCode))
+	assert.DeepEqual(t, matches("(?m)^\\| `"+metricPattern, readPage(t, operatingPage)), slices.Compact(inCode))
 }
 
-// TestLogLinesOfThePageAreThoseOfTheCode compares what an instance of a
-// deployment-wide scheduler logs, above debug, with the page.
-func TestLogLinesOfThePageAreThoseOfTheCode(t *testing.T) {
+// TestLogLinesMatchThePage compares the messages that an instance of a
+// deployment-wide scheduler logs above debug level with the page.
+func TestLogLinesMatchThePage(t *testing.T) {
 	var inCode []string
 	for _, dir := range []string{"internal/deployment", "platform"} {
 		files, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
@@ -194,13 +195,13 @@
 			inCode = append(inCode, matches(`ogger\.(?:Info|Warn|Error)\("([^"]+)"`, string(data))...)
 		}
 	}
-	inCode = append(inCode, "log lines dropped") // written by the log's own writer
+	inCode = append(inCode, "log lines dropped") // written by the log writer itself
 	sort.Strings(inCode)
-	onPage := matches(`(?m)^\| `+"`"+`msg="?([^"`+"`"+`]+)`, page(t, operatingPage))
+	onPage := matches(`(?m)^\| `+"`"+`msg="?([^"`+"`"+`]+)`, readPage(t, operatingPage))
 	assert.DeepEqual(t, onPage, slices.Compact(inCode))
 }
 
-func TestLinksLeadSomewhere(t *testing.T) {
+func TestLinkTargetsExist(t *testing.T) {
 	link := regexp.MustCompile(`\]\(([^)#\s]+)(#[^)]*)?\)`)
 	err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
 		if err != nil {
@@ -228,18 +229,18 @@
 func TestExamplesAreAccepted(t *testing.T) {
 	_, err := settings.Load(filepath.Join(root, "examples/settings.json"))
 	assert.NilError(t, err)
-	text := page(t, "examples/configuration.json")
+	text := readPage(t, "examples/configuration.json")
 	document, err := config.Parse("configuration.json", []byte(text))
 	assert.NilError(t, err)
 	assert.Equal(t, len(config.Check(document, strictjson.Index("configuration.json", []byte(text)))), 0)
-	_, err = rules.ParseSituation("situation.json", []byte(page(t, "examples/situation.json")))
+	_, err = rules.ParseSituation("situation.json", []byte(readPage(t, "examples/situation.json")))
 	assert.NilError(t, err)
 	var job api.JobSubmission
-	assert.NilError(t, json.Unmarshal([]byte(page(t, "examples/job.json")), &job))
+	assert.NilError(t, json.Unmarshal([]byte(readPage(t, "examples/job.json")), &job))
 	assert.Assert(t, job.Shape.Accelerators() > 0)
 }
 
-func TestDecisionStepsOfThePageAreThoseOfTheCode(t *testing.T) {
+func TestDecisionStepsMatchThePage(t *testing.T) {
 	var inCode []string
 	goFiles(t, func(path, text string) {
 		if strings.Contains(filepath.ToSlash(path), "internal/") {
@@ -248,13 +249,14 @@
 		}
 	})
 	sort.Strings(inCode)
-	_, steps, found := strings.Cut(page(t, operatingPage), "| step | of |")
+	_, steps, found := strings.Cut(readPage(t, operatingPage), "| step | of |")
 	assert.Assert(t, found)
 	steps, _, _ = strings.Cut(steps, "\n\n")
 	assert.DeepEqual(t, matches("(?m)^\\| `([a-z_]+)`", steps), slices.Compact(inCode))
 }
 
-// TestEverySettingHasAnEffect fails for a setting that the code never reads.
+// TestEverySettingHasAnEffect fails for a setting that no code outside its
+// package reads.
 func TestEverySettingHasAnEffect(t *testing.T) {
 	var code strings.Builder
 	goFiles(t, func(path, text string) {
@@ -269,8 +271,9 @@
 	}
 }
 
-// TestTestsThatDesignNotesNameExist keeps the notes' tables of tests true.
-func TestTestsThatDesignNotesNameExist(t *testing.T) {
+// TestDesignNotesReferToExistingTests fails if a design note names a test
+// function that does not exist.
+func TestDesignNotesReferToExistingTests(t *testing.T) {
 	exists := make(map[string]bool)
 	err := filepath.WalkDir(root, func(path string, _ os.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, "_test.go") {
@@ -289,7 +292,7 @@
 		data, err := os.ReadFile(note)
 		assert.NilError(t, err)
 		for _, name := range matches("`(Test\\w+)`", string(data)) {
-			assert.Check(t, exists[name], "%s names %s", filepath.Base(note), name)
+			assert.Check(t, exists[name], "%s names %s, which does not exist", filepath.Base(note), name)
 		}
 	}
 }
--- a/test/docs/page_test.go
+++ b/test/docs/page_test.go
@@ -1,7 +1,7 @@
-// Package docs keeps the pages true: what they say of commands, flags, error
-// kinds, endpoints, settings, rules and metrics is compared with the code, and
-// their links are followed. Blocks between a begin and an end mark are written
-// by the code; UPDATE_DOCS=1 go test ./test/docs writes them again.
+// Package docs checks the documentation against the code: commands, flags,
+// error kinds, endpoints, settings, rules, metrics and links. The blocks
+// between begin and end markers are generated; UPDATE_DOCS=1 go test
+// ./test/docs writes them again.
 package docs
 
 import (
@@ -23,22 +23,23 @@
 
 const root = "../.."
 
-func page(t *testing.T, name string) string {
+func readPage(t *testing.T, name string) string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join(root, name))
 	assert.NilError(t, err)
 	return string(data)
 }
 
-// block compares a marked block of a page with what the code says.
-func block(t *testing.T, name, mark, want string) {
+// checkBlock compares a marked block of a page with the text generated from the
+// code, or writes it if UPDATE_DOCS is set.
+func checkBlock(t *testing.T, name, marker, want string) {
 	t.Helper()
-	text := page(t, name)
-	begin, end := "<!-- "+mark+":begin -->\n", "<!-- "+mark+":end -->"
+	text := readPage(t, name)
+	begin, end := "<!-- "+marker+":begin -->\n", "<!-- "+marker+":end -->"
 	before, rest, found := strings.Cut(text, begin)
-	assert.Assert(t, found, "%s has no mark %q", name, begin)
+	assert.Assert(t, found, "%s has no marker %q", name, begin)
 	present, after, found := strings.Cut(rest, end)
-	assert.Assert(t, found, "%s has no mark %q", name, end)
+	assert.Assert(t, found, "%s has no marker %q", name, end)
 	if present == want {
 		return
 	}
@@ -48,13 +49,14 @@
 	assert.NilError(t, os.WriteFile(filepath.Join(root, name), []byte(before+begin+want+end+after), 0o600))
 }
 
-// field is one field of a struct, as JSON and in words.
+// field describes a struct field: its JSON name, Go name, type and
+// documentation.
 type field struct {
 	name, goName, kind, doc string
 }
 
-// structFields reads the fields of a struct from its source, with their doc
-// comments.
+// structFields reads the tagged fields of a struct from its source, with their
+// doc comments.
 func structFields(t *testing.T, file, name string) []field {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, file), nil, parser.ParseComments)
@@ -65,29 +67,29 @@
 		if !ok || spec.Name.Name != name {
 			return true
 		}
-		shared := "" // the last comment, which may be about several fields
+		groupDoc := "" // the last doc comment; it may cover several fields
 		for _, member := range spec.Type.(*ast.StructType).Fields.List {
 			if member.Tag == nil {
 				continue
 			}
 			if comment := strings.Join(strings.Fields(member.Doc.Text()), " "); comment != "" {
-				shared = comment
+				groupDoc = comment
 			}
-			fields = append(fields, fieldOf(t, member, shared))
+			fields = append(fields, newField(t, member, groupDoc))
 		}
 		return false
 	})
 	assert.Assert(t, len(fields) > 0, "no struct %s in %s", name, file)
 	for i := range fields {
 		for _, other := range fields {
-			fields[i].doc = other.inPlaceOfGoName(fields[i].doc)
+			fields[i].doc = other.replaceGoName(fields[i].doc)
 		}
 	}
 	return fields
 }
 
-// fieldOf describes a member. Its comment must name it.
-func fieldOf(t *testing.T, member *ast.Field, comment string) field {
+// newField describes a struct field. Its doc comment must name the field.
+func newField(t *testing.T, member *ast.Field, comment string) field {
 	t.Helper()
 	tag := reflect.StructTag(strings.Trim(member.Tag.Value, "`")).Get("json")
 	name, _, _ := strings.Cut(tag, ",")
@@ -97,11 +99,11 @@
 	return field{name: name, goName: goName, kind: typeName(member.Type), doc: strings.ToUpper(doc[:1]) + doc[1:]}
 }
 
-// inPlaceOfGoName writes the field's JSON name where a text has its Go name.
-func (f field) inPlaceOfGoName(text string) string {
+// replaceGoName replaces the field's Go name in a text with its JSON name.
+func (f field) replaceGoName(text string) string {
 	leading := regexp.MustCompile(`^([A-Z]\w*, )*` + f.goName + `(,| and) `)
-	inner := regexp.MustCompile(`[a-z][A-Z]|[A-Z]{2}`).MatchString(f.goName)
-	if !inner && !leading.MatchString(text) && !strings.Contains(text, " and "+f.goName+" ") && !strings.Contains(text, ", "+f.goName+" and ") {
+	isMixedCase := regexp.MustCompile(`[a-z][A-Z]|[A-Z]{2}`).MatchString(f.goName)
+	if !isMixedCase && !leading.MatchString(text) && !strings.Contains(text, " and "+f.goName+" ") && !strings.Contains(text, ", "+f.goName+" and ") {
 		return text
 	}
 	return regexp.MustCompile("`?\\b"+f.goName+"\\b`?").ReplaceAllString(text, "`"+f.name+"`")
@@ -129,7 +131,7 @@
 	return strings.ToLower(name)
 }
 
-func table(header string, rows [][]string) string {
+func markdownTable(header string, rows [][]string) string {
 	var out strings.Builder
 	columns := strings.Count(header, "|") + 1
 	fmt.Fprintf(&out, "| %s |\n|%s\n", header, strings.Repeat("---|", columns))
@@ -139,7 +141,7 @@
 	return out.String()
 }
 
-// goFiles calls f for every file of the product's code.
+// goFiles calls f for every non-test Go file of the product.
 func goFiles(t *testing.T, f func(path, text string)) {
 	t.Helper()
 	for _, dir := range []string{"api", "cmd", "internal", "platform"} {
@@ -155,7 +157,8 @@
 	}
 }
 
-// matches returns the sorted distinct first groups of a pattern in a text.
+// matches returns the sorted, distinct first groups of the matches of a
+// pattern.
 func matches(pattern, text string) []string {
 	var found []string
 	for _, match := range regexp.MustCompile(pattern).FindAllStringSubmatch(text, -1) {
