--- a/test/process/commands_test.go
+++ b/test/process/commands_test.go
@@ -14,8 +14,9 @@
 	"github.com/corianderbank/corianderbank/api"
 )
 
-// operator runs a command of the binary against an entry instance.
-func (c *cluster) operator(result any, args ...string) (code int, output string) {
+// runCommand runs the binary with the address of the first entry instance and
+// decodes its JSON output into result.
+func (c *cluster) runCommand(result any, args ...string) (code int, output string) {
 	c.t.Helper()
 	command := exec.Command(filepath.Join(bin, "corianderbank"), append([]string{"--addr", c.entries[0].addr, "--output", "json"}, args...)...)
 	out, err := command.Output()
@@ -38,70 +39,70 @@
 
 func TestOperatorCommands(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, size{entries: 2, backends: 1, workers: 2, configuration: oneAccount})
-	write := func(name, text string) string {
+	c := startCluster(t, clusterSize{entries: 2, backends: 1, workers: 2, configuration: oneAccount})
+	writeFile := func(name, text string) string {
 		file := filepath.Join(t.TempDir(), name)
 		assert.NilError(t, os.WriteFile(file, []byte(text), 0o600))
 		return file
 	}
-	done := func(result any, args ...string) {
+	succeeds := func(result any, args ...string) {
 		t.Helper()
-		code, output := c.operator(result, args...)
+		code, output := c.runCommand(result, args...)
 		assert.Equal(t, code, 0, "%v: %s", args, output)
 	}
-	refused := func(want int, kind api.Kind, args ...string) {
+	fails := func(want int, kind api.Kind, args ...string) {
 		t.Helper()
-		code, output := c.operator(nil, args...)
+		code, output := c.runCommand(nil, args...)
 		assert.Equal(t, code, want, output)
 		assert.Assert(t, strings.Contains(output, string(kind)), output)
 	}
 
 	var version api.ConfigVersion
-	configuration := write("configuration.json", oneAccount)
-	done(&version, "config", "apply", "--expect", "1", configuration)
+	configuration := writeFile("configuration.json", oneAccount)
+	succeeds(&version, "config", "apply", "--expect", "1", configuration)
 	assert.Equal(t, version.Version, int64(2))
-	refused(1, api.KindConfigConflict, "config", "apply", "--expect", "1", configuration)
-	refused(2, api.KindConfigInvalid, "config", "apply", "--expect", "2", write("bad.json", `{"rules": []}`))
-	done(&version, "config", "show")
+	fails(1, api.KindConfigConflict, "config", "apply", "--expect", "1", configuration)
+	fails(2, api.KindConfigInvalid, "config", "apply", "--expect", "2", writeFile("bad.json", `{"rules": []}`))
+	succeeds(&version, "config", "show")
 	assert.Equal(t, version.Version, int64(2))
 	var history api.ConfigHistory
-	done(&history, "config", "history")
+	succeeds(&history, "config", "history")
 	assert.Equal(t, history.Versions[0].Version, int64(2))
-	c.wait("the version is in force everywhere", func() bool {
+	c.waitFor("the version is in force on every instance", func() bool {
 		var status api.ConfigStatus
-		done(&status, "config", "status")
+		succeeds(&status, "config", "status")
 		return status.Everywhere && status.Head == 2 && len(status.Instances) == 2
 	})
 
 	var job api.JobAnswer
-	done(&job, "job", "submit", write("job.json", `{"account": "acme", "kind": "suite", "declared_run_s": 1,
+	succeeds(&job, "job", "submit", writeFile("job.json", `{"account": "acme", "kind": "suite", "declared_run_s": 1,
 		"shape": {"tasks": 2, "accelerators_per_task": 4}, "payload": {"key": "k", "run_ms": 200}}`))
 	assert.Equal(t, job.Outcome, api.OutcomeAccepted)
-	done(&job, "job", "show", job.ID, "--wait", "30s")
+	succeeds(&job, "job", "show", job.ID, "--wait", "30s")
 	assert.Equal(t, job.Outcome, api.OutcomeDone, job.Message)
 	var list api.JobList
-	done(&list, "job", "list", "--account", "acme")
+	succeeds(&list, "job", "list", "--account", "acme")
 	assert.Equal(t, list.Jobs[0].ID, job.ID)
-	refused(1, api.KindNotFound, "job", "show", "j-nobody")
-	refused(2, api.KindInvalidShape, "job", "submit", write("bad.json", `{"account": "acme", "kind": "k", "declared_run_s": 1, "shape": {"tasks": -1, "accelerators_per_task": 1}}`))
+	fails(1, api.KindNotFound, "job", "show", "j-nobody")
+	fails(2, api.KindInvalidShape, "job", "submit", writeFile("bad.json", `{"account": "acme", "kind": "k", "declared_run_s": 1, "shape": {"tasks": -1, "accelerators_per_task": 1}}`))
 
 	var explanation api.Explanation
-	done(&explanation, "explain", job.ID)
+	succeeds(&explanation, "explain", job.ID)
 	assert.Equal(t, explanation.Decisions[0].Step, "admit")
-	refused(1, api.KindNotFound, "explain", "r-nobody")
+	fails(1, api.KindNotFound, "explain", "r-nobody")
 
-	done(&job, "job", "submit", write("long.json", `{"account": "acme", "kind": "long", "declared_run_s": 60, "idempotent": true,
+	succeeds(&job, "job", "submit", writeFile("long.json", `{"account": "acme", "kind": "long", "declared_run_s": 60, "idempotent": true,
 		"shape": {"tasks": 1, "accelerators_per_task": 8}, "payload": {"key": "l", "run_ms": 60000}}`))
-	code, output := c.operator(nil, "job", "cancel", job.ID)
+	code, output := c.runCommand(nil, "job", "cancel", job.ID)
 	assert.Equal(t, code, 0, output)
-	c.wait("the cancelled job has ended", func() bool {
-		done(&job, "job", "show", job.ID)
+	c.waitFor("the cancelled job has ended", func() bool {
+		succeeds(&job, "job", "show", job.ID)
 		return job.Outcome != api.OutcomeAccepted
 	})
 	assert.Equal(t, job.ErrorKind, api.KindCancelled)
 
 	var status api.Status
-	done(&status, "status")
+	succeeds(&status, "status")
 	assert.Equal(t, len(status.Instances), 2)
 	assert.Equal(t, status.Zones[0].Accelerators, 16)
 	assert.Equal(t, len(status.Accounts), 1)
--- a/test/process/configuration_test.go
+++ b/test/process/configuration_test.go
@@ -12,7 +12,8 @@
 	"github.com/corianderbank/corianderbank/internal/standin"
 )
 
-// versionOf returns the version in force at an entry instance, or 0.
+// versionOf returns the version in force at an entry instance, or 0 if it
+// cannot be read.
 func versionOf(n *node) int64 {
 	var version api.ConfigVersion
 	if get(n.addr, "/v1/config", &version) != nil {
@@ -21,9 +22,9 @@
 	return version.Version
 }
 
-// race lets every instance apply its own document over the same version, and
-// returns how many were accepted.
-func race(c *cluster, expect int64) int {
+// applyConcurrently applies a different document at every instance over the
+// same version, and returns how many were accepted.
+func applyConcurrently(c *cluster, expect int64) int {
 	var mu sync.Mutex
 	accepted := 0
 	var operators sync.WaitGroup
@@ -41,19 +42,19 @@
 	return accepted
 }
 
-// inForceEverywhere waits until every instance has at least the version.
-func inForceEverywhere(c *cluster, version int64) {
+// waitInForce waits until every instance has at least the version.
+func waitInForce(c *cluster, version int64) {
 	for _, entry := range c.entries {
-		c.wait(fmt.Sprintf("%s has version %d", entry.id, version), func() bool { return versionOf(entry) >= version })
+		c.waitFor(fmt.Sprintf("%s has version %d", entry.id, version), func() bool { return versionOf(entry) >= version })
 	}
 }
 
 func TestAcceptedConfigurationHolds(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, size{entries: 3, backends: 1, configuration: oneAccount})
+	c := startCluster(t, clusterSize{entries: 3, backends: 1, configuration: oneAccount})
 	for version := int64(1); version <= 3; version++ {
-		assert.Equal(t, race(c, version), 1, "racing operators over version %d", version)
-		inForceEverywhere(c, version+1)
+		assert.Equal(t, applyConcurrently(c, version), 1, "concurrent operators at version %d", version)
+		waitInForce(c, version+1)
 	}
 	digests := make(map[string]bool)
 	for _, entry := range c.entries {
@@ -62,34 +63,34 @@
 		assert.Equal(t, inForce.Version, int64(4))
 		digests[inForce.Digest] = true
 	}
-	assert.Equal(t, len(digests), 1, "one document in force")
+	assert.Equal(t, len(digests), 1, "instances have different documents in force")
 
-	c.fault(c.platform, standin.PlatformFaults{Down: true})
-	assert.Assert(t, c.apply(0, 4, oneAccount) != nil, "nothing is accepted without the store")
+	c.injectFaults(c.platform, standin.PlatformFaults{Down: true})
+	assert.Assert(t, c.apply(0, 4, oneAccount) != nil, "a configuration was accepted without the store")
 	c.entries[1].kill()
 	c.startEntry(1)
-	c.wait("an instance that starts without the platform takes the version from its peers", func() bool { return versionOf(c.entries[1]) == 4 })
+	c.waitFor("an instance that starts without the platform gets the version from its peers", func() bool { return versionOf(c.entries[1]) == 4 })
 	c.waitOK(c.entries[1].addr, "/readyz")
-	c.fault(c.platform, standin.PlatformFaults{})
+	c.injectFaults(c.platform, standin.PlatformFaults{})
 
-	c.entries[2].relay.setCut(true)
-	c.wait("a new version is accepted", func() bool { return c.apply(0, 4, oneAccount) == nil || versionOf(c.entries[0]) > 4 })
-	inForceEverywhere(c, 5)
+	c.entries[2].relay.setPartitioned(true)
+	c.waitFor("a new version is accepted", func() bool { return c.apply(0, 4, oneAccount) == nil || versionOf(c.entries[0]) > 4 })
+	waitInForce(c, 5)
 }
 
-func TestLostAnswerOfAnAcceptedConfiguration(t *testing.T) {
+func TestLostAnswerToAnAcceptedConfiguration(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, size{entries: 2, configuration: oneAccount})
-	c.fault(c.platform, standin.PlatformFaults{LoseAnswers: 2})
+	c := startCluster(t, clusterSize{entries: 2, configuration: oneAccount})
+	c.injectFaults(c.platform, standin.PlatformFaults{LoseAnswers: 2})
 	err := c.apply(0, 1, oneAccount)
-	c.fault(c.platform, standin.PlatformFaults{})
+	c.injectFaults(c.platform, standin.PlatformFaults{})
 	if err == nil {
-		inForceEverywhere(c, 2)
+		waitInForce(c, 2)
 		return
 	}
-	// Not known or refused: whichever it was, one version is in force for good.
-	c.wait("the operator's next try settles it", func() bool {
+	// Whether the result was unknown or a refusal, exactly one version stays in force.
+	c.waitFor("the operator's next attempt is accepted", func() bool {
 		return c.apply(0, max(versionOf(c.entries[0]), 1), oneAccount) == nil
 	})
-	inForceEverywhere(c, versionOf(c.entries[0]))
+	waitInForce(c, versionOf(c.entries[0]))
 }
--- a/test/process/harness_test.go
+++ b/test/process/harness_test.go
@@ -1,7 +1,7 @@
-// Package process shows the promises with real processes on loopback: entry
+// Package process tests the guarantees with real processes on loopback: entry
 // instances, and stand-ins for the platform, backend servers and workers, which
-// are killed, frozen, cut off and stopped. Tests wait for conditions with
-// generous bounds and assert no times.
+// are killed, frozen, partitioned and stopped. Tests wait for conditions with
+// generous limits and assert no durations.
 package process
 
 import (
@@ -26,20 +26,20 @@
 	"github.com/corianderbank/corianderbank/internal/standin/drive"
 )
 
-// patience bounds every wait. It is far above what a busy machine needs.
-const patience = 60 * time.Second
+// waitTimeout limits every wait. It is far above what a busy machine needs.
+const waitTimeout = 60 * time.Second
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 20 * time.Millisecond
 
-// getTimeout bounds one look at a process, which may be frozen.
+// getTimeout limits one query of a process, which may be frozen.
 const getTimeout = 5 * time.Second
 
-// logTail is the number of lines of a process's log that a failed test prints:
+// logTail is the number of log lines of a process that a failed test prints:
 // the last ones, or those from a crash on.
 const logTail = 40
 
-// bin is the directory of the binaries under test.
+// bin is the directory that contains the binaries under test.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -61,12 +61,12 @@
 	return m.Run()
 }
 
-// client calls the processes directly. It keeps no connections, because backend
-// servers take only so many.
-var client = resty.NewWithClient(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience})
+// client calls the processes directly. It keeps no connections open, because
+// backend servers accept a limited number.
+var client = resty.NewWithClient(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout})
 
-// process is one child process. Its log goes to a file, whose end is printed
-// when the test fails.
+// process is a child process. Its output goes to a log file, whose end is
+// printed if the test fails.
 type process struct {
 	t    *testing.T
 	name string
@@ -97,22 +97,22 @@
 
 func (p *process) thaw() { p.signal(syscall.SIGCONT) }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	err := <-p.done
 	p.done <- err
 }
 
-// stop asks for a graceful shutdown and returns how it ended.
+// stop sends SIGTERM, waits for the process to exit and returns its result.
 func (p *process) stop() error {
 	p.signal(syscall.SIGTERM)
 	select {
 	case err := <-p.done:
 		p.done <- err
 		return err
-	case <-time.After(patience):
-		return fmt.Errorf("%s does not stop", p.name)
+	case <-time.After(waitTimeout):
+		return fmt.Errorf("%s did not stop within the time limit", p.name)
 	}
 }
 
@@ -123,103 +123,105 @@
 	}
 	data, _ := os.ReadFile(p.log)
 	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
-	from := max(0, len(lines)-logTail)
+	first := max(0, len(lines)-logTail)
 	for i, line := range lines {
 		if strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
-			from = i
+			first = i
 			break
 		}
 	}
-	p.t.Logf("log of %s, lines %d to %d of %d:\n%s", p.name, from+1, min(from+logTail, len(lines)), len(lines),
-		strings.Join(lines[from:min(from+logTail, len(lines))], "\n"))
+	p.t.Logf("log of %s, lines %d to %d of %d:\n%s", p.name, first+1, min(first+logTail, len(lines)), len(lines),
+		strings.Join(lines[first:min(first+logTail, len(lines))], "\n"))
 }
 
-// node is one process with its addresses.
+// node is a process and its addresses.
 type node struct {
 	*process
 	id string
-	// addr is where the process itself listens.
+	// addr is the listen address of the process itself.
 	addr string
-	// peerAddr is where an entry instance listens for others.
+	// peerAddr is the address at which an entry instance listens for other
+	// instances.
 	peerAddr string
-	// relay carries, for an entry instance, its calls to the platform; for a
-	// backend server or worker, the calls that it gets.
+	// relay forwards the calls of an entry instance to the platform, or the
+	// calls to a backend server or worker.
 	relay *relay
 }
 
-// cluster is one platform and its surroundings, in one availability zone.
+// cluster is one platform with entry instances, backend servers and workers, in
+// one availability zone.
 type cluster struct {
-	// t is the test or subtest that fails, owner the test whose end ends the
-	// processes.
-	t, owner *testing.T
-	platform string
-	entries  []*node
-	backends []*node
-	workers  []*node
-	settings []string // settings file of each entry instance
+	// t is the test or subtest to fail; the processes are killed when parent
+	// ends.
+	t, parent *testing.T
+	platform  string
+	entries   []*node
+	backends  []*node
+	workers   []*node
+	settings  []string // settings file of each entry instance
 }
 
 const testZone = "zone-1"
 
-// size says how many processes a cluster has.
-type size struct {
+// clusterSize is the number of processes of each role in a cluster.
+type clusterSize struct {
 	entries, backends, workers int
-	// configuration is applied at the start; empty for none.
+	// configuration is applied at the start; empty means none.
 	configuration string
 }
 
-// startCluster starts everything and waits until it is ready for work.
-func startCluster(t *testing.T, size size) *cluster {
+// startCluster starts all processes and waits until they are ready for work.
+func startCluster(t *testing.T, size clusterSize) *cluster {
 	t.Helper()
-	c := &cluster{t: t, owner: t}
+	c := &cluster{t: t, parent: t}
 	ports, err := standin.FreePorts(1 + 2*size.entries + size.backends + size.workers)
 	assert.NilError(t, err)
-	next := func() string {
+	nextAddr := func() string {
 		port := ports[0]
 		ports = ports[1:]
 		return fmt.Sprintf("127.0.0.1:%d", port)
 	}
-	c.platform = next()
+	c.platform = nextAddr()
 	start(t, "platform", "standin", "platform", "--listen", c.platform)
 	c.waitOK(c.platform, "/healthz")
 	for i := range size.backends {
-		c.backends = append(c.backends, c.member("backend", i, next()))
+		c.backends = append(c.backends, c.startMember("backend", i, nextAddr()))
 	}
 	for i := range size.workers {
-		c.workers = append(c.workers, c.member("worker", i, next(), "--rack", "rack-1", "--accelerators", "8"))
+		c.workers = append(c.workers, c.startMember("worker", i, nextAddr(), "--rack", "rack-1", "--accelerators", "8"))
 	}
-	c.startEntries(size.entries, next)
+	c.startEntries(size.entries, nextAddr)
 	if size.configuration != "" {
 		assert.NilError(t, c.apply(0, 0, size.configuration))
-		c.settle(size)
+		c.waitSettled(size)
 	}
 	return c
 }
 
-// in returns the cluster for a subtest: what fails, fails the subtest.
-// Processes that it starts still end with the test that made the cluster.
-func (c *cluster) in(t *testing.T) *cluster {
+// forSubtest returns the cluster for use in a subtest: failures are reported to
+// the subtest, while processes that it starts run until the parent test ends.
+func (c *cluster) forSubtest(t *testing.T) *cluster {
 	sub := *c
 	sub.t = t
 	return &sub
 }
 
-// member starts a backend server or worker behind a relay.
-func (c *cluster) member(role string, i int, addr string, more ...string) *node {
-	n := &node{id: fmt.Sprintf("%s-%d", role, i), addr: addr, relay: newRelay(c.owner, addr)}
+// startMember starts a backend server or worker behind a relay.
+func (c *cluster) startMember(role string, i int, addr string, extraArgs ...string) *node {
+	n := &node{id: fmt.Sprintf("%s-%d", role, i), addr: addr, relay: newRelay(c.parent, addr)}
 	args := []string{role, "--listen", addr, "--advertise", n.relay.addr, "--id", n.id, "--zone", testZone, "--platform", c.platform}
-	n.process = start(c.owner, n.id, "standin", append(args, more...)...)
+	n.process = start(c.parent, n.id, "standin", append(args, extraArgs...)...)
 	return n
 }
 
-func (c *cluster) startEntries(count int, next func() string) {
-	all := make([]settings.Peer, count)
-	for i := range all {
-		all[i] = settings.Peer{Instance: fmt.Sprintf("entry-%d", i), AvailabilityZone: testZone, Addr: next(), PeerAddr: next()}
+func (c *cluster) startEntries(count int, nextAddr func() string) {
+	entries := make([]settings.Peer, count)
+	for i := range entries {
+		entries[i] = settings.Peer{Instance: fmt.Sprintf("entry-%d", i), AvailabilityZone: testZone, Addr: nextAddr(), PeerAddr: nextAddr()}
 	}
-	for i, self := range all {
+	for i, self := range entries {
 		var peers []settings.Peer
-		for k, peer := range all {
+		for k, peer := range entries {
 			if k != i {
 				peers = append(peers, peer)
 			}
@@ -228,9 +230,9 @@
 	}
 }
 
-// addEntry starts an entry instance whose settings name the peers.
+// addEntry starts an entry instance whose settings list the peers.
 func (c *cluster) addEntry(self settings.Peer, peers []settings.Peer) {
-	n := &node{id: self.Instance, addr: self.Addr, peerAddr: self.PeerAddr, relay: newRelay(c.owner, c.platform)}
+	n := &node{id: self.Instance, addr: self.Addr, peerAddr: self.PeerAddr, relay: newRelay(c.parent, c.platform)}
 	s := settings.Default()
 	s.Instance, s.AvailabilityZone, s.Listen, s.PeerListen, s.Platform = self.Instance, testZone, self.Addr, self.PeerAddr, n.relay.addr
 	s.Timing.PlacerLeaseMS, s.Timing.WorkerLeaseMS, s.Timing.ListPollMS = 1500, 3000, 200
@@ -239,26 +241,26 @@
 	s.Peers = peers
 	data, err := json.Marshal(s)
 	assert.NilError(c.t, err)
-	file := filepath.Join(c.owner.TempDir(), "settings.json")
+	file := filepath.Join(c.parent.TempDir(), "settings.json")
 	assert.NilError(c.t, os.WriteFile(file, data, 0o600))
 	c.settings = append(c.settings, file)
 	c.entries = append(c.entries, n)
 	c.startEntry(len(c.entries) - 1)
 }
 
-// startEntry starts an entry instance, or starts it again after its end.
+// startEntry starts an entry instance, also again after it has exited.
 func (c *cluster) startEntry(i int) {
 	n := c.entries[i]
-	n.process = start(c.owner, n.id, "corianderbank", "serve", "--settings", c.settings[i])
+	n.process = start(c.parent, n.id, "corianderbank", "serve", "--settings", c.settings[i])
 	c.waitOK(n.addr, "/healthz")
 }
 
-// settle waits until every entry instance is ready and knows the whole fleet,
-// and the zone's placer has every worker's report.
-func (c *cluster) settle(size size) {
+// waitSettled waits until every entry instance is ready and lists the whole
+// fleet, and the zone's placer has every worker's report.
+func (c *cluster) waitSettled(size clusterSize) {
 	for _, entry := range c.entries {
 		c.waitOK(entry.addr, "/readyz")
-		c.wait(entry.id+" knows the fleet", func() bool {
+		c.waitFor(entry.id+" lists the whole fleet", func() bool {
 			var status api.Status
 			if get(entry.addr, "/v1/status", &status) != nil || len(status.Zones) == 0 {
 				return false
@@ -269,7 +271,8 @@
 	}
 }
 
-// placer returns the index of the entry instance that places, or -1.
+// placer returns the index of the entry instance that is the zone's placer, or
+// -1.
 func (c *cluster) placer() int {
 	for i, entry := range c.entries {
 		var status api.Status
@@ -285,8 +288,9 @@
 	return -1
 }
 
-// fleet returns the addresses for a driver. Records are read directly, calls
-// to entry instances go to those given.
+// fleet returns the addresses for a driver: those of the given entry instances,
+// which receive the calls, and of all backend servers and workers, whose
+// records are read directly.
 func (c *cluster) fleet(entries ...*node) drive.Fleet {
 	var fleet drive.Fleet
 	for _, entry := range entries {
@@ -301,13 +305,13 @@
 	return fleet
 }
 
-func (c *cluster) records() drive.Records {
+func (c *cluster) collectRecords() drive.Records {
 	records, err := drive.Collect(context.Background(), c.fleet())
 	assert.NilError(c.t, err)
 	return records
 }
 
-// apply puts a configuration in force through an entry instance.
+// apply submits a configuration through an entry instance.
 func (c *cluster) apply(entry int, expect int64, document string) error {
 	body := api.ConfigApply{Expect: expect, Document: json.RawMessage(document)}
 	response, err := client.R().SetBody(body).Post("http://" + c.entries[entry].addr + "/v1/config")
@@ -320,8 +324,8 @@
 	return nil
 }
 
-// fault tells a stand-in to play faults.
-func (c *cluster) fault(addr string, faults any) {
+// injectFaults sets the faults that a stand-in injects from now on.
+func (c *cluster) injectFaults(addr string, faults any) {
 	response, err := client.R().SetBody(faults).Post("http://" + addr + "/v1/faults")
 	assert.NilError(c.t, err)
 	assert.Equal(c.t, response.StatusCode(), http.StatusOK)
@@ -329,18 +333,19 @@
 
 func (c *cluster) waitOK(addr, path string) {
 	c.t.Helper()
-	c.wait(addr+path+" answers", func() bool { return get(addr, path, nil) == nil })
+	c.waitFor(addr+path+" answers", func() bool { return get(addr, path, nil) == nil })
 }
 
-// wait fails the test if the condition does not come true.
-func (c *cluster) wait(what string, condition func() bool) {
+// waitFor polls the condition and fails the test if it is not met within
+// waitTimeout.
+func (c *cluster) waitFor(description string, condition func() bool) {
 	c.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if condition() {
 			return
 		}
 	}
-	c.t.Fatalf("never: %s", what)
+	c.t.Fatalf("timed out waiting until %s", description)
 }
 
 func get(addr, path string, result any) error {
--- a/test/process/relay_test.go
+++ b/test/process/relay_test.go
@@ -13,13 +13,13 @@
 	"github.com/corianderbank/corianderbank/internal/standin"
 )
 
-// relay passes TCP connections on to a target. While it is cut, it breaks off
-// every connection and refuses new ones.
+// relay forwards TCP connections to a target. While it is partitioned, it
+// closes every connection and refuses new ones.
 type relay struct {
-	t       *testing.T
-	addr    string
-	target  string
-	passing sync.WaitGroup
+	t          *testing.T
+	addr       string
+	target     string
+	goroutines sync.WaitGroup
 
 	mu       sync.Mutex // guards the fields below
 	listener net.Listener
@@ -30,24 +30,24 @@
 	ports, err := standin.FreePorts(1)
 	assert.NilError(t, err)
 	r := &relay{t: t, addr: fmt.Sprintf("127.0.0.1:%d", ports[0]), target: target, conns: make(map[net.Conn]bool)}
-	r.setCut(false)
+	r.setPartitioned(false)
 	t.Cleanup(func() {
-		r.setCut(true)
-		r.passing.Wait()
+		r.setPartitioned(true)
+		r.goroutines.Wait()
 	})
 	return r
 }
 
-// setCut cuts the relay, or mends it.
-func (r *relay) setCut(cut bool) {
+// setPartitioned starts or ends the partition.
+func (r *relay) setPartitioned(partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case !cut && r.listener == nil:
+	case !partitioned && r.listener == nil:
 		listener := r.listen()
 		r.listener = listener
-		r.passing.Go(func() { r.accept(listener) })
-	case cut && r.listener != nil:
+		r.goroutines.Go(func() { r.accept(listener) })
+	case partitioned && r.listener != nil:
 		_ = r.listener.Close()
 		r.listener = nil
 		for conn := range r.conns {
@@ -56,12 +56,12 @@
 	}
 }
 
-// listen tries again for a while: the socket of the time before may live on for
-// a moment in a child process that is being forked.
+// listen retries until waitTimeout: a child process that is being forked may
+// hold the previous socket open for a moment.
 func (r *relay) listen() net.Listener {
 	var listener net.Listener
 	var err error
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if listener, err = net.Listen("tcp", r.addr); err == nil {
 			break
 		}
@@ -76,12 +76,13 @@
 		if err != nil {
 			return
 		}
-		r.passing.Go(func() { r.pass(conn) })
+		r.goroutines.Go(func() { r.forward(conn) })
 	}
 }
 
-// open registers a connection, or closes it while the relay is cut.
-func (r *relay) open(conn net.Conn) bool {
+// register adds a connection, or closes it and returns false while the relay is
+// partitioned.
+func (r *relay) register(conn net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.listener == nil {
@@ -99,13 +100,13 @@
 	_ = conn.Close()
 }
 
-func (r *relay) pass(caller net.Conn) {
-	if !r.open(caller) {
+func (r *relay) forward(source net.Conn) {
+	if !r.register(source) {
 		return
 	}
-	defer r.close(caller)
+	defer r.close(source)
 	server, err := net.Dial("tcp", r.target)
-	if err != nil || !r.open(server) {
+	if err != nil || !r.register(server) {
 		return
 	}
 	defer r.close(server)
@@ -114,7 +115,7 @@
 		_, _ = io.Copy(to, from)
 		ended <- struct{}{}
 	}
-	go copyTo(server, caller)
-	go copyTo(caller, server)
+	go copyTo(server, source)
+	go copyTo(source, server)
 	<-ended
 }
