--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -28,8 +28,8 @@
 	// maxConcurrentQuestions bounds the questions in flight: the advisor answers one at a time
 	// and rejects requests beyond a queue of 32.
 	maxConcurrentQuestions = 4
-	// candidateFactor is the number of workers asked about per worker that a step needs: some
-	// are refused, and some are full by the time the answer arrives.
+	// candidateFactor is the number of workers in a question per waiting task: some are refused,
+	// and some are full by the time the answer arrives.
 	candidateFactor = 3
 	// maxQuestionWorkers is the maximum number of workers in one question.
 	maxQuestionWorkers = 100
--- a/internal/dispatch/advice_test.go
+++ b/internal/dispatch/advice_test.go
@@ -50,7 +50,7 @@
 	b.endAll(workload.EndDone)
 	b.advance(500 * time.Millisecond)
 	assert.Equal(t, b.runningOf("job"), 1, "the second task runs on the one allowed worker")
-	assert.Assert(t, *questions > first, "the ticket had run out")
+	assert.Assert(t, *questions > first, "the ticket had expired")
 	assert.Assert(t, *questions <= first+4, "asked %d times", *questions)
 }
 
--- a/internal/dispatch/begins.go
+++ b/internal/dispatch/begins.go
@@ -79,12 +79,12 @@
 
 func (j *job) mayHaveStarted() bool { return j.fromEarlierEpoch || j.started }
 
-// startOrStore starts the first tasks of a step on the given workers. If the job's start intent
-// has to be stored first, it holds the capacity for this round: the store usually answers
-// within one or two rounds.
+// startOrStore starts the first tasks of a step on the given workers. If the job's start intent or
+// a task's attempt has to be stored first, the capacity is held for this round instead: the store
+// usually answers within one or two rounds.
 func (c *Core) startOrStore(u *pendingStep, places []*workerCapacity) {
 	if c.awaitsStartIntent(u.step.job) {
-		takeCapacity(u, places)
+		holdCapacity(u, places)
 		c.recordReason(u, "its begin is being stored")
 		return
 	}
--- a/internal/dispatch/choices.go
+++ b/internal/dispatch/choices.go
@@ -219,7 +219,7 @@
 // latestStart returns the latest time at which the step can start and still be on time.
 func (u *pendingStep) latestStart() time.Time { return u.dueBy.Add(-u.duration) }
 
-// compareValue sorts the step first that needs the least of the deployment.
+// compareValue sorts the step first that uses the fewest core-seconds.
 func compareValue(_ *Core, a, b *pendingStep) int {
 	return cmp.Or(cmp.Compare(a.coreSeconds(), b.coreSeconds()), a.dueBy.Compare(b.dueBy))
 }
@@ -236,7 +236,8 @@
 	return cmp.Compare(c.workLost(a)/float64(max(a.need.Accelerators, 1)), c.workLost(b)/float64(max(b.need.Accelerators, 1)))
 }
 
-// compareInterruptions sorts runs of jobs that were preempted or interrupted before last.
+// compareInterruptions sorts runs of jobs that have already been preempted or interrupted after
+// all others.
 func compareInterruptions(c *Core, a, b *run) int {
 	return cmp.Or(cmp.Compare(min(a.task.step.job.interruptions, 1), min(b.task.step.job.interruptions, 1)), compareWorkLost(c, a, b))
 }
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -9,9 +9,9 @@
 
 // Claims protect urgent gangs that arrive in quick succession. A gang that preempts others
 // starts once those have ended, several rounds later. Without a claim each round decided anew:
-// the next urgent gang took the capacity as it became free, the first preempted runs elsewhere,
-// became late and was given up, so that dozens of tasks were stopped for a gang that never
-// started.
+// the next urgent gang took the capacity as it became free, and the first gang preempted runs
+// elsewhere, became late and was abandoned, so that dozens of tasks were stopped for a gang that
+// never started.
 
 // claim is the capacity that is being freed for a gang and in which it will start.
 type claim struct {
@@ -114,7 +114,7 @@
 			u.step.claim = nil
 			continue
 		}
-		takeCapacity(u, u.claimedCapacity)
+		holdCapacity(u, u.claimedCapacity)
 	}
 }
 
@@ -141,7 +141,8 @@
 	return list
 }
 
-// releaseClaim returns a step's claimed capacity so that the step itself can be placed.
+// releaseClaim makes a step's claimed capacity available again so that the step itself can be
+// placed.
 func (u *pendingStep) releaseClaim() {
 	need := u.step.spec.Counted()
 	for _, r := range u.claimedCapacity {
@@ -151,11 +152,11 @@
 
 // allFree reports whether every task's place is free now.
 func allFree(places []*workerCapacity, need workload.Resources) bool {
-	taken := make(map[*workerCapacity]workload.Resources, len(places))
+	needed := make(map[*workerCapacity]workload.Resources, len(places))
 	for _, r := range places {
-		taken[r] = taken[r].Add(need)
+		needed[r] = needed[r].Add(need)
 	}
-	for r, sum := range taken {
+	for r, sum := range needed {
 		if !r.free.Holds(sum) {
 			return false
 		}
--- a/internal/dispatch/completions.go
+++ b/internal/dispatch/completions.go
@@ -64,7 +64,7 @@
 	case r != nil:
 		w.health.recordCompletion(e, c.now)
 		c.runEnded(r, e.Kind)
-	case t.takeEarlierAttempt(e.Attempt):
+	case t.removeEarlierAttempt(e.Attempt):
 		c.endAttempt(t, e.Attempt)
 	}
 }
@@ -173,7 +173,7 @@
 }
 
 // interruptGang stops the remaining members of a gang after one member did not start, ended
-// without completing, or may not run.
+// without completing, or became unclear.
 func (c *Core) interruptGang(r *run, reason string) {
 	if g := r.gang; g != nil && !g.interrupted && !g.done {
 		c.stopGang(r.task.step, g, r, reason)
@@ -187,15 +187,15 @@
 	for i := range s.tasks {
 		for _, r := range s.tasks[i].runs {
 			if r.gang == g && r != except {
-				c.stop(r, "gang broken: "+reason)
+				c.stop(r, "gang interrupted: "+reason)
 			}
 		}
 	}
 }
 
-// interruptPartialGangs stops gangs of which an earlier epoch started only some members because
-// its leader was replaced between two orders. Once no other member can be running unseen, the
-// started ones would wait forever.
+// interruptPartialGangs stops gangs that an earlier epoch started only in part, because its leader
+// was replaced between two orders. Once no other member can be running unseen, the started ones
+// would wait forever.
 func (c *Core) interruptPartialGangs() {
 	for _, j := range c.queue {
 		if !j.fromEarlierEpoch || j.runs == 0 || c.mayRunUnsynced(j) {
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -30,8 +30,8 @@
 	Order workload.Order
 	Poll  workload.Poll
 	Ask   workload.Question
-	// Sequence is the event sequence at which a poll was sent; it tells which orders preceded
-	// the poll.
+	// Sequence is the event sequence at which a poll was sent. Its answer is reliable only for runs
+	// whose last order had been answered by then.
 	Sequence uint64
 	// Quick polls are answered immediately and may be sent while a long poll is waiting.
 	Quick bool
@@ -98,9 +98,9 @@
 	sequence uint64
 	// earlierOrdersUntil is the time until which an earlier epoch may have given orders.
 	earlierOrdersUntil time.Time
-	// definitelyStopped is the time after which nothing that an earlier epoch started can run
+	// definitelyStoppedAt is the time after which nothing that an earlier epoch started can run
 	// on a worker that has not answered yet.
-	definitelyStopped time.Time
+	definitelyStoppedAt time.Time
 	// trustStartIntents is set if earlier epochs stored start intents, storeStartIntents if
 	// this one does.
 	trustStartIntents, storeStartIntents bool
@@ -122,7 +122,7 @@
 	pendingStarts []*run
 	resends       resendBudget
 	fenced        bool
-	// pollWindow and startWindow bound the calls to workers in flight.
+	// pollWindow and startWindow limit the number of concurrent calls to workers.
 	pollWindow   pollWindow
 	startWindow  window
 	responseTime responseTime
@@ -134,14 +134,17 @@
 	// priority, by pool, as of urgentUsageAt.
 	urgentUsage   map[string]float64
 	urgentUsageAt time.Time
-	// lightLoadSince is the time since which a pool is less than half in use.
+	// lightLoadSince holds the pools that are less than half in use and the time at which that was
+	// first observed.
 	lightLoadSince map[string]time.Time
-	// restarting are the steps whose gang is ending and will restart in its claim.
+	// restarting are the steps whose gang is ending and will restart in the capacity that it
+	// claims.
 	restarting []*step
 	// infeasible records the demands that found no capacity in this round.
 	infeasible infeasible
-	// upcomingReleases caches the expected releases of this round by pool; reservationSearches
-	// counts the searches for reservations.
+	// upcomingReleases caches the expected releases of this round by pool, pools holds the
+	// capacities of this round by pool, and reservationSearches counts the searches for
+	// reservations.
 	upcomingReleases    map[string][]release
 	pools               map[string][]*workerCapacity
 	reservationSearches int
@@ -160,7 +163,7 @@
 // New returns the core of an epoch that starts now. earlier is the time until which a previous
 // leader may have given orders; it may be later than now, and is zero if there was no previous
 // leader.
-func New(bounds workload.Bounds, epoch int64, now, earlier time.Time) *Core {
+func New(bounds workload.Bounds, epoch int64, now, earlierOrdersUntil time.Time) *Core {
 	c := &Core{
 		bounds:         bounds,
 		policies:       newPolicies(nil),
@@ -180,9 +183,9 @@
 		pollWindow:     newPollWindow(),
 		startWindow:    newWindow(),
 	}
-	if !earlier.IsZero() {
-		c.earlierOrdersUntil = earlier
-		c.definitelyStopped = earlier.Add(maxElapsed(bounds.LongestLease) + bounds.StopTime)
+	if !earlierOrdersUntil.IsZero() {
+		c.earlierOrdersUntil = earlierOrdersUntil
+		c.definitelyStoppedAt = earlierOrdersUntil.Add(maxElapsed(bounds.LongestLease) + bounds.StopTime)
 	}
 	return c
 }
@@ -194,7 +197,7 @@
 // Configure applies a configuration.
 func (c *Core) Configure(config *workload.Configuration) { c.config = config }
 
-// tick sets the time of the following event.
+// tick starts a new event: it sets the current time and increments the event sequence.
 func (c *Core) tick(now time.Time, wallMS int64) {
 	c.now, c.wallMS = now, wallMS
 	c.sequence++
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -320,7 +320,7 @@
 	b.add(gangJob("a", "batch", "other", 3, 8))
 	b.add(gangJob("b", "batch", "other", 2, 8))
 	b.advance(200 * time.Millisecond)
-	assert.Equal(t, b.running(), 3, "the second gang must wait whole")
+	assert.Equal(t, b.running(), 3, "no member of the second gang may start")
 	b.endAll(workload.EndDone)
 	b.advance(2 * time.Second)
 	assert.Equal(t, b.finalState("a"), FinalCompleted)
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -38,7 +38,9 @@
 	// the same time.
 	confirmed, shared bool
 	ran               time.Duration
-	since             time.Time
+	// lostAt is the time at which the run was lost, or at which its worker's crash was
+	// established if that was later.
+	lostAt time.Time
 }
 
 // crashKey is the task's key in the crash records. Gang members have separate keys: one may
@@ -89,7 +91,7 @@
 	if r.worker.Leaving {
 		return // the worker left as announced
 	}
-	lost := lostAttempt{task: r.task, attempt: r.attempt, attemptRecorded: r.attemptRecorded, startsSent: r.startsSent, confirmed: r.confirmed, ran: c.now.Sub(r.since), since: c.now}
+	lost := lostAttempt{task: r.task, attempt: r.attempt, attemptRecorded: r.attemptRecorded, startsSent: r.startsSent, confirmed: r.confirmed, ran: c.now.Sub(r.since), lostAt: c.now}
 	r.attemptRecorded = false
 	if !lost.attemptRecorded && !r.task.isFinished() {
 		lost.attemptRecorded = true
@@ -153,7 +155,7 @@
 	switch {
 	case crashed && lost.confirmed:
 		lost.task.crashes.Recent++
-		lost.since = c.now
+		lost.lostAt = c.now
 		c.unsettledCrashes = append(c.unsettledCrashes, lost)
 	case crashed:
 		c.countCrash(lost)
@@ -165,10 +167,10 @@
 // settleCrashes counts crashes once the number of workers that crashed at the same time is
 // known.
 func (c *Core) settleCrashes() {
-	for len(c.unsettledCrashes) > 0 && c.now.Sub(c.unsettledCrashes[0].since) > outageWindow {
+	for len(c.unsettledCrashes) > 0 && c.now.Sub(c.unsettledCrashes[0].lostAt) > outageWindow {
 		lost := c.unsettledCrashes[0]
 		c.unsettledCrashes = c.unsettledCrashes[1:]
-		lost.shared = c.inOutage(lost.task.step.job, lost.since)
+		lost.shared = c.inOutage(lost.task.step.job, lost.lostAt)
 		lost.task.crashes.Recent--
 		c.countCrash(lost)
 	}
@@ -186,13 +188,14 @@
 // startAnswerTimeout is the time within which a start is answered or its call has timed out.
 const startAnswerTimeout = time.Second
 
-// settleReplaced settles the lost attempts of a worker that another incarnation has replaced.
-// Attempts that the answer to their own start will settle wait for that answer.
+// settleReplaced settles the lost attempts of a worker that another incarnation has replaced. An
+// unconfirmed attempt that was lost less than startAnswerTimeout ago is kept, because the answer
+// to its start can still settle it.
 func (c *Core) settleReplaced(w *worker) {
 	list := w.lostAttempts
 	w.lostAttempts = nil
 	for _, lost := range list {
-		if !lost.confirmed && c.now.Sub(lost.since) < startAnswerTimeout {
+		if !lost.confirmed && c.now.Sub(lost.lostAt) < startAnswerTimeout {
 			w.lostAttempts = append(w.lostAttempts, lost)
 			continue
 		}
@@ -200,10 +203,10 @@
 	}
 }
 
-// settleUnresponsive counts workers as crashed that have been unresponsive for so long that
-// nothing more will be learned about them in time.
+// settleUnresponsive counts a worker as crashed once it has not responded for longer than the
+// longest lease since its runs were lost: nothing more will be learned about it in time.
 func (c *Core) settleUnresponsive(w *worker) {
-	if len(w.lostAttempts) > 0 && c.now.Sub(w.lostAttempts[0].since) > maxElapsed(c.bounds.LongestLease) {
+	if len(w.lostAttempts) > 0 && c.now.Sub(w.lostAttempts[0].lostAt) > maxElapsed(c.bounds.LongestLease) {
 		c.settleLostAttempts(w, true)
 	}
 }
@@ -215,10 +218,10 @@
 			continue
 		}
 		lost.confirmed = verdict == workload.VerdictDone
-		carriedOut := lost.confirmed || verdict == workload.VerdictUnknown || lost.startsSent > 1
+		mayHaveStarted := lost.confirmed || verdict == workload.VerdictUnknown || lost.startsSent > 1
 		w.lostAttempts = append(w.lostAttempts[:i], w.lostAttempts[i+1:]...)
 		switch {
-		case !carriedOut:
+		case !mayHaveStarted:
 			c.settleLostAttempt(lost, false)
 		case w.replaced:
 			c.settleLostAttempt(lost, true)
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -10,7 +10,7 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// crashBench is a bench with tasks that crash the worker that starts them. After a while
+// crashBench is a bench with tasks that crash the worker that starts them. After the downtime
 // another incarnation of the worker answers at its address. All other runs complete.
 type crashBench struct {
 	*bench
@@ -171,7 +171,7 @@
 	c.add(independentJob("crashing", 3))
 	c.advance(40 * time.Second)
 	task := workload.TaskID{Job: "crashing"}
-	assert.Assert(t, c.crashesOf[task] <= 3, "%d workers were taken down", c.crashesOf[task])
+	assert.Assert(t, c.crashesOf[task] <= 3, "%d workers crashed", c.crashesOf[task])
 	assert.Equal(t, c.startsOf[task], c.crashesOf[task])
 	assert.Equal(t, c.finalState("crashing"), FinalFailed)
 }
@@ -449,10 +449,10 @@
 	c := newCrashBench(t, 12, taskIs("crashing", 0))
 	c.add(independentJob("crashing", 1))
 	task := workload.TaskID{Job: "crashing"}
-	lost := 0
+	starts := 0
 	c.dropAnswer = func(o workload.Order) bool {
-		lost++
-		return o.Task == task && lost%2 == 0
+		starts++
+		return o.Task == task && starts%2 == 0
 	}
 	c.advance(time.Minute)
 	assert.Equal(t, c.finalState("crashing"), FinalFailed)
--- a/internal/dispatch/drain_test.go
+++ b/internal/dispatch/drain_test.go
@@ -41,13 +41,13 @@
 		// runningTasks is the number of tasks that run two seconds later.
 		runningTasks int
 	}{
-		"a gang runs in the other zones":                 {[]string{"zone-0"}, wide("j", "batch", 20), 20},
-		"a gang larger than the other zones waits whole": {[]string{"zone-0"}, wide("j", "batch", 21), 0},
-		"urgent work waits too":                          {[]string{"zone-0"}, wide("j", "urgent", 21), 0},
-		"tasks without a gang fill the other zones":      {[]string{"zone-0"}, singleJob("j", "batch", "other", 40, 8), 20},
-		"two zones at once":                              {[]string{"zone-0", "zone-2"}, wide("j", "batch", 10), 10},
-		"all zones":                                      {[]string{"zone-0", "zone-1", "zone-2"}, wide("j", "urgent", 1), 0},
-		"an unknown zone has no effect":                  {[]string{"elsewhere"}, wide("j", "batch", 30), 30},
+		"a gang runs in the other zones":                         {[]string{"zone-0"}, wide("j", "batch", 20), 20},
+		"no member of a gang larger than the other zones starts": {[]string{"zone-0"}, wide("j", "batch", 21), 0},
+		"urgent work waits too":                                  {[]string{"zone-0"}, wide("j", "urgent", 21), 0},
+		"tasks without a gang fill the other zones":              {[]string{"zone-0"}, singleJob("j", "batch", "other", 40, 8), 20},
+		"two zones at once":                                      {[]string{"zone-0", "zone-2"}, wide("j", "batch", 10), 10},
+		"all zones":                                              {[]string{"zone-0", "zone-1", "zone-2"}, wide("j", "urgent", 1), 0},
+		"an unknown zone has no effect":                          {[]string{"elsewhere"}, wide("j", "batch", 30), 30},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newZonedBench(t)
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -12,8 +12,8 @@
 // declarations would be lost. Each source is therefore weighted by its observed variance.
 type estimates struct {
 	histories map[string]*history
-	// observations counts observations: a computed duration is valid until the next one.
-	// Computing it for every run in every round took a fifth of the round's time.
+	// observations counts observations and applied tunings: a computed duration is valid until
+	// the next one. Computing it for every run in every round took a fifth of the round's time.
 	observations uint64
 	// trustDeclared disables the corrections.
 	trustDeclared bool
--- a/internal/dispatch/evacuate.go
+++ b/internal/dispatch/evacuate.go
@@ -20,16 +20,17 @@
 			continue
 		}
 		timeLeft := w.leavesAt.Sub(c.now)
-		leaving := w.sortedRuns(func(r *run) bool { return r.state == stRunRunning && c.shouldEvacuate(r, timeLeft) })
-		for _, r := range leaving {
+		toStop := w.sortedRuns(func(r *run) bool { return r.state == stRunRunning && c.shouldEvacuate(r, timeLeft) })
+		for _, r := range toStop {
 			c.stop(r, "its worker leaves")
 		}
 	}
 }
 
-// shouldEvacuate reports whether a run on a leaving worker should be stopped now.
-// Checkpointable work that may still finish is stopped at the last moment; other work is
-// restarted elsewhere immediately if it will clearly not finish here.
+// shouldEvacuate reports whether a run on a leaving worker should be stopped now. Long-running work
+// is stopped at the last moment. Work with checkpoints is stopped as soon as it is not expected to
+// finish here, and at the last moment if it might not finish in time. Other work loses its
+// progress and is therefore stopped only if it will clearly not finish here.
 func (c *Core) shouldEvacuate(r *run, timeLeft time.Duration) bool {
 	s := r.task.step.spec
 	lastChance := timeLeft <= c.bounds.StopTime+evacuationMargin
@@ -43,7 +44,7 @@
 	return remaining > overrunFactor*timeLeft+c.bounds.StopTime
 }
 
-// overrunFactor is how many times the remaining time on the worker a run's expected remaining
-// time must exceed before work without checkpoints is stopped: estimates are wrong by up to
+// overrunFactor is the multiple of the time left on the worker that the expected remaining time of
+// a run without checkpoints must exceed for the run to be stopped: estimates are wrong by up to
 // half.
 const overrunFactor = 2
--- a/internal/dispatch/fit.go
+++ b/internal/dispatch/fit.go
@@ -59,8 +59,8 @@
 // slots returns the number of the step's tasks that a worker can hold.
 func (c *Core) slots(u *pendingStep, r *workerCapacity, free workload.Resources) int64 {
 	limit := int64(len(u.tasks))
-	if most := u.step.spec.MaxPerWorker; most > 0 {
-		limit = min(limit, int64(most-c.runsOf(u.step, r.worker)))
+	if maxPerWorker := u.step.spec.MaxPerWorker; maxPerWorker > 0 {
+		limit = min(limit, int64(maxPerWorker-c.runsOf(u.step, r.worker)))
 	}
 	return max(free.Fits(u.step.spec.Counted(), limit), 0)
 }
--- a/internal/dispatch/flapping.go
+++ b/internal/dispatch/flapping.go
@@ -18,7 +18,8 @@
 	// flappingAfter is the number of crashes within crashMemory after which a machine gets no
 	// new work.
 	flappingAfter = 2
-	// maxFlappingDivisor limits the excluded workers to one in this many of a pool.
+	// maxFlappingDivisor limits the exclusion: if more than one in this many workers of a pool is
+	// flapping, none is excluded.
 	maxFlappingDivisor = 4
 	// outageMinMachines is the number of machines that must crash within outageWindow of a
 	// crash for it to count as part of an outage.
@@ -100,9 +101,9 @@
 	return count
 }
 
-// markFlapping marks the workers whose machine crashed repeatedly under tasks that did not fail
-// permanently for it. If there are many, the cause lies outside the machines and none is
-// excluded.
+// markFlapping marks the workers whose machine crashed repeatedly, not counting crashes that were
+// attributed to a task that failed permanently. If there are many, the cause lies outside the
+// machines and none is excluded.
 func (c *Core) markFlapping(pools map[string][]*workerCapacity) {
 	if len(c.machineCrashes) == 0 || !c.enabled(MechFlappingWorkers) {
 		return
--- a/internal/dispatch/headroom.go
+++ b/internal/dispatch/headroom.go
@@ -11,8 +11,8 @@
 // Headroom serves deployments with bursts of urgent work and batch work that would fill every
 // worker. Without it each urgent gang that needs whole workers preempts batch tasks that were
 // started moments ago, lose their work, and are preempted again by the next gang: on a full
-// deployment a third of all starts ended this way. Some whole workers therefore stay free for
-// urgent work as long as there is any.
+// deployment a third of all starts ended this way. Some whole workers are therefore kept free, in
+// proportion to the recent use by urgent work.
 const (
 	// headroomFactor scales the recent urgent usage that capacity is kept for: the usage varies
 	// by about a third between bursts.
@@ -40,15 +40,15 @@
 	}
 }
 
-// mayNotUseHeadroom reports whether the step must not use the workers kept for urgent work: it
-// is not urgent, and loses its work if preempted.
-func (c *Core) mayNotUseHeadroom(u *pendingStep) bool {
+// mustAvoidHeadroom reports whether the step must not use the workers kept for urgent work: it is
+// not in a queue of the highest priority, and loses its work if preempted.
+func (c *Core) mustAvoidHeadroom(u *pendingStep) bool {
 	s := u.step.spec
 	return u.queue.Priority != 0 && !s.Lasting && !s.Checkpoints
 }
 
-// excludeHeadroom removes the workers that are kept for urgent work, out of those that run
-// nothing else.
+// excludeHeadroom returns the workers without those that are kept for urgent work. Only workers
+// that run nothing but urgent work, or nothing at all, are kept.
 func (c *Core) excludeHeadroom(pool string, workers []*workerCapacity) []*workerCapacity {
 	if loadOf(workers) < c.numberOr(NumHeadroomMinLoad, headroomMinLoad) {
 		return workers
--- a/internal/dispatch/infeasible.go
+++ b/internal/dispatch/infeasible.go
@@ -43,21 +43,21 @@
 	}
 	return shape{
 		pool: u.queue.Pool, label: s.Label, dataRack: s.DataRack, need: s.Counted(), gang: s.Gang, oneRack: s.OneRack,
-		serving: s.TargetMS > 0, noHeadroom: c.mayNotUseHeadroom(u), class: u.rank.class,
+		serving: s.TargetMS > 0, noHeadroom: c.mustAvoidHeadroom(u), class: u.rank.class,
 	}, true
 }
 
 // rulesOut reports whether a step will find no capacity because one that needed no more found
 // none. For single tasks one failure is enough.
 func (n infeasible) rulesOut(s shape, u *pendingStep) bool {
-	found, known := n[s]
-	return known && u.duration >= found.duration && (!s.gang || len(u.tasks) >= found.tasks)
+	smallest, known := n[s]
+	return known && u.duration >= smallest.duration && (!s.gang || len(u.tasks) >= smallest.tasks)
 }
 
 // record records that a step found no capacity, not even capacity that is being freed.
 func (n infeasible) record(s shape, u *pendingStep) {
-	found, known := n[s]
-	if !known || len(u.tasks) <= found.tasks && u.duration <= found.duration {
+	smallest, known := n[s]
+	if !known || len(u.tasks) <= smallest.tasks && u.duration <= smallest.duration {
 		n[s] = infeasibleDemand{len(u.tasks), u.duration}
 	}
 }
--- a/internal/dispatch/jobs.go
+++ b/internal/dispatch/jobs.go
@@ -21,11 +21,11 @@
 	// readySince is the time from which the step could run, or zero while it cannot.
 	readySince time.Time
 	started    bool
-	// waitReason is the reason why the step waits, as of waitReasonAt.
-	waitReason   string
-	waitReasonAt time.Time
-	// duration is the expected run time of a task, computed from the first durationAsOf
-	// observations.
+	// loggedCause is the cause of the step's wait that was last logged, at loggedCauseAt.
+	loggedCause   string
+	loggedCauseAt time.Time
+	// duration is the expected run time of a task, valid while estimates.observations equals
+	// durationAsOf.
 	duration     time.Duration
 	durationAsOf uint64
 	// claim is where an urgent gang will start once the runs there have ended.
@@ -47,7 +47,8 @@
 type gang struct {
 	attempt int64
 	runs    int
-	// interrupted is set while the gang's remaining members are being stopped.
+	// interrupted is set once the gang's remaining members are being stopped, done once one of
+	// its members has completed.
 	interrupted bool
 	done        bool
 }
@@ -73,7 +74,9 @@
 	hasEarlierAttempts bool
 	// guaranteed is set if the job lies within its account's guarantee.
 	guaranteed bool
-	receivedAt time.Time
+	// acceptedAt is the time of acceptance on this instance's clock, or the time at which this
+	// epoch received the job if its acceptance time is not trusted.
+	acceptedAt time.Time
 }
 
 // AddJob adds an accepted job with its record. Adding a known job again changes nothing.
@@ -82,10 +85,10 @@
 	if c.jobs[accepted.ID] != nil {
 		return
 	}
-	j := &job{Job: accepted, record: record.clone(), startIntentStored: record.Began, receivedAt: now}
+	j := &job{Job: accepted, record: record.clone(), startIntentStored: record.Began, acceptedAt: now}
 	j.fromEarlierEpoch = !c.earlierOrdersUntil.IsZero() && !now.After(c.earlierOrdersUntil) && (record.Began || !c.trustStartIntents)
 	if age := wallMS - accepted.AcceptedMS; age > 0 && age < maxJobAge.Milliseconds() {
-		j.receivedAt = now.Add(-time.Duration(age) * time.Millisecond)
+		j.acceptedAt = now.Add(-time.Duration(age) * time.Millisecond)
 	}
 	c.jobs[accepted.ID] = j
 	if record.Final != "" {
@@ -127,7 +130,8 @@
 	return workload.TaskID{Job: t.step.job.ID, Occurrence: t.step.occurrence, Step: t.step.number, Index: t.index}
 }
 
-// recordKey returns the task's key in the record; all members of a gang share one.
+// recordKey returns the key of the task's failures and checkpoints in the record; all members of
+// a gang share one.
 func (t *task) recordKey() string {
 	if t.step.spec.Gang {
 		return stepKey(t.step.occurrence, t.step.number)
@@ -188,7 +192,8 @@
 
 // Unpersisted is a job record that is not stored yet.
 type Unpersisted struct {
-	Job    string
+	Job string
+	// Change is the revision of the record.
 	Change uint64
 	Record []byte
 	Final  Final
@@ -218,12 +223,12 @@
 	return list
 }
 
-// EndedUnpersisted returns the jobs that have been final for at least the given time and whose
-// record is not stored yet.
-func (c *Core) EndedUnpersisted(since time.Duration) []Unpersisted {
+// EndedUnpersisted returns the records, not stored yet, of jobs that have been final for at least
+// minAge.
+func (c *Core) EndedUnpersisted(minAge time.Duration) []Unpersisted {
 	var list []Unpersisted
 	for _, j := range c.dirty {
-		if j.record.Final != "" && c.wallMS-j.record.EndedMS >= since.Milliseconds() {
+		if j.record.Final != "" && c.wallMS-j.record.EndedMS >= minAge.Milliseconds() {
 			list = append(list, Unpersisted{Job: j.ID, Change: j.revision, Record: j.record.Encode(), Final: j.record.Final, Began: j.record.Began})
 		}
 	}
--- a/internal/dispatch/leases.go
+++ b/internal/dispatch/leases.go
@@ -56,7 +56,7 @@
 			c.unstore(w)
 		}
 		if !w.unlistedSince.IsZero() && len(w.runs)+len(w.unknownRuns) == 0 && c.now.Sub(w.unlistedSince) > maxElapsed(c.bounds.LongestLease) &&
-			(w.synced || !c.now.Before(c.definitelyStopped)) {
+			(w.synced || !c.now.Before(c.definitelyStoppedAt)) {
 			c.recordLostUnsynced(w)
 			c.unstore(w)
 			c.settleLostAttempts(w, true)
@@ -96,7 +96,7 @@
 // earlier one; jobs from that time wait for them.
 func (c *Core) Unsynced() []string {
 	var list []string
-	if !c.now.Before(c.definitelyStopped) {
+	if !c.now.Before(c.definitelyStoppedAt) {
 		return nil
 	}
 	for _, w := range c.fleet {
@@ -111,8 +111,8 @@
 // answered this one. Workers that are not in the stored table never get work.
 func (w *worker) mayRunUnsynced() bool { return !w.synced && w.stored }
 
-// Synced reports whether no worker is waited for: every listed worker has answered and all runs
-// are known.
+// Synced reports whether no worker is waited for: every listed worker has answered this epoch and
+// its last call, and all runs are known.
 func (c *Core) Synced() bool {
 	for _, w := range c.fleet {
 		listed := w.unlistedSince.IsZero()
@@ -139,7 +139,7 @@
 func (u *unsyncedWorkers) any(c *Core) bool {
 	if u.asOf != c.sequence {
 		u.asOf = c.sequence
-		u.found = c.now.Before(c.definitelyStopped) && slices.ContainsFunc(c.fleet, (*worker).mayRunUnsynced)
+		u.found = c.now.Before(c.definitelyStoppedAt) && slices.ContainsFunc(c.fleet, (*worker).mayRunUnsynced)
 	}
 	return u.found
 }
--- a/internal/dispatch/order.go
+++ b/internal/dispatch/order.go
@@ -41,10 +41,11 @@
 const (
 	// onTime jobs can meet their objective.
 	onTime timeliness = iota
-	// late jobs can only end before three times their objective and have at most a third of
-	// their value.
+	// late jobs miss their objective but can still end within three times of it. They have at
+	// most a third of their value.
 	late
-	// worthless jobs cannot end before that. They run when nothing else needs the capacity.
+	// worthless jobs cannot end within three times their objective. They run when nothing else
+	// needs the capacity.
 	worthless
 )
 
@@ -74,7 +75,7 @@
 const lateFactor = 3
 
 // Waiting returns the number of steps that could run but waited in the last round, by the
-// priority of their queue.
+// priority of their queue. It does not include steps that the start window held back.
 func (c *Core) Waiting() map[int]int { return c.waiting }
 
 // pendingSteps returns the steps that could run now, most important first.
@@ -96,7 +97,7 @@
 		}
 		q := c.config.Queue(j.Queue)
 		if q == nil || j.record.Final != "" {
-			continue // its queue was removed, so its pool is unknown
+			continue // its queue was removed, so its pool is unknown, or counting its crashes failed it
 		}
 		list = c.pendingStepsOf(list, j, q)
 	}
@@ -109,8 +110,8 @@
 	return list
 }
 
-// blockedCause returns why no task of a job may start although it could run, or an empty
-// string: a run that this epoch has not seen may still be in progress.
+// blockedCause returns why no task of a job may start, or an empty string if they may. A job is
+// blocked while a run of it that this epoch does not track may still be in progress.
 func (c *Core) blockedCause(j *job, unknownRuns map[string]bool) string {
 	switch {
 	case unknownRuns[j.ID]:
@@ -174,11 +175,11 @@
 }
 
 // earliestStart returns the time from which the latency objective counts: when the job was
-// received or the occurrence became due.
+// accepted or the occurrence became due.
 func (c *Core) earliestStart(s *step) time.Time {
 	j := s.job
 	if j.Times == 0 {
-		return j.receivedAt
+		return j.acceptedAt
 	}
 	due := j.FirstMS + int64(s.occurrence)*j.EveryMS
 	return c.now.Add(time.Duration(due-c.wallMS) * time.Millisecond)
@@ -216,8 +217,9 @@
 	return true
 }
 
-// markGuaranteed marks the jobs that lie within their client account's guarantee: jobs of the
-// highest priority, in the order of acceptance, as long as their sum fits.
+// markGuaranteed marks the jobs that lie within their client account's guarantee. It considers
+// jobs of the highest priority in the order of acceptance, skips those that do not fit together
+// with the jobs already marked, and counts accelerators only.
 func (c *Core) markGuaranteed() {
 	guaranteed := make(map[string]int64)
 	for _, j := range c.queue {
@@ -234,8 +236,8 @@
 	}
 }
 
-// accelerators returns the maximum number of accelerators that the job's open steps need at
-// once.
+// accelerators returns the number of accelerators that all open tasks of the job would need
+// together, including those of steps that cannot run at the same time.
 func (j *job) accelerators() int64 {
 	var sum int64
 	for _, s := range j.steps {
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -25,9 +25,11 @@
 	// attemptRecorded is set if the store has this attempt as possibly running.
 	attemptRecorded bool
 	need            workload.Resources
-	since           time.Time
+	// since is the time at which this epoch ordered or adopted the run.
+	since time.Time
 	// settledAfter is the sequence from which a poll reliably reflects the run's start (if
-	// running) or its stop (if stopping or unclear).
+	// running) or its stop (if stopping or unclear). It is zero until an answer settles one of
+	// them.
 	settledAfter uint64
 	// order is the start until it is answered, and startsSent the number of times it was sent.
 	order      *workload.Order
@@ -35,8 +37,9 @@
 	// stopsSent is the number of times a stop was sent, most recently at stopSentAt.
 	stopsSent  int
 	stopSentAt time.Time
-	reason     string
-	percent    int
+	stopReason string
+	// percent is the highest progress that the worker has reported.
+	percent int
 	// initialPercent is above zero for a run that was adopted in progress; its total run time
 	// is unknown.
 	initialPercent int
@@ -49,7 +52,7 @@
 		task: t, worker: w, attempt: attempt, state: runChart.Initial, gang: g, need: t.step.spec.Counted(), since: c.now,
 		checkpoint: t.step.job.record.Checkpoints[t.recordKey()],
 	}
-	r.attemptRecorded = t.takeReservedAttempt(attempt)
+	r.attemptRecorded = t.consumeReservedAttempt(attempt)
 	c.attach(r)
 	c.pendingStarts = append(c.pendingStarts, r)
 	until := w.estimatedClock(c.now) + startValidity.Milliseconds()
@@ -122,7 +125,7 @@
 	if r.stopping() {
 		return
 	}
-	r.reason = reason
+	r.stopReason = reason
 	r.transition(runStop)
 	c.sendStop(r)
 }
@@ -130,7 +133,7 @@
 func (c *Core) sendStop(r *run) {
 	r.stopSentAt = c.now
 	r.stopsSent++
-	c.actions = append(c.actions, Action{Kind: ActStop, Reason: r.reason, Order: workload.Order{
+	c.actions = append(c.actions, Action{Kind: ActStop, Reason: r.stopReason, Order: workload.Order{
 		Worker: r.worker.ID, Addr: r.worker.Addr, Zone: r.worker.Zone, Task: r.task.id(), Attempt: r.attempt, Epoch: c.epoch,
 	}})
 }
@@ -175,36 +178,36 @@
 	case workload.VerdictFenced:
 		c.fenced = true
 	case workload.VerdictGone:
-		c.handleRejectedStart(r, "start not sent: its worker was replaced")
+		c.settleRejectedStart(r, "start not sent: its worker was replaced")
 		c.workerReplaced(w)
 	case workload.VerdictNoTicket:
 		delete(r.task.step.advice.tickets, w.ID)
-		c.handleRejectedStart(r, "start rejected: "+receipt.Verdict.String())
+		c.settleRejectedStart(r, "start rejected: "+receipt.Verdict.String())
 	case workload.VerdictUnsent, workload.VerdictClosed:
 		c.recordMiss(w)
-		c.handleRejectedStart(r, "start not sent: "+receipt.Verdict.String())
+		c.settleRejectedStart(r, "start not sent: "+receipt.Verdict.String())
 	default:
-		w.refused(now)
-		c.handleRejectedStart(r, "start rejected: "+receipt.Verdict.String())
+		w.recordRefusal(now)
+		c.settleRejectedStart(r, "start rejected: "+receipt.Verdict.String())
 	}
 }
 
-// markUnclear marks a run that may have started or may still start. Its capacity stays in use
-// until a stop has closed the attempt.
+// markUnclear marks a run as unclear: it may have started, may still start, or may have ended. Its
+// capacity stays in use until a stop has closed the attempt.
 func (c *Core) markUnclear(r *run, reason string) {
 	alreadyStopping := r.stopping()
 	r.transition(runUnanswered)
 	c.interruptGang(r, reason)
 	if !alreadyStopping {
-		r.reason = reason
+		r.stopReason = reason
 		c.sendStop(r)
 	}
 }
 
-// handleRejectedStart removes a run whose start was definitely not carried out. If the start
+// settleRejectedStart removes a run whose start was definitely not carried out. If the start
 // was sent twice, the other message may have been or may still be carried out, so a stop has to
 // close the attempt.
-func (c *Core) handleRejectedStart(r *run, reason string) {
+func (c *Core) settleRejectedStart(r *run, reason string) {
 	switch {
 	case r.startsSent <= 1:
 		c.interruptGang(r, reason)
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -55,10 +55,10 @@
 	}
 	stepShape, cacheable := c.shapeOf(u)
 	if cacheable && !mayReserve && c.infeasible.rulesOut(stepShape, u) {
-		c.recordReason(u, reasonNoCapacity)
+		c.recordReason(u, causeNoCapacity)
 		return false
 	}
-	if c.mayNotUseHeadroom(u) && c.enabled(MechHeadroom) {
+	if c.mustAvoidHeadroom(u) && c.enabled(MechHeadroom) {
 		workers = c.excludeHeadroom(u.queue.Pool, workers)
 	}
 	workers = c.workersWithTicket(u, c.eligible(u, workers))
@@ -72,7 +72,7 @@
 		return true
 	}
 	cause := c.arrangeCapacity(u, workers, offRack, mayReserve)
-	if cacheable && (cause == reasonNoCapacity || cause == reasonNoRackCapacity) {
+	if cacheable && (cause == causeNoCapacity || cause == causeNoRackCapacity) {
 		c.infeasible.record(stepShape, u)
 	}
 	c.recordReason(u, cause)
@@ -81,8 +81,8 @@
 
 // The causes of a wait that apply to all steps of a shape.
 const (
-	reasonNoCapacity     = "no room"
-	reasonNoRackCapacity = "no room where it belongs"
+	causeNoCapacity     = "no room"
+	causeNoRackCapacity = "no room where it belongs"
 )
 
 // placeClaimed starts a gang in its claimed capacity once all of it is free.
@@ -97,7 +97,7 @@
 		c.startOrStore(u, u.claimedCapacity)
 		return true
 	}
-	takeCapacity(u, u.claimedCapacity)
+	holdCapacity(u, u.claimedCapacity)
 	c.recordReason(u, "room is being freed")
 	return false
 }
@@ -108,7 +108,7 @@
 	futurePlaces := c.findPlaces(u, workers, offRack, func(r *workerCapacity) workload.Resources { return r.freeSoon })
 	switch {
 	case len(futurePlaces) == len(u.tasks):
-		takeCapacity(u, futurePlaces)
+		holdCapacity(u, futurePlaces)
 		if u.rank.urgent() {
 			c.awaitsStartIntent(u.step.job) // store it now, so that the start does not wait for it later
 			c.claimCapacity(u, claimedPlaces(futurePlaces))
@@ -127,9 +127,9 @@
 	case mayReserve && u.step.spec.Gang && c.enabled(MechReservations) && c.reserveEarliest(u, workers, offRack):
 		return "room is kept for it"
 	case !offRack:
-		return reasonNoRackCapacity
+		return causeNoRackCapacity
 	}
-	return reasonNoCapacity
+	return causeNoCapacity
 }
 
 // startAt starts the first tasks of a step, one on each entry of places.
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -26,10 +26,11 @@
 	stored, storedLeaving bool
 	used                  workload.Resources
 	runs                  map[runKey]*run
-	// unknownRuns holds runs of finished or unknown jobs: they were told to stop, and use
-	// capacity until the worker no longer lists them.
+	// unknownRuns holds runs of finished or unknown jobs: they were ordered to stop, and
+	// use capacity until the worker no longer lists them.
 	unknownRuns map[runKey]workload.Resources
-	// clockMS was read from the worker no later than clockAt.
+	// clockMS is the last sample of the worker's clock, taken no later than clockAt on this
+	// instance's clock.
 	clockMS int64
 	clockAt time.Time
 	// leaseUntilMS is the latest time, on the worker's clock, until which anything may run on
@@ -42,19 +43,22 @@
 	// lostAttempts are runs that were lost with the worker and whose outcome is not known yet.
 	lostAttempts []lostAttempt
 	// lastContact is the time of the last answer.
-	lastContact      time.Time
+	lastContact time.Time
+	// polling is set while a poll is in flight, quickPolling while an additional quick poll is.
 	polling          bool
-	quick            bool
+	quickPolling     bool
 	wantPoll         bool
 	nextPollAt       time.Time
 	lastPollSequence uint64
 	// unlistedSince is the time at which the platform stopped listing the worker.
 	unlistedSince time.Time
 	// leavesAt is the earliest time at which a leaving worker terminates.
-	leavesAt     time.Time
+	leavesAt time.Time
+	// holdOffUntil is the time until which the worker gets no new work.
 	holdOffUntil time.Time
-	misses       int
-	health       health
+	// misses is the number of calls that failed since the last answered poll.
+	misses int
+	health health
 }
 
 // unpersistedCompletion is a completion that must not be acknowledged before its job's record
@@ -75,7 +79,7 @@
 	leavingWorkerLease = 4 * time.Second
 	// pollRetryPause is the pause after an unanswered poll.
 	pollRetryPause = 300 * time.Millisecond
-	// refusalHoldOff is how long a worker that refused a start gets no other.
+	// refusalHoldOff is how long a worker that refused a start gets no further starts.
 	refusalHoldOff = 300 * time.Millisecond
 )
 
@@ -110,7 +114,7 @@
 	return w.synced && w.stored && !w.Leaving && w.unlistedSince.IsZero() && !now.Before(w.holdOffUntil) && w.misses == 0
 }
 
-func (w *worker) refused(now time.Time) { w.holdOffUntil = now.Add(refusalHoldOff) }
+func (w *worker) recordRefusal(now time.Time) { w.holdOffUntil = now.Add(refusalHoldOff) }
 
 func (w *worker) recordMiss(now time.Time) {
 	w.misses++
@@ -118,14 +122,15 @@
 	w.wantPoll = true
 }
 
-// sendPolls emits the polls that are due: a long poll at each worker that runs something, and a
-// quick one concurrently to settle stops.
+// sendPolls emits the polls that are due: a long poll to each worker that runs something, and a
+// quick one concurrently if an answer is needed sooner, to settle a stop or because the worker is
+// suspect. Workers that run nothing get only polls that they answer immediately.
 func (c *Core) sendPolls() {
 	var due []duePoll
 	for _, w := range c.fleet {
 		switch {
 		case w.polling:
-			if (w.wantPoll || c.isSuspect(w)) && !w.quick && !c.now.Before(w.nextPollAt) {
+			if (w.wantPoll || c.isSuspect(w)) && !w.quickPolling && !c.now.Before(w.nextPollAt) {
 				due = append(due, duePoll{w, true})
 			}
 		case c.now.Before(w.nextPollAt):
@@ -175,7 +180,7 @@
 		return
 	}
 	if sent.Quick {
-		w.quick = false
+		w.quickPolling = false
 	} else {
 		w.polling = false
 	}
@@ -271,7 +276,7 @@
 }
 
 // pollBeforeWork schedules a poll of a worker whose free capacity is unknown, and withholds new
-// work until then.
+// work until shortly after it.
 func (c *Core) pollBeforeWork(w *worker) {
 	c.pollSoon(w)
 	w.holdOffUntil = c.now.Add(unknownRunPollDelay + refusalHoldOff)
@@ -318,7 +323,7 @@
 		r.gang = c.adoptedGang(t.step, running.Attempt)
 	}
 	surplus := t.done || len(t.runs) > 0 || t.step.job.record.Final != "" || running.Attempt > c.epoch*attemptsPerEpoch
-	r.attemptRecorded = t.takeEarlierAttempt(running.Attempt)
+	r.attemptRecorded = t.removeEarlierAttempt(running.Attempt)
 	c.attach(r)
 	if surplus {
 		c.stop(r, "surplus run")
--- a/internal/dispatch/pollwindow.go
+++ b/internal/dispatch/pollwindow.go
@@ -89,7 +89,7 @@
 func (c *Core) sendImmediatePoll(d duePoll, class pollClass) {
 	d.worker.wantPoll = false
 	if d.quick {
-		d.worker.quick = true
+		d.worker.quickPolling = true
 	}
 	c.sendPoll(d.worker, 0, d.quick)
 	action := &c.actions[len(c.actions)-1]
--- a/internal/dispatch/rack.go
+++ b/internal/dispatch/rack.go
@@ -6,13 +6,13 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// Gangs bound to one rack, and tasks with data on a rack, run several times as long elsewhere,
-// miss their objective, and use the capacity of as many others meanwhile. On a nearly full
-// deployment they therefore wait for their rack as long as it is expected to have capacity.
-// Releasing them once they have waited for the time that they would lose elsewhere would
-// release nearly all of them under the highest load.
+// Gangs bound to one rack, and tasks with data on a rack, run several times as long elsewhere:
+// they miss their objective and occupy capacity that several others could have used. On a nearly
+// full deployment they therefore wait for their rack as long as it is expected to have capacity.
+// Releasing them once they have waited for the time that they would lose elsewhere would release
+// nearly all of them under the highest load.
 
-// reclaimMargin is reserved from the reclaim bound: it covers the preemption, the orders, and
+// reclaimMargin is the part of the reclaim bound that is kept for the preemption, the orders, and
 // one resent order.
 const reclaimMargin = 1200 * time.Millisecond
 
--- a/internal/dispatch/reasons.go
+++ b/internal/dispatch/reasons.go
@@ -25,7 +25,7 @@
 	}
 	reason := fmt.Sprintf("%s%s; rank %d, due in %d ms, waited %d ms, %d tasks of about %d ms", cause, c.drainedSuffix(u.queue.Pool), u.rank.class,
 		u.dueBy.Sub(c.now).Milliseconds(), c.now.Sub(s.readySince).Milliseconds(), len(u.tasks), u.duration.Milliseconds())
-	c.recordReasonOf(s, cause, reason)
+	c.emitReason(s, cause, reason)
 }
 
 // recordBlocked logs why no step of a job may start.
@@ -33,7 +33,7 @@
 	if j.runs > 0 || len(j.steps) == 0 || !c.isReasonDue(j.steps[0], cause) {
 		return
 	}
-	c.recordReasonOf(j.steps[0], cause, fmt.Sprintf("%s; waited %d ms", cause, c.now.Sub(j.receivedAt).Milliseconds()))
+	c.emitReason(j.steps[0], cause, fmt.Sprintf("%s; waited %d ms", cause, c.now.Sub(j.acceptedAt).Milliseconds()))
 }
 
 // reportLostRun emits an action that describes how a run was lost.
@@ -46,12 +46,13 @@
 }
 
 func (c *Core) isReasonDue(s *step, cause string) bool {
-	since := c.now.Sub(s.waitReasonAt)
-	return since >= reasonInterval || cause != s.waitReason && since >= changedReasonInterval
+	since := c.now.Sub(s.loggedCauseAt)
+	return since >= reasonInterval || cause != s.loggedCause && since >= changedReasonInterval
 }
 
-func (c *Core) recordReasonOf(s *step, cause, reason string) {
-	s.waitReason, s.waitReasonAt = cause, c.now
+// emitReason emits an action that logs why a step waits.
+func (c *Core) emitReason(s *step, cause, reason string) {
+	s.loggedCause, s.loggedCauseAt = cause, c.now
 	task := workload.TaskID{Job: s.job.ID, Occurrence: s.occurrence, Step: s.number}
 	c.actions = append(c.actions, Action{Kind: ActReason, Reason: reason, Order: workload.Order{Task: task, Epoch: c.epoch}})
 }
--- a/internal/dispatch/recorded.go
+++ b/internal/dispatch/recorded.go
@@ -30,8 +30,8 @@
 	c.markChanged(t.step.job)
 }
 
-// countEarlierAttempts counts attempts that an earlier leader recorded and that no worker lists
-// as crashes. Call it once all workers have answered or their leases have expired.
+// countEarlierAttempts counts as crashes the attempts that an earlier leader recorded and that no
+// worker lists. Call it once all workers have answered or their leases have expired.
 func (c *Core) countEarlierAttempts(j *job) {
 	j.hasEarlierAttempts = false
 	for _, s := range j.steps {
@@ -48,9 +48,9 @@
 	}
 }
 
-// takeEarlierAttempt reports whether an attempt was recorded by an earlier leader and is seen
-// for the first time.
-func (t *task) takeEarlierAttempt(attempt int64) bool {
+// removeEarlierAttempt removes an attempt from those that earlier leaders recorded and this one has
+// not seen yet, and reports whether it was among them.
+func (t *task) removeEarlierAttempt(attempt int64) bool {
 	if t.crashes == nil {
 		return false
 	}
@@ -71,7 +71,7 @@
 // endUnsyncedWait calls recordLostUnsynced, once, for the workers that are no longer waited
 // for.
 func (c *Core) endUnsyncedWait() {
-	if c.unsyncedWaitEnded || c.now.Before(c.definitelyStopped) {
+	if c.unsyncedWaitEnded || c.now.Before(c.definitelyStoppedAt) {
 		return
 	}
 	c.unsyncedWaitEnded = true
@@ -131,12 +131,12 @@
 			return
 		}
 	}
-	takeCapacity(u, places)
+	holdCapacity(u, places)
 }
 
-// takeReservedAttempt reports whether an attempt is the one reserved for a task, and clears the
+// consumeReservedAttempt reports whether an attempt is the one reserved for a task, and clears the
 // reservation.
-func (t *task) takeReservedAttempt(attempt int64) bool {
+func (t *task) consumeReservedAttempt(attempt int64) bool {
 	if t.crashes == nil || t.crashes.reservedAttempt != attempt {
 		return false
 	}
--- a/internal/dispatch/repeat.go
+++ b/internal/dispatch/repeat.go
@@ -11,7 +11,7 @@
 // and an attempt closed by a stop stays closed.
 
 const (
-	// resendAfter is how long an order may stay unanswered before it is sent again; slow
+	// resendAfter is how long an order may stay unanswered before it is sent again; even slow
 	// workers answer sooner.
 	resendAfter = 120 * time.Millisecond
 	// resendStopAfter is the delay before a stop is sent again if it was resent before or its
@@ -29,7 +29,7 @@
 
 func (b *resendBudget) earn() { *b = min(*b+resendsPerAnswer, maxResends) }
 
-func (b *resendBudget) take() bool {
+func (b *resendBudget) spend() bool {
 	if *b < 1 {
 		return false
 	}
@@ -46,7 +46,7 @@
 		if c.now.Sub(r.since) < c.responseTime.atLeast(resendAfter) {
 			return
 		}
-		if r.startsSent == 1 && r.state == stRunOrdered && !c.isDrained(r.worker) && c.resends.take() {
+		if r.startsSent == 1 && r.state == stRunOrdered && !c.isDrained(r.worker) && c.resends.spend() {
 			c.sendStart(r, "sent again, no answer yet")
 		}
 	}
@@ -69,5 +69,5 @@
 	if waited >= resendStopAfter {
 		return true
 	}
-	return waited >= resendAfter && r.stopsSent == 1 && w.misses == 0 && c.enabled(MechResends) && c.resends.take()
+	return waited >= resendAfter && r.stopsSent == 1 && w.misses == 0 && c.enabled(MechResends) && c.resends.spend()
 }
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -35,8 +35,8 @@
 	return r != nil
 }
 
-// stopMargin is reserved from the time of an urgent step that waits for completions: if the
-// runs do not end, they still have to be stopped.
+// stopMargin, added to the stop time, is how long before its latest start an urgent step ceases to
+// wait for completions: if the runs do not end, they still have to be stopped.
 const stopMargin = 400 * time.Millisecond
 
 // maxWaitAhead, added to the stop time, limits how far ahead completions are trusted when
@@ -75,7 +75,7 @@
 	var best *reservation
 	for _, members := range byRack(workers) {
 		r := c.earliestReservationOn(u, members)
-		if r != nil && (best == nil || r.at.Before(best.at) || r.at.Equal(best.at) && r.workers[0].order < best.workers[0].order) {
+		if r != nil && (best == nil || r.at.Before(best.at) || r.at.Equal(best.at) && r.workers[0].position < best.workers[0].position) {
 			best = r
 		}
 	}
@@ -96,17 +96,17 @@
 		total += c.slots(u, candidate, candidate.freeSoon)
 	}
 	wanted := int64(len(u.tasks))
-	for _, end := range c.releases(u.queue.Pool) {
+	for _, upcoming := range c.releases(u.queue.Pool) {
 		if total >= wanted {
 			break
 		}
-		if end.capacity.lastSearch != c.reservationSearches || end.run.stopping() {
-			continue // not one of the workers, or told to stop in this round
+		if upcoming.capacity.lastSearch != c.reservationSearches || upcoming.run.stopping() {
+			continue // not one of the workers, or ordered to stop in this round
 		}
-		before := c.slots(u, end.capacity, r.futureCapacity[end.capacity])
-		r.futureCapacity[end.capacity] = r.futureCapacity[end.capacity].Add(end.need)
-		total += c.slots(u, end.capacity, r.futureCapacity[end.capacity]) - before
-		r.at = end.at
+		before := c.slots(u, upcoming.capacity, r.futureCapacity[upcoming.capacity])
+		r.futureCapacity[upcoming.capacity] = r.futureCapacity[upcoming.capacity].Add(upcoming.need)
+		total += c.slots(u, upcoming.capacity, r.futureCapacity[upcoming.capacity]) - before
+		r.at = upcoming.at
 	}
 	if total < wanted {
 		return nil
@@ -129,7 +129,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b release) int {
-		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.capacity.order, b.capacity.order))
+		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.capacity.position, b.capacity.position))
 	})
 	if c.upcomingReleases == nil {
 		c.upcomingReleases = make(map[string][]release)
--- a/internal/dispatch/room.go
+++ b/internal/dispatch/room.go
@@ -12,11 +12,11 @@
 // workerCapacity is a worker's capacity during one round of decisions.
 type workerCapacity struct {
 	*worker
-	// free is the capacity that is free now, freeSoon that after the runs being stopped have
-	// ended.
+	// free is the capacity that is free now, freeSoon the capacity that will be free once the
+	// runs being stopped have ended.
 	free, freeSoon workload.Resources
-	// reserved is the capacity that a large step waits for from reservedFrom on; work that ends
-	// earlier may use it.
+	// reserved is the capacity that is reserved for a waiting step from reservedFrom on; work
+	// that ends before reservedFrom may use it.
 	reserved     workload.Resources
 	reservedFrom time.Time
 	// guaranteedUse is the capacity used by work inside a guarantee.
@@ -28,7 +28,8 @@
 	serving, batch int
 	// urgentAccelerators is the number of accelerators used by work of the highest priority.
 	urgentAccelerators int64
-	order              int
+	// position is the worker's index in the default order of its pool.
+	position int
 	// flapping is set if the worker gets no new work because its machine crashed repeatedly.
 	flapping bool
 	// crashSuspects are the jobs on the worker whose tasks lost other workers to crashes.
@@ -64,7 +65,7 @@
 	for _, workers := range pools {
 		slices.SortFunc(workers, c.compareByRack)
 		for i, r := range workers {
-			r.order = i
+			r.position = i
 		}
 	}
 	return pools
@@ -110,9 +111,9 @@
 	return free
 }
 
-// takeCapacity subtracts free capacity, or capacity that is being freed, for a step that waits
-// for it.
-func takeCapacity(u *pendingStep, places []*workerCapacity) {
+// holdCapacity withholds capacity, free or being freed, from other steps for the rest of the round
+// because the given step waits for it. places has one entry per task.
+func holdCapacity(u *pendingStep, places []*workerCapacity) {
 	need := u.step.spec.Counted()
 	for _, r := range places {
 		r.freeSoon = r.freeSoon.Sub(need)
--- a/internal/dispatch/runs.go
+++ b/internal/dispatch/runs.go
@@ -59,7 +59,7 @@
 	r.state = next
 }
 
-// stopping reports whether the run was told to stop, which includes unclear runs.
+// stopping reports whether the run was ordered to stop, which includes unclear runs.
 func (r *run) stopping() bool {
 	return r.state == stRunUnclear || r.state == stRunStopping || r.state == stRunStopped
 }
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -12,8 +12,8 @@
 // healthy one does immediately.
 
 const (
-	// suspectRackAfter is how long an order may stay unanswered before its worker's rack is
-	// suspect; slow workers answer sooner.
+	// suspectRackAfter is how long a start may stay unanswered before its worker's rack is
+	// suspect; even slow workers answer sooner.
 	suspectRackAfter = 120 * time.Millisecond
 	// suspicionSpreadDelay is how long a rack may be suspect without any answer before its zone
 	// is suspect: long enough for a poll of a slow worker.
@@ -21,8 +21,8 @@
 	// suspicionInterval is the minimum time between two suspicions of the same rack or zone, so
 	// that one unresponsive worker does not cause constant polls of its neighbours.
 	suspicionInterval = 1 * time.Second
-	// suspicionLifetime is how long an unanswered suspicion is kept: after it every worker
-	// there has missed a poll of its own.
+	// suspicionLifetime is how long a suspicion is kept: after that time every worker there has
+	// either answered or missed a poll itself.
 	suspicionLifetime = 3 * time.Second
 )
 
@@ -62,7 +62,7 @@
 	c.suspectDomain(w.rackDomain())
 }
 
-// spreadSuspicion marks the racks of unanswered orders as suspect, and the zones of racks
+// spreadSuspicion marks the racks of unanswered starts as suspect, and the zones of suspect racks
 // without any answer, and drops old suspicions.
 func (c *Core) spreadSuspicion() {
 	c.pendingStarts = pruneAnswered(c.pendingStarts)
--- a/internal/dispatch/tuning.go
+++ b/internal/dispatch/tuning.go
@@ -85,7 +85,7 @@
 
 // numberOr returns the tuning's override of a number, or the given constant.
 func (c *Core) numberOr(n Number, constant float64) float64 {
-	if value, replaced := c.tuning.Numbers[n]; replaced {
+	if value, overridden := c.tuning.Numbers[n]; overridden {
 		return value
 	}
 	return constant
@@ -96,7 +96,7 @@
 	c.tuning = t
 	c.policies = newPolicies(t.Choices)
 	c.estimates.trustDeclared = !c.enabled(MechEstimates)
-	c.estimates.observations++
+	c.estimates.observations++ // invalidates the computed durations
 }
 
 // enabled reports whether a mechanism is enabled.
--- a/internal/dispatch/victims.go
+++ b/internal/dispatch/victims.go
@@ -20,7 +20,7 @@
 	plan := c.cheapestPlan(u, workers, offRack)
 	if plan == nil {
 		if !u.step.spec.Gang {
-			takeCapacity(u, futurePlaces)
+			holdCapacity(u, futurePlaces)
 		}
 		return false
 	}
@@ -48,7 +48,8 @@
 	capacity *workerCapacity
 	slots    int64
 	victims  []*run
-	cost     float64
+	// cost is the work lost per slot, in core-seconds.
+	cost float64
 }
 
 // cheapestPlan returns the offers that make the step fit at the lowest cost, or nil if none do.
@@ -92,18 +93,18 @@
 		offers = append(offers, c.offers(u, r)...)
 	}
 	slices.SortStableFunc(offers, func(a, b offer) int {
-		return cmp.Or(c.crashOrder(u, a.capacity, b.capacity), cmp.Compare(a.cost, b.cost), cmp.Compare(a.capacity.order, b.capacity.order))
+		return cmp.Or(c.crashOrder(u, a.capacity, b.capacity), cmp.Compare(a.cost, b.cost), cmp.Compare(a.capacity.position, b.capacity.position))
 	})
 	// Each offer adds one slot on its worker and includes the victims of the previous offers,
 	// so the last accepted offer of a worker covers all of them.
-	taken := make(map[*workerCapacity]offer)
+	accepted := make(map[*workerCapacity]offer)
 	left := int64(len(u.tasks))
 	for _, o := range offers {
 		if left == 0 {
 			break
 		}
-		if o.slots == taken[o.capacity].slots+1 {
-			taken[o.capacity] = o
+		if o.slots == accepted[o.capacity].slots+1 {
+			accepted[o.capacity] = o
 			left--
 		}
 	}
@@ -112,17 +113,17 @@
 	}
 	var plan []offer
 	cost := 0.0
-	for _, o := range taken {
+	for _, o := range accepted {
 		plan = append(plan, o)
 	}
-	slices.SortFunc(plan, func(a, b offer) int { return cmp.Compare(a.capacity.order, b.capacity.order) })
+	slices.SortFunc(plan, func(a, b offer) int { return cmp.Compare(a.capacity.position, b.capacity.position) })
 	for _, o := range plan {
 		cost += o.cost
 	}
 	return plan, cost
 }
 
-// offers returns the cost of one, two, and more slots on a worker.
+// offers returns an offer for each number of slots that can be obtained on a worker, from one up.
 func (c *Core) offers(u *pendingStep, r *workerCapacity) []offer {
 	victims := c.victims(u, r)
 	free := r.freeSoon
@@ -163,7 +164,8 @@
 }
 
 // mayPreempt reports whether a run may be stopped for the step: urgent work may preempt lower
-// priorities, and work inside a guarantee anything outside one.
+// priorities, and work inside a guarantee anything outside one. Long-running tasks with a limit
+// on how many may be unavailable, and work whose queue was removed, are never preempted.
 func (c *Core) mayPreempt(victim *run, u *pendingStep) bool {
 	s := victim.task.step
 	q := c.config.Queue(s.job.Queue)
--- a/internal/dispatch/window.go
+++ b/internal/dispatch/window.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// window limits the calls to workers in flight according to how fast they are answered: it
-// grows while this instance keeps up and shrinks when it does not.
+// window limits the number of concurrent calls to workers according to how fast they are answered:
+// it grows while this instance keeps up and shrinks when it does not.
 type window struct {
 	size     float64
 	shrunkAt time.Time
@@ -14,8 +14,8 @@
 	maxWindow = 256
 	// initialWindow is the window size at the start of an epoch.
 	initialWindow = 64
-	// fastResponse is the response time while this instance keeps up, slowResponse that when it
-	// does not; call timeouts are longer.
+	// An answer within fastResponse lets the window grow, because this instance keeps up; one
+	// after slowResponse or more shrinks it. Call timeouts are longer.
 	fastResponse = 60 * time.Millisecond
 	slowResponse = 120 * time.Millisecond
 	// windowShrinkFactor is applied to the window after a late answer, at most once per
@@ -24,8 +24,9 @@
 	windowShrinkInterval = 300 * time.Millisecond
 )
 
-// responseTime is the average recent response time of responsive workers as measured by this
-// instance: a loaded instance measures late answers of healthy workers.
+// responseTime is the recent average time from a start to its answer or timeout, as measured by this
+// instance; each counts as at most maxLateResponse. A loaded instance measures late answers of
+// healthy workers.
 type responseTime time.Duration
 
 // responseTimeWeight is the weight of the newest answer in the average.
--- a/internal/dispatch/witness_test.go
+++ b/internal/dispatch/witness_test.go
@@ -28,7 +28,7 @@
 		"two jobs failed in a row":                    {func(c *Core, w *worker) { failedBy(w, c, "a", "b") }, false},
 		"two jobs failed and one was done since":      {func(c *Core, w *worker) { failedBy(w, c, "a", "b"); done(w, c) }, true},
 		"it left an order unanswered":                 {func(c *Core, w *worker) { c.recordMiss(w) }, false},
-		"it just refused an order":                    {func(c *Core, w *worker) { w.refused(c.now) }, false},
+		"it just refused an order":                    {func(c *Core, w *worker) { w.recordRefusal(c.now) }, false},
 		"it announced that it leaves":                 {func(_ *Core, w *worker) { w.Leaving = true }, false},
 		"it is no longer listed":                      {func(c *Core, w *worker) { w.unlistedSince = c.now }, false},
 		"its rack is suspect and it has not answered": {func(c *Core, w *worker) { c.suspectDomain(w.rackDomain()); w.lastContact = c.now.Add(-time.Second) }, false},
