--- a/internal/estimate/history.go
+++ b/internal/estimate/history.go
@@ -36,8 +36,9 @@
 type ratios struct {
 	ring []float64
 	next int
-	// corrected is the quantile of the ratios in ring.
-	corrected float64
+	// correction is the quantile of the ratios in ring, by which declared run times are
+	// multiplied.
+	correction float64
 	// lastObserved is the sequence number of the latest observation, counted over all
 	// keys.
 	lastObserved int64
@@ -69,7 +70,7 @@
 		r.ring[r.next] = ratio
 		r.next = (r.next + 1) % samplesPerKey
 	}
-	r.corrected = computeQuantile(r.ring)
+	r.correction = computeQuantile(r.ring)
 }
 
 // Run implements Source.
@@ -78,7 +79,7 @@
 	if !ok || len(r.ring) < minSamples {
 		return declared
 	}
-	return time.Duration(float64(declared) * r.corrected)
+	return time.Duration(float64(declared) * r.correction)
 }
 
 func (h *History) ratiosFor(k key) *ratios {
--- a/internal/jobs/router.go
+++ b/internal/jobs/router.go
@@ -1,6 +1,6 @@
 // Package jobs routes callers' job calls to the placer of the responsible
-// availability zone, in this instance or a peer. Jobs that have ended are read
-// from the table.
+// availability zone, in this instance or a peer. Jobs that the placer does not
+// return are read from the job store.
 package jobs
 
 import (
@@ -70,8 +70,10 @@
 }
 
 // Submit submits the job to its zone or, if it names none, to each zone in turn,
-// starting with the instance's own. If all refuse, it returns the refusal of the
-// first zone.
+// starting with the instance's own. It tries further zones only after refusals that
+// apply to one zone, and only if the rules permit it (Verdict.Spill). If all zones
+// tried refuse the job, it returns the refusal of the first one. It returns an
+// unknown result at once.
 func (r *Router) Submit(ctx context.Context, job api.JobSubmission) (api.JobAnswer, error) {
 	var firstRefusal api.JobAnswer
 	var firstErr error
@@ -122,7 +124,7 @@
 }
 
 // submitTo submits the job to the instance that runs the zone's placer. The rules
-// are applied there, because that instance knows the load of the zone. The id is
+// are applied there, because that instance has the load of the zone. The id is
 // assigned here, so that the caller can query the job if the answer is lost.
 func (r *Router) submitTo(ctx context.Context, zone string, job api.JobSubmission) (api.JobAnswer, error) {
 	id := NewID(zone)
@@ -169,7 +171,7 @@
 	return answer
 }
 
-// Get returns a job's answer from its placer or, if that fails, from the table.
+// Get returns a job's answer from its placer or, if that fails, from the job store.
 func (r *Router) Get(ctx context.Context, id string, wait time.Duration) (api.JobAnswer, error) {
 	zone, ok := zoneOf(id)
 	if !ok {
@@ -196,8 +198,8 @@
 	return r.forward(ctx, zone, &peerpb.JobCall{Op: opGet, JobId: id, WaitMs: wait.Milliseconds()})
 }
 
-// Cancel cancels a job. If the placer does not know the job, Cancel returns the
-// answer stored in the table.
+// Cancel cancels a job. If the placer does not have the job in memory, Cancel
+// returns the answer from the job store.
 func (r *Router) Cancel(ctx context.Context, id string) (api.JobAnswer, error) {
 	zone, ok := zoneOf(id)
 	if !ok {
@@ -221,7 +223,7 @@
 	return r.forward(ctx, zone, &peerpb.JobCall{Op: opCancel, JobId: id})
 }
 
-// List returns an account's jobs from the table, newest first.
+// List returns an account's jobs from the job store, newest first.
 func (r *Router) List(ctx context.Context, account string, limit int) ([]api.JobAnswer, error) {
 	records, err := r.Store.List(ctx, account, limit)
 	if err != nil {
@@ -236,7 +238,7 @@
 
 // CheckGuarantees checks with a zone's placer whether the guarantees of all
 // accounts pack into its workers. It returns KindShapeNeverFits if they do not;
-// any other error means that the zone could not be asked.
+// any other error means that the check could not be made.
 func (r *Router) CheckGuarantees(ctx context.Context, zone string, accounts []model.ClientAccount) error {
 	if zone == r.Zone && r.Placer.Epoch() > 0 {
 		return r.Placer.CheckGuarantees(ctx, accounts)
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -63,14 +63,17 @@
 // have KindConflict if the row has another version, KindStoreUnavailable if
 // nothing was written, and KindResultUnknown if the write may have taken effect.
 type Store interface {
-	// Accept inserts a new record. If its idempotency key belongs to an earlier
-	// job of the account, it returns that job's record and true instead.
+	// Accept inserts a new record and returns it with its version, or with version
+	// zero if the version could not be determined. If its idempotency key belongs
+	// to an earlier job of the account, it returns that job's record and true
+	// instead.
 	Accept(ctx context.Context, record Record) (Record, bool, error)
 	// Find returns the job with the account's idempotency key, or KindNotFound. It
 	// returns KindKeyReused if that job differs from the submission.
 	Find(ctx context.Context, submission api.JobSubmission) (Record, error)
 	// Update replaces the record if its row still has record.Version, and returns
-	// it with the new version.
+	// it with the new version, or with version zero if that could not be
+	// determined.
 	Update(ctx context.Context, record Record) (Record, error)
 	// Get returns the record of a job, or KindNotFound if the job does not exist.
 	Get(ctx context.Context, id string) (Record, error)
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -278,6 +278,7 @@
 }
 
 // readRecords reads the jobs that index rows refer to, in the order of the rows.
+// An account that is not empty selects its jobs only.
 func (t *Tables) readRecords(ctx context.Context, entries []api.Row, account string) ([]Record, error) {
 	var records []Record
 	for start := 0; start < len(entries); start += readPageSize {
--- a/internal/placement/admit.go
+++ b/internal/placement/admit.go
@@ -74,7 +74,8 @@
 }
 
 // earliestStart returns the time from which the job fits if no other job is placed
-// before it.
+// before it, and false if it does not fit even after all releases. A job within the
+// guarantee of its account is assumed to fit now.
 func (d *decider) earliestStart(job *model.Job) (time.Time, bool) {
 	if account, known := d.accounts[job.Account]; known && d.withinGuarantee(account, job) {
 		return d.snapshot.Now, true
--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -10,8 +10,9 @@
 // whole shape. Among the jobs that do not fit, those with the earliest latest start
 // get a reservation: the region that, by the corrected run times, becomes free first.
 // Other jobs may use the region only if they end before the reservation starts (EASY
-// backfill, Lifka 1995). A claim of a guarantee uses the region last. Jobs that wait
-// for the guarantee of their own account need no reservation: see head.go.
+// backfill, Lifka 1995). A claim of a guarantee may use the region, but prefers other
+// free accelerators; an urgent job may borrow it. Jobs that wait for the guarantee of
+// their own account need no reservation: see head.go.
 
 // overdueDivisor determines the expected remaining run time of a gang that has
 // exceeded its estimate: its run time so far divided by overdueDivisor, i.e. a
--- a/internal/placement/claim.go
+++ b/internal/placement/claim.go
@@ -57,10 +57,10 @@
 		return
 	}
 	available := d.available(e)
-	if d.claimOn(e, minVector(available, d.packed.partlyUsed[e.account])) || d.claimPartlyUsed(e) {
+	if d.claimOn(e, minVector(available, d.packed.partlyUsedCells[e.account])) || d.claimPartlyUsedShapes(e) {
 		return
 	}
-	if e.mayBorrowLater = d.canBorrow(e, d.partlyUsedCapacity(e, available)); e.mayBorrowLater || d.claimUnused(e, available) {
+	if e.mayBorrowLater = d.canBorrow(e, d.partlyUsedWorkerCapacity(e, available)); e.mayBorrowLater || d.claimUnused(e, available) {
 		return
 	}
 	if e.mayBorrowLater = d.canBorrow(e, available); !e.mayBorrowLater {
@@ -76,7 +76,7 @@
 	}
 	available := d.available(e)
 	switch {
-	case d.borrowOn(e, d.partlyUsedCapacity(e, available), "borrows the rest of workers in use"):
+	case d.borrowOn(e, d.partlyUsedWorkerCapacity(e, available), "borrows the rest of workers in use"):
 	case d.claimUnused(e, available):
 	case d.borrowOn(e, available, "borrows free accelerators in place of a reclaim"):
 	default:
@@ -162,11 +162,12 @@
 	return true
 }
 
-// partlyUsedCapacity returns what a claim may borrow on partly used workers before it
-// takes an unused worker of its guarantee. This keeps whole workers free but causes
-// more reclaims, so it applies only to deployments that weight fragmentation above
-// completion time. For urgent jobs it returns nothing.
-func (d *decider) partlyUsedCapacity(e *entry, available []int) []int {
+// partlyUsedWorkerCapacity returns what a claim may borrow on partly used workers
+// before it takes an unused worker of its guarantee. This keeps whole workers free but
+// causes more reclaims, so it applies only to deployments that weight fragmentation
+// above completion time. In other deployments and for urgent jobs it returns a zero
+// vector.
+func (d *decider) partlyUsedWorkerCapacity(e *entry, available []int) []int {
 	used := d.zone.zeroVector()
 	if d.off.Objectives || d.snapshot.Objectives.Fragmentation <= d.snapshot.Objectives.CompletionTime || e.job.Urgent {
 		return used
@@ -195,21 +196,21 @@
 	return true
 }
 
-// claimCheapestRegion claims the cheapest region on which all gangs may be stopped,
-// and stops them.
+// claimCheapestRegion claims the cheapest region that the job can have once other gangs
+// are stopped, and stops them.
 func (d *decider) claimCheapestRegion(e *entry) bool {
 	return d.claimFirstRegion(e, d.regions(e))
 }
 
-// claimPartlyUsed places a job that cannot be stopped or is urgent inside shapes that
-// its account already uses in part, even if borrowers there must be stopped. Elsewhere
-// such a job would occupy part of another whole shape of its account for as long as it
-// runs.
-func (d *decider) claimPartlyUsed(e *entry) bool {
+// claimPartlyUsedShapes places a job that cannot be stopped or is urgent inside shapes
+// that its account already uses in part, even if borrowers there must be stopped.
+// Elsewhere such a job would occupy part of another whole shape of its account for as
+// long as it runs.
+func (d *decider) claimPartlyUsedShapes(e *entry) bool {
 	if (e.job.Stoppable() && !e.job.Urgent) || d.off.Reclaim {
 		return false
 	}
-	parts := d.fit(e, d.packed.partlyUsed[e.account], sumVectors(d.free, d.releasing))
+	parts := d.fit(e, d.packed.partlyUsedCells[e.account], sumVectors(d.free, d.releasing))
 	return parts != nil && d.claimFirstRegion(e, []region{d.priceRegion(e, parts)})
 }
 
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -170,7 +170,7 @@
 	d.holders = append(d.holders, h)
 }
 
-// indexStoppable lists the gangs that can be stopped by worker in onWorker.
+// indexStoppable fills onWorker with the gangs that can be stopped.
 func (d *decider) indexStoppable() {
 	for i := range d.holders {
 		h := &d.holders[i]
@@ -309,7 +309,7 @@
 	}
 	addParts(cells, parts, -perTask)
 	for _, p := range parts {
-		takeFrom(d.packed.partlyUsed[account], p.worker, p.tasks*perTask)
+		takeFrom(d.packed.partlyUsedCells[account], p.worker, p.tasks*perTask)
 	}
 	d.held.add(account, parts, perTask)
 	return true
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -110,7 +110,8 @@
 }
 
 // fitAround returns a placement of the given shape that uses as many of the preferred
-// accelerators as possible, or nil.
+// accelerators as possible. If the shape does not fit, the result is nil or has fewer
+// tasks than the shape.
 func (z *zone) fitAround(usable, preferred []int, shape api.Shape) []part {
 	if shape.SameRack {
 		return z.fit(usable, preferred, shape)
--- a/internal/placement/fixed.go
+++ b/internal/placement/fixed.go
@@ -11,8 +11,8 @@
 
 // packFixed packs the shapes into the empty zone and subtracts what the accounts' own
 // fixed gangs hold of them.
-func (z *zone) packFixed(h *holdings, claims []guarantee) packing {
-	p := z.pack(newHoldings(z, len(h.byAccount)), claims)
+func (z *zone) packFixed(h *holdings, guarantees []guarantee) packing {
+	p := z.pack(newHoldings(z, len(h.byAccount)), guarantees)
 	for account, own := range h.byAccount {
 		for w, n := range own {
 			covered := takeFrom(p.cells[account], w, n)
--- a/internal/placement/guarantee.go
+++ b/internal/placement/guarantee.go
@@ -17,8 +17,9 @@
 // be stopped. An account's own fixed gangs lie inside its own shapes.
 
 // maxPackOrders bounds the number of orders in which packing is tried. After an order
-// fails, packing is retried with the shape that failed in front. The limit of four
-// equals the number of accounts: each may have to come first once.
+// fails, packing is retried with the guarantees of the account whose shape failed in
+// front. The limit of four equals the number of accounts: each may have to come first
+// once.
 const maxPackOrders = 4
 
 // guarantee is one guaranteed shape of the account with the given index.
@@ -45,9 +46,9 @@
 	// cells are the accelerators, by account and worker, that belong to the account's
 	// shapes and are not held by its own fixed gangs.
 	cells [][]int
-	// partlyUsed is the part of cells in shapes of which the account's own fixed gangs
-	// hold some accelerators.
-	partlyUsed [][]int
+	// partlyUsedCells is the part of cells that belongs to shapes partly held by the
+	// account's own fixed gangs.
+	partlyUsedCells [][]int
 	// failed is the first shape that does not fit.
 	failed *guarantee
 }
@@ -154,14 +155,14 @@
 	accounts := len(h.byAccount)
 	k := &packer{zone: z, free: z.zeroVector(), uncovered: make([][]int, accounts), uncoveredTotal: make([]int, accounts)}
 	k.missing = make([]int, accounts)
-	k.cells, k.partlyUsed = make([][]int, accounts), make([][]int, accounts)
+	k.cells, k.partlyUsedCells = make([][]int, accounts), make([][]int, accounts)
 	for w := range k.free {
 		k.free[w] = max(0, z.capacity[w]-h.total[w])
 	}
 	for i := range h.byAccount {
 		k.uncovered[i] = append([]int(nil), h.byAccount[i]...)
 		k.uncoveredTotal[i] = totalOf(h.byAccount[i])
-		k.cells[i], k.partlyUsed[i] = z.zeroVector(), z.zeroVector()
+		k.cells[i], k.partlyUsedCells[i] = z.zeroVector(), z.zeroVector()
 	}
 	return k
 }
@@ -235,7 +236,7 @@
 		k.free[p.worker] -= need - covered
 		cells[p.worker] += need - covered
 		if partlyUsed {
-			k.partlyUsed[g.account][p.worker] += need - covered
+			k.partlyUsedCells[g.account][p.worker] += need - covered
 		}
 	}
 }
@@ -299,8 +300,8 @@
 	return fmt.Sprintf("%d tasks of %d accelerators %s", shape.Tasks, shape.AcceleratorsPerTask, where)
 }
 
-// toFront returns the guarantees with those of the failed one's account moved to the
-// front.
+// toFront returns the guarantees with those of the account of the failed one moved to
+// the front.
 func toFront(guarantees []guarantee, failed guarantee) []guarantee {
 	order := slices.Clone(guarantees)
 	slices.SortStableFunc(order, func(a, b guarantee) int {
--- a/internal/placement/head.go
+++ b/internal/placement/head.go
@@ -24,7 +24,8 @@
 	expectedStart time.Time
 }
 
-// findHeads determines the head of each account.
+// findHeads determines the head of each account. It considers the waiting jobs of an
+// account in order, up to the first one with several tasks.
 func (d *decider) findHeads(q *queue) {
 	if d.off.Heads {
 		return
--- a/internal/placement/kept_test.go
+++ b/internal/placement/kept_test.go
@@ -85,10 +85,10 @@
 	running := func(account string, shape api.Shape, worker string, stoppable, borrowed bool) {
 		job := testJob(fmt.Sprintf("j%d", len(s.Gangs)), account, 1, 1)
 		job.Shape, job.Idempotent, job.Checkpointable = shape, stoppable, stoppable
-		place := api.TaskPlacement{Worker: worker, Tasks: shape.Tasks, Accelerators: shape.Accelerators()}
+		task := api.TaskPlacement{Worker: worker, Tasks: shape.Tasks, Accelerators: shape.Accelerators()}
 		s.Gangs = append(s.Gangs, model.Gang{
 			Job: job, State: model.GangRunning, Borrowed: borrowed, StartedAt: testNow,
-			Placements: []api.TaskPlacement{place}, ExpectedEnd: testNow.Add(time.Hour),
+			Placements: []api.TaskPlacement{task}, ExpectedEnd: testNow.Add(time.Hour),
 		})
 	}
 	one := api.Shape{Tasks: 1, AcceleratorsPerTask: 1}
--- a/internal/placement/off.go
+++ b/internal/placement/off.go
@@ -10,7 +10,8 @@
 	Backfill bool
 	// FairOrder serves accounts in the order of the configuration.
 	FairOrder bool
-	// DueTimes orders jobs without a deadline by submission time.
+	// DueTimes orders jobs by submission time instead of their latest start. A deadline
+	// counts only if the latest start that meets it precedes the submission.
 	DueTimes bool
 	// Heads lets any job of an account use its guarantee, regardless of larger jobs
 	// that wait for it.
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -12,12 +12,12 @@
 // jobs mix, and under saturation. Without it the account that submits most starves the
 // others, and a short job waits for hours behind long ones. Accounts are served by
 // falling distance to their guarantee. Within an account, priority comes first, then
-// the latest start that still meets the deadline. A job without a deadline gets one in
-// proportion to its run time, which bounds the slowdown (stretch) of short jobs
-// (Bender, Chakrabarti and Muthukrishnan, SODA 1998).
+// the latest start that still meets the deadline. A job without a deadline, or with a
+// later one, gets one in proportion to its run time, which bounds the slowdown (stretch)
+// of short jobs (Bender, Chakrabarti and Muthukrishnan, SODA 1998).
 const (
-	// targetSlowdown is the multiple of its run time within which a job without a
-	// deadline should finish.
+	// targetSlowdown is the multiple of its run time within which a job should finish
+	// if it has no earlier deadline.
 	targetSlowdown = 4
 	// agingStep is the waiting time that raises the priority of a job by one.
 	agingStep = 30 * time.Minute
@@ -29,7 +29,7 @@
 	account  int
 	runTime  time.Duration
 	priority int
-	// latestStart is the latest start that meets the deadline or targetSlowdown.
+	// latestStart is the latest start that meets both the deadline and targetSlowdown.
 	latestStart time.Time
 	done        bool
 	// mayBorrowLater is set for a claim that may borrow once all claims have their
@@ -40,7 +40,8 @@
 // queue holds the waiting jobs by account, each list in order.
 type queue struct {
 	byAccount [][]*entry
-	// share is what the use of an account is compared with.
+	// share is, by account, the larger of its guaranteed accelerators and its weight,
+	// at least 1. Accounts are served by the ratio of their use to their share.
 	share []int
 	// configOrder serves the accounts in the order of the configuration, regardless of
 	// their use.
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -27,8 +27,9 @@
 	return statuses
 }
 
-// lent counts, by account, the accelerators of its shapes that borrowers of other
-// accounts hold.
+// lent counts, by account, the accelerators of its shapes that gangs that are not fixed
+// hold: borrowers of any account and gangs that are being stopped. On each worker such
+// gangs are counted against the accelerators outside all shapes first.
 func (d *decider) lent() []int {
 	borrowed := d.zone.zeroVector()
 	for i := range d.holders {
--- a/internal/placement/scenario_test.go
+++ b/internal/placement/scenario_test.go
@@ -11,7 +11,7 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// runningGang returns a running gang that ends after the given time.
+// runningGang returns a running gang that is expected to end after the given time.
 func runningGang(job model.Job, end time.Duration, borrowed bool, tasks ...api.TaskPlacement) model.Gang {
 	return model.Gang{
 		Job: job, State: model.GangRunning, Placements: tasks, StartedAt: testNow.Add(-time.Minute),
@@ -284,8 +284,8 @@
 	}
 	s.Objectives = model.Objectives{CompletionTime: 0.3, Fragmentation: 0.7}
 	s.Waiting = []model.Job{modified(testJob("claim", "a", 1, 4), func(j *model.Job) { j.Urgent = true })}
-	for _, job := range s.Gangs[2:] {
-		assert.Assert(t, job.Borrowed)
+	for _, gang := range s.Gangs[2:] {
+		assert.Assert(t, gang.Borrowed)
 	}
 	s = completeStops(applyPlan(s, Decide(s)))
 	s.Waiting = append(s.Waiting, testJob("borrower", "b", 1, 2), testJob("rest", "b", 1, 2))
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -22,7 +22,7 @@
 	}
 	g := guarantees[0]
 	free, uncoveredTotal := slices.Clone(k.free), k.uncoveredTotal[g.account]
-	uncovered, cells, partlyUsed := slices.Clone(k.uncovered[g.account]), slices.Clone(k.cells[g.account]), slices.Clone(k.partlyUsed[g.account])
+	uncovered, cells, partlyUsed := slices.Clone(k.uncovered[g.account]), slices.Clone(k.cells[g.account]), slices.Clone(k.partlyUsedCells[g.account])
 	for _, parts := range k.candidates(g) {
 		if *budget == 0 {
 			return false
@@ -35,7 +35,7 @@
 		copy(k.free, free)
 		copy(k.uncovered[g.account], uncovered)
 		copy(k.cells[g.account], cells)
-		copy(k.partlyUsed[g.account], partlyUsed)
+		copy(k.partlyUsedCells[g.account], partlyUsed)
 		k.uncoveredTotal[g.account] = uncoveredTotal
 	}
 	return false
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -64,11 +64,12 @@
 	ExpectedEnd time.Time
 }
 
-// Method is the way in which a gang returns its accelerators.
+// Method is the procedure by which a gang returns its accelerators.
 type Method string
 
-// The methods, from cheap to costly. Throttling alone frees nothing immediately. It
-// precedes a checkpoint so that the checkpoint finishes in time.
+// The methods, from cheap to costly. Workers can also throttle a gang, but throttling
+// is not a method: alone it frees nothing immediately. It only helps a checkpoint that
+// follows to finish in time.
 const (
 	MethodCheckpoint Method = "checkpoint"
 	MethodStop       Method = "stop"
--- a/internal/placer/action.go
+++ b/internal/placer/action.go
@@ -25,8 +25,9 @@
 	ref     api.GangRef
 	account string
 	parts   []part
-	// ttl is how long a reservation lasts without a start. It is far longer
-	// than a start takes, so that no part expires while another is started.
+	// ttl is the time after which a reservation without a start expires. It is
+	// far longer than a start takes, so that no part expires while another is
+	// started.
 	ttl time.Duration
 }
 
@@ -100,7 +101,8 @@
 type event interface{ apply(c *core, now time.Time) }
 
 // reservedEvent is the result of a reserveAction. err is nil if every worker
-// holds its part.
+// holds its part; otherwise worker and err describe the first reservation that
+// failed.
 type reservedEvent struct {
 	ref    api.GangRef
 	parts  []part
@@ -116,7 +118,8 @@
 }
 
 // startedEvent is the result of a startAction. mayHaveStarted reports whether
-// at least one worker may have started its part.
+// at least one worker may have started its part. worker and err describe the
+// first start that failed, if any.
 type startedEvent struct {
 	ref            api.GangRef
 	worker         string
@@ -154,7 +157,8 @@
 // recoveredEvent is the result of a recoverAction.
 type recoveredEvent struct {
 	epoch int64
-	// workers lists all workers that were asked, with or without an answer.
+	// workers lists all workers to which a renewal was sent, with or without an
+	// answer.
 	workers []model.Worker
 	records []jobstore.Record
 	// recent lists the newest jobs of all zones, newest first. Their run times
--- a/internal/placer/calls.go
+++ b/internal/placer/calls.go
@@ -36,9 +36,8 @@
 	reply  chan reply
 }
 
-// getJobCall returns a job's answer. If the job has not ended, ended is closed
-// when the job ends or this instance loses the lease; a stopWaitingCall removes
-// the waiter.
+// getJobCall returns a job's answer. If callers may not see the final outcome yet,
+// ended is added to the waiters of the job; a stopWaitingCall removes it.
 type getJobCall struct {
 	id    string
 	ended chan struct{}
@@ -84,7 +83,9 @@
 	call.reply <- reply{answer, err}
 }
 
-// admit immediately refuses jobs that can never run or cannot finish in time.
+// admit checks a submission against the limits and refuses jobs that can never
+// run or cannot finish in time. For a submission whose idempotency key belongs to
+// a job in memory, it returns that job's answer.
 func (c *core) admit(s Submission, now time.Time) (api.JobAnswer, error) {
 	if err := c.checkActive(); err != nil {
 		return api.JobAnswer{}, err
--- a/internal/placer/core.go
+++ b/internal/placer/core.go
@@ -86,7 +86,8 @@
 	reports     map[string]partReport
 	borrowed    bool
 	expectedEnd time.Time
-	notBefore   time.Time
+	// notBefore is the earliest time at which a waiting job may be placed again.
+	notBefore time.Time
 	// mayHaveStarted reports whether any part of the current attempt may have
 	// started.
 	mayHaveStarted bool
@@ -108,10 +109,14 @@
 	writtenThisEpoch bool
 	// adopted reports whether the job was accepted by another placer.
 	adopted bool
-	// waiters are closed when the job ends or this instance loses the lease.
+	// waiters are closed when callers may see the final outcome, when another placer
+	// has ended the job or, if the job has not ended, when this instance loses the
+	// lease.
 	waiters map[chan struct{}]bool
-	// dirty records are written when no other write of the row is in flight.
-	dirty         bool
+	// dirty reports whether the record must be written because it has changed or its
+	// last write failed. It is written when no other write of the row is in flight.
+	dirty bool
+	// writeInFlight is also set while the row is read after a failed write.
 	writeInFlight bool
 	nextWriteAt   time.Time
 }
@@ -121,7 +126,9 @@
 	state      api.TaskState
 	runSeconds float64
 	message    string
-	// renewedAt is the time at which the last confirmed renewal was sent.
+	// renewedAt is the time at which the last confirmed renewal was sent. Until the
+	// first one it is the time at which the start or the adoption was applied, which
+	// is not earlier than the start of the lease on the worker.
 	renewedAt time.Time
 }
 
@@ -157,8 +164,8 @@
 	zone     string
 	instance string
 	epoch    int64
-	// minEpoch is the highest epoch that any worker has reported; the core does
-	// not place under a lower one.
+	// minEpoch is the lowest epoch under which the core may place: the highest that
+	// a worker has reported, or one more than an epoch that a worker refused.
 	minEpoch          int64
 	holdsLease        bool
 	mayPlace          bool
--- a/internal/placer/gangs.go
+++ b/internal/placer/gangs.go
@@ -146,7 +146,7 @@
 	c.emit(stopAction{ref: e.ref, parts: e.parts, checkpoint: checkpoint, timeout: timeout})
 }
 
-// reclaimGang stops a gang so that another account gets its guarantee.
+// reclaimGang stops a gang for the claim of another job.
 func (c *core) reclaimGang(e *entry, r placement.Reclaim, now time.Time) {
 	reason := fmt.Sprintf("%s within %s for %s", r.Method, r.Within, r.For)
 	if !c.transition(e, evReclaim, reason, now) {
@@ -194,7 +194,8 @@
 	}
 }
 
-// completeStop ends the current attempt, of which no part is running any more.
+// completeStop ends the current attempt after all its parts have stopped or their
+// leases have expired.
 func (c *core) completeStop(e *entry, now time.Time) {
 	c.emit(releaseAction{ref: e.ref, parts: e.parts})
 	c.setParts(e, nil)
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -41,8 +41,8 @@
 	frequentRenewalDivisor = 15
 	// cancelWait bounds how long a cancellation waits for the final outcome.
 	cancelWait = 3 * time.Second
-	// overdueDivisor divides a gang's run time into the delay past its expected
-	// end up to which it is still expected to end soon.
+	// overdueDivisor divides a gang's expected run time into the time by which the
+	// gang may exceed its expected end and still count as ending soon.
 	overdueDivisor = 10
 )
 
@@ -65,8 +65,10 @@
 	Logger      *zap.Logger
 	PlacerLease time.Duration
 	WorkerLease time.Duration
-	Interval    time.Duration
-	MaxJobs     int
+	// Interval is the time between rounds.
+	Interval time.Duration
+	// MaxJobs bounds the open jobs of the zone.
+	MaxJobs int
 	// MayPlace reports whether a holder whose lease has expired because the
 	// store does not answer may still start new work.
 	MayPlace func() bool
--- a/internal/placer/recover.go
+++ b/internal/placer/recover.go
@@ -9,7 +9,7 @@
 	"github.com/corianderbank/corianderbank/internal/jobstore"
 )
 
-// apply takes over, continues or gives up the placer role, following the zone's
+// apply takes over, continues or ends the placer role according to the zone's
 // lease.
 func (ev leaseEvent) apply(c *core, now time.Time) {
 	c.platformReachable = ev.platformReachable
@@ -38,7 +38,7 @@
 	c.emit(recoverAction{epoch: ev.epoch})
 }
 
-// apply rebuilds the jobs of the zone from the table and the workers' reports.
+// apply rebuilds the jobs of the zone from the job store and the workers' reports.
 func (ev recoveredEvent) apply(c *core, now time.Time) {
 	if !c.holdsLease || ev.epoch != c.epoch {
 		return
@@ -89,7 +89,7 @@
 // oldest first. Jobs that were stopped and resumed are left out, because their
 // rows do not record the run time of each attempt.
 func (c *core) learnRunTimes(recent []jobstore.Record) {
-	learner, ok := c.runs.(runObserver)
+	observer, ok := c.runs.(runObserver)
 	if !ok {
 		return
 	}
@@ -97,7 +97,7 @@
 		completed := record.Outcome == api.OutcomeDone && record.ErrorKind == "" && record.ProgressS == 0
 		if completed && record.EndedAt.After(record.StartedAt) {
 			submission := record.Submission
-			learner.Observe(submission.Account, submission.Kind, seconds(submission.DeclaredRunS), record.EndedAt.Sub(record.StartedAt))
+			observer.Observe(submission.Account, submission.Kind, seconds(submission.DeclaredRunS), record.EndedAt.Sub(record.StartedAt))
 		}
 	}
 }
@@ -158,10 +158,11 @@
 }
 
 // resumeAdopted sets the state of an adopted gang. A complete gang that runs
-// continues. A complete gang of which every part is still only reserved has
-// definitely never started, because every worker refuses earlier epochs; it is
-// stopped. Any other gang that holds parts or may have run is stopped until its
-// leases have expired. A gang that holds nothing and never started waits.
+// continues. A complete gang whose parts are all still reserved has definitely
+// never started, because every worker refuses earlier epochs; it is stopped. Any
+// other gang that holds parts or may have run is stopped and remains stopping
+// until its leases have expired. A gang that holds nothing and never started
+// waits.
 func (c *core) resumeAdopted(e *entry, complete bool, now time.Time) {
 	started := e.record.Phase == jobstore.PhaseStarted
 	neverStarted := complete && !e.mayHaveStarted && e.ref.Attempt == e.record.Attempt
--- a/internal/placer/reports.go
+++ b/internal/placer/reports.go
@@ -40,7 +40,7 @@
 		}
 	}
 	for id, w := range c.workers {
-		if !listed[id] && w.chartState == chart.State(model.WorkerLost) && !c.holdsGang(id) {
+		if !listed[id] && w.chartState == chart.State(model.WorkerLost) && !c.workerHoldsGang(id) {
 			delete(c.workers, id)
 		}
 	}
@@ -58,8 +58,9 @@
 	return count
 }
 
-// holdsGang reports whether a gang that has not ended holds a part of a worker.
-func (c *core) holdsGang(worker string) bool {
+// workerHoldsGang reports whether a gang that has not ended holds a part of a
+// worker.
+func (c *core) workerHoldsGang(worker string) bool {
 	for e := range c.gangsByWorker[worker] {
 		if !c.gangChart.Final(e.state) {
 			return true
@@ -98,9 +99,10 @@
 	c.compareReservations(ev, restarted, now)
 }
 
-// fence records that a worker has seen the given epoch and steps down for good
-// under any lower one, because a later placer exists. The lease cannot show this
-// while the store is unreachable.
+// fence records that a worker has seen the given epoch and makes the core step
+// down if its own is lower, because a later placer exists. The lower epoch does
+// not become active again. The lease cannot show this while the store is
+// unreachable.
 func (c *core) fence(epoch int64) {
 	c.minEpoch = max(c.minEpoch, epoch)
 	if c.holdsLease && c.epoch < c.minEpoch {
@@ -153,9 +155,9 @@
 	}
 }
 
-// handleLostPart stops a gang of which a worker no longer has its part. If the
-// gang has crashed too many workers, it fails permanently instead of being
-// restarted without limit.
+// handleLostPart stops a gang after a worker has lost its part. If the gang has
+// crashed too many workers, it fails permanently instead of being restarted
+// without limit.
 func (c *core) handleLostPart(e *entry, worker string, crashed bool, now time.Time) {
 	reason := "worker " + worker + " no longer has its part"
 	if crashed {
@@ -245,8 +247,9 @@
 	c.transition(e, evFinish, finishReason(e, now), now)
 }
 
-// finishReason includes by how much a job missed its deadline. This happens when
-// the estimate by which the job was placed was too short.
+// finishReason returns the reason of a completion, with the time by which the job
+// missed its deadline, if it did. A job misses its deadline if the run time
+// estimate that it was placed with was too short, or after a restart.
 func finishReason(e *entry, now time.Time) string {
 	deadline := e.record.Submission.Deadline
 	if deadline == nil || !now.After(*deadline) {
@@ -261,16 +264,16 @@
 }
 
 func (c *core) observeRun(e *entry) {
-	if learner, ok := c.runs.(runObserver); ok {
+	if observer, ok := c.runs.(runObserver); ok {
 		submission := e.record.Submission
 		declared := seconds(submission.DeclaredRunS)
-		learner.Observe(submission.Account, submission.Kind, declared, seconds(e.record.ProgressS+e.longestRunSeconds()))
+		observer.Observe(submission.Account, submission.Kind, declared, seconds(e.record.ProgressS+e.longestRunSeconds()))
 	}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// handleTaskFailure distinguishes an unhealthy job from an unhealthy worker. It
+// handleTaskFailure distinguishes a faulty job from an unhealthy worker. It
 // either stops the gang to retry it elsewhere, if that is allowed, or fails the
 // job with the evidence.
 func (c *core) handleTaskFailure(e *entry, worker string, report partReport, now time.Time) {
--- a/internal/placer/round.go
+++ b/internal/placer/round.go
@@ -32,12 +32,13 @@
 
 // workerList returns the workers as placement input. If probe is set, a worker
 // that is being probed and holds no gang counts as healthy, so that it takes one
-// gang. Callers set it while jobs that may be run again are waiting.
+// gang. Callers set it while idempotent jobs are waiting, because only these are
+// placed on such a worker.
 func (c *core) workerList(probe bool) []model.Worker {
 	list := make([]model.Worker, 0, len(c.workers))
 	for _, id := range sortedKeys(c.workers) {
 		w := c.workers[id].Worker
-		if probe && w.Health == model.WorkerProbing && !c.holdsGang(id) {
+		if probe && w.Health == model.WorkerProbing && !c.workerHoldsGang(id) {
 			w.Health = model.WorkerHealthy
 		}
 		list = append(list, w)
@@ -132,8 +133,8 @@
 	}
 }
 
-// round makes a plan and carries it out. Both happen in the same turn of the
-// goroutine that owns the state, so only placements that cannot be undone are
+// round makes a plan and carries it out. Both happen in the same iteration of the
+// event loop, which owns the state, so only placements that cannot be undone are
 // checked again. The workers are authoritative and check each part when it is
 // reserved.
 func (c *core) round(now time.Time) {
@@ -240,7 +241,7 @@
 }
 
 // load returns the ratio of accelerators that open jobs hold or request to those
-// of workers that accept work.
+// of workers that accept work, or 0 while this instance is not the placer.
 func (c *core) load() float64 {
 	if c.checkActive() != nil {
 		return 0
--- a/internal/placer/watch.go
+++ b/internal/placer/watch.go
@@ -54,8 +54,9 @@
 }
 
 // renewalInterval returns a short interval while a change is expected: for a
-// worker that takes no work, as it does without recent reports, and for gangs
-// that are about to end. The interval of other workers is three times as long.
+// worker that takes no work, for example because its reports are overdue, and for
+// a worker with a gang that is about to end. The interval of other workers is
+// three times as long.
 func (c *core) renewalInterval(w *workerState, endingSoon bool) time.Duration {
 	if endingSoon || !w.Takes() {
 		return c.workerLease / frequentRenewalDivisor
--- a/internal/quarantine/crashes.go
+++ b/internal/quarantine/crashes.go
@@ -3,20 +3,21 @@
 import "time"
 
 // Crash counts distinguish tasks that crash their workers from workers that crash for
-// other reasons. Without them a job whose every start costs a worker, and everything
-// that runs there, is started again as often as its worker returns. A crash counts
-// against every task that ran on the worker, because it is not known which one caused
-// it; tasks that are not the cause continue to run on other workers. The caller must
-// store the counts before the next start of such a task, so that they survive a change
-// of leader.
+// other reasons. Without them a job that crashes its worker on every start, and ends
+// everything else that runs there, is started again whenever a worker returns. A crash
+// counts against every task that ran on the worker, because it is not known which one
+// caused it; tasks that are not the cause continue to run on other workers. The caller
+// must store the counts before the next start of such a task, so that they survive a
+// change of leader.
 
-// CrashLimit is the number of workers that may crash under a task. The worker also ran
-// other tasks and may itself be faulty, so one or two crashes are not conclusive.
+// CrashLimit is the number of crashed workers at which a task fails permanently. A
+// worker also ran other tasks and may itself be faulty, so one or two crashes are not
+// conclusive.
 const CrashLimit = 3
 
-// LossLimit is the number of starts that may be lost together with their workers,
-// including those where many workers crashed at once and those where it is unknown
-// whether the start was carried out.
+// LossLimit is the number of starts lost together with their workers at which a task
+// fails permanently, including those where many workers crashed at once and those where
+// it is unknown whether the start was carried out.
 const LossLimit = 5
 
 // provenRunTime is the run time after which a task is known not to crash its worker:
@@ -71,8 +72,8 @@
 	return StartFreely
 }
 
-// exceedsLimits reports whether the task may not be started again. Starts that were
-// never acknowledged count only in addition to crashes.
+// exceedsLimits reports whether the task must not be started again. Starts that were
+// never acknowledged count only in addition to at least CrashLimit-1 crashes.
 func (c Crashes) exceedsLimits() bool {
 	ran := c.Seen + c.Shared
 	return c.Seen >= CrashLimit || ran >= LossLimit || ran >= CrashLimit-1 && ran+c.Unsure >= LossLimit
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -25,7 +25,7 @@
 	// 8,000 cases.
 	minFailedJobs = 3
 	// minFailedWorkers is the number of different healthy workers on which a job must
-	// fail, for the same reason.
+	// fail to be faulty. As with minFailedJobs, two failures may be chance.
 	minFailedWorkers = 3
 	// failureWindow is the time for which a failure counts.
 	failureWindow = time.Hour
--- a/internal/reclaim/reclaim.go
+++ b/internal/reclaim/reclaim.go
@@ -1,5 +1,5 @@
-// Package reclaim selects the borrowing gangs to stop so that a client account gets
-// its guarantee back, the method and the time limit. It is pure.
+// Package reclaim selects the gangs to stop so that a client account gets its guarantee
+// back, and defines the time limits of the stop. It is pure.
 //
 // Without it an account that claims its guarantee while others borrow it waits for the
 // end of work that takes hours, or stops far more work than it needs. A checkpoint
@@ -34,8 +34,8 @@
 // accelerator: a restarted gang repeats its start-up of about half a minute.
 const restartCost = 30.0
 
-// Victim is a borrowing gang that may be stopped to free accelerators on a given
-// worker.
+// Victim is a gang that may be stopped to free accelerators on a given worker: a
+// borrower or, for an urgent job, a gang of the same account.
 type Victim struct {
 	Gang *model.Gang
 	// Index identifies the gang for the caller.
