--- a/internal/deployment/accept.go
+++ b/internal/deployment/accept.go
@@ -27,16 +27,16 @@
 // retryAfterOutage returns the Retry-After sent while the store is unreachable. The
 // length of an outage is unknown and callers make few attempts. An outage that has
 // lasted for some time will likely last as long again, so the attempts are spread over
-// about twice the outage so far; at a constant one second, four attempts are over
-// before an outage of five seconds is. The delay also shrinks with the time that the
+// about twice the outage so far; four attempts at a constant interval of one second end
+// before an outage of five seconds does. The delay also shrinks with the time that the
 // caller has left, so that it retries soon after the store recovers: with a delay of
-// three seconds, callers with a deadline of three seconds never came back.
+// three seconds, callers with a deadline of three seconds never retried.
 func retryAfterOutage(outage, timeLeft time.Duration) time.Duration {
 	return max(minRetryAfter, min(outage, maxRetryAfter, timeLeft/retriesInTimeLeft))
 }
 
-// retriesInTimeLeft is how many retries should fit into the time that a caller has
-// left.
+// retriesInTimeLeft is the number of retries that should fit into the time that a
+// caller has left.
 const retriesInTimeLeft = 3
 
 func (i *Instance) retryAfter(ctx context.Context) time.Duration {
@@ -210,7 +210,7 @@
 	return i.findJob(ctx, caller, id)
 }
 
-// Pending returns the number of jobs of the queue of which no task has started.
+// Pending returns the number of jobs of the queue that have not started.
 func (i *Instance) Pending(caller Caller) int64 {
 	if i.replica.isLoaded() {
 		return i.counts.of(i.replica, bootTime())[caller.Queue.Name]
@@ -218,7 +218,8 @@
 	return i.peers.latest().pending[caller.Queue.Name]
 }
 
-// Cancel cancels a job. It returns nil once the store has the cancellation.
+// Cancel cancels a job. It returns nil once the store has the cancellation, and also if
+// the job has already ended.
 func (i *Instance) Cancel(ctx context.Context, caller Caller, id string) error {
 	state, err := i.findJob(ctx, caller, id)
 	if err == nil && state != StateCancelled && state != StateCompleted && state != StateFailed {
--- a/internal/deployment/accept_test.go
+++ b/internal/deployment/accept_test.go
@@ -27,14 +27,14 @@
 func TestRetryAfterFitsTheRemainingDeadline(t *testing.T) {
 	const timeout = 3 * time.Second
 	for _, outage := range []time.Duration{0, time.Second, 2500 * time.Millisecond, time.Minute} {
-		for _, back := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 1900 * time.Millisecond} {
+		for _, storeBackAfter := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 1900 * time.Millisecond} {
 			at := time.Duration(0) // time since the first attempt; the outage began earlier
-			for tries := 0; at < back; tries++ {
+			for tries := 0; at < storeBackAfter; tries++ {
 				assert.Assert(t, tries < 4)
 				at += retryAfterOutage(outage+at, timeout-at)
 			}
-			assert.Assert(t, at <= timeout-500*time.Millisecond && at-back <= minRetryAfter,
-				"away for %v, back after %v: the caller retried at %v", outage, back, at)
+			assert.Assert(t, at <= timeout-500*time.Millisecond && at-storeBackAfter <= minRetryAfter,
+				"store unreachable for %v before and %v after the first attempt: the caller retried at %v", outage, storeBackAfter, at)
 		}
 	}
 }
--- a/internal/deployment/batcher.go
+++ b/internal/deployment/batcher.go
@@ -9,7 +9,7 @@
 // Instances exchange thousands of small messages a second with a few peers; sent one by
 // one, each costs a stream, several system calls and a wake-up on both sides.
 type batcher[T any] struct {
-	// linger is how long the first item of a batch waits for more.
+	// linger is the time that the first item of a batch waits for more.
 	linger time.Duration
 	// maxItems is the size at which a batch is sent without waiting.
 	maxItems int
--- a/internal/deployment/begins.go
+++ b/internal/deployment/begins.go
@@ -11,20 +11,20 @@
 )
 
 // This file decides whether the leader stores a start intent before the first start of
-// a job (dispatch/begins.go). While the store is fast, it does, and the row of the
-// lease promises so to the next leader. While the store is slow, each start would wait
-// for it; the row is then first rewritten without the promise, and after that starts no
-// longer wait.
+// a job (dispatch/begins.go). While the store is fast, the leader stores start intents,
+// and the row of the lease promises this to the next leader. While the store is slow,
+// each start would wait for it; the row is then first rewritten without the promise, and
+// after that starts no longer wait.
 
 const (
-	// intentWaitLimit is how long a start intent may wait for the store before starts
-	// stop waiting for such writes.
+	// intentWaitLimit is the time that a start intent may wait for the store before
+	// starts stop waiting for such writes.
 	intentWaitLimit = 150 * time.Millisecond
-	// quickRenewal is the longest that a lease renewal takes on a fast store.
-	// quickPeriod is how long all renewals must have been that fast before start
-	// intents are stored again.
-	quickRenewal = 80 * time.Millisecond
-	quickPeriod  = 1500 * time.Millisecond
+	// maxQuickRenewal is the longest that a lease renewal takes on a fast store.
+	// quickPeriod is the time for which all renewals must have been that fast before
+	// start intents are stored again.
+	maxQuickRenewal = 80 * time.Millisecond
+	quickPeriod     = 1500 * time.Millisecond
 )
 
 var intentChart = chart.MustLoad("begins")
@@ -51,23 +51,25 @@
 // nothing. It is safe for concurrent use.
 type intentPromise struct {
 	mu sync.Mutex
-	// strict is the value that renewals write; requestedSeq counts its changes.
+	// strict is the promise that renewals write: whether every started job has its
+	// start intent stored. requestedSeq counts its changes.
 	strict       bool
 	requestedSeq int
 	// confirmedSeq is the last change that is certain to be in the row.
 	confirmedSeq int
-	// slowAt is when a renewal last failed or was slow.
+	// slowAt is the time at which a renewal last failed or was slow, or markSlow was
+	// called.
 	slowAt time.Time
 	// wake triggers an immediate renewal.
 	wake chan struct{}
 }
 
-// init sets the initial content of the row.
+// init sets the promise in the first row of this leader.
 func (p *intentPromise) init(strict bool) {
 	p.strict, p.slowAt, p.wake = strict, bootTime(), make(chan struct{}, 1)
 }
 
-// request triggers a renewal that writes the new value.
+// request changes the promise and triggers a renewal that writes it.
 func (p *intentPromise) request(strict bool) {
 	p.mu.Lock()
 	p.strict = strict
@@ -81,20 +83,21 @@
 
 // next returns the value that a renewal writes and the sequence number that confirms
 // it.
-func (p *intentPromise) next() (strict bool, number int) {
+func (p *intentPromise) next() (strict bool, seq int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.strict, p.requestedSeq
 }
 
-// renewed records the result of a renewal; number is the sequence number that it wrote.
-func (p *intentPromise) renewed(stored bool, number int, took time.Duration) {
+// renewed records the result of a renewal; seq is the sequence number that next returned
+// for it.
+func (p *intentPromise) renewed(stored bool, seq int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if stored {
-		p.confirmedSeq = max(p.confirmedSeq, number)
+		p.confirmedSeq = max(p.confirmedSeq, seq)
 	}
-	if !stored || took > quickRenewal {
+	if !stored || took > maxQuickRenewal {
 		p.slowAt = bootTime()
 	}
 }
@@ -115,7 +118,7 @@
 	p.slowAt = now
 }
 
-// isQuick reports whether all recent renewals were fast.
+// isQuick reports whether the store has not been slow for quickPeriod.
 func (p *intentPromise) isQuick(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +133,8 @@
 	BeginsStored() bool
 }
 
-// intentMode is the state of a leader's start intents.
+// intentMode decides whether a leader stores start intents, following the state chart
+// charts/begins.json.
 type intentMode struct {
 	state   chart.State
 	promise *intentPromise
--- a/internal/deployment/begins_test.go
+++ b/internal/deployment/begins_test.go
@@ -31,8 +31,8 @@
 
 // renewQuickly reports a renewal that the store answered at once.
 func renewQuickly(p *intentPromise) {
-	_, number := p.next()
-	p.renewed(true, number, time.Millisecond)
+	_, seq := p.next()
+	p.renewed(true, seq, time.Millisecond)
 }
 
 func TestStartsStopToWaitForASlowStoreOnceTheRowNoLongerPromises(t *testing.T) {
@@ -46,9 +46,9 @@
 	m.update(bootTime())
 	assert.Equal(t, m.state, stIntentLoosening, "the renewal that was in flight still wrote the promise")
 	assert.Assert(t, core.storing)
-	strict, number := p.next()
+	strict, seq := p.next()
 	assert.Assert(t, !strict)
-	p.renewed(false, number, time.Second)
+	p.renewed(false, seq, time.Second)
 	m.update(bootTime())
 	assert.Assert(t, core.storing, "a renewal without an answer proves nothing")
 	renewQuickly(p)
@@ -100,7 +100,7 @@
 func TestASlowRenewalDelaysRestoringThePromise(t *testing.T) {
 	p := &intentPromise{}
 	p.init(false)
-	p.renewed(true, 0, 2*quickRenewal)
+	p.renewed(true, 0, 2*maxQuickRenewal)
 	assert.Assert(t, !p.isQuick(bootTime()))
 	assert.Assert(t, p.isQuick(bootTime().Add(quickPeriod)))
 }
--- a/internal/deployment/busyloop.go
+++ b/internal/deployment/busyloop.go
@@ -14,11 +14,12 @@
 // of its goroutines to the log, once per process.
 
 const (
-	// busySampleInterval is how often the process checks its own processor time.
+	// busySampleInterval is the interval at which the process checks its own processor
+	// time.
 	busySampleInterval = 1 * time.Second
 	// busyShare is the share of the available processor time from which a sample counts
-	// as busy. busySamples is how many consecutive samples must be busy; a burst or a
-	// start-up is shorter.
+	// as busy. busySamples is the number of consecutive samples that must be busy; a
+	// burst or a start-up is shorter.
 	busyShare   = 0.9
 	busySamples = 4
 	// maxStackBytes bounds the stacks that are logged: enough for some hundred
@@ -69,7 +70,7 @@
 }
 
 // processorTime returns the processor time that the process has used so far. It uses
-// getrusage and not the process clock, which on the users' machines advances like the
+// getrusage and not the process clock, which on some machines advances like the
 // monotonic clock.
 func processorTime() time.Duration {
 	var used unix.Rusage
--- a/internal/deployment/candidate.go
+++ b/internal/deployment/candidate.go
@@ -13,10 +13,10 @@
 
 // This file decides when this instance may take the lease, and takes it.
 
-// canTake reports whether the lease appears to be free to this instance: it was
-// released, it has expired, or its leader does not hold it any more. A leader that does
-// not answer may still consider its lease valid; an instance that takes the lease early
-// must allow for that (grant.predecessorUntil).
+// canTake reports whether the lease appears to be free to this instance: it was never
+// held or was released, it has expired, or its leader does not answer or does not hold it
+// any more. A leader that does not answer may still consider its lease valid; an instance
+// that takes the lease early must allow for that (grant.predecessorUntil).
 func (l *lease) canTake(ctx context.Context) bool {
 	return l.eligible() && l.takeReason(ctx, l.replica.seenLeader()) != ""
 }
@@ -55,7 +55,7 @@
 	}
 	// The leader answers and waits for the store like all others, or cannot reach the
 	// store although others can. Either way it has had its head start.
-	if age >= leaseDuration+leaseMargin+delay && (l.storeStable(leaderHeadStart) || !l.tuning.enabled(mechOutages)) {
+	if age >= leaseDuration+leaseMargin+delay && (l.storeStable(leaderHeadStart) || !l.tuning.enabled(mechKeepLeaseInOutages)) {
 		return "not renewed"
 	}
 	return ""
@@ -78,7 +78,7 @@
 			pause(ctx, pingInterval)
 		}
 		seen := l.replica.seenLeader()
-		if answered = seen.version == 0 || seen.Released || seen.Leader == l.self || rankAmong(l.size(), l.otherCandidates()) > nextInLine; answered {
+		if answered = seen.version == 0 || seen.Released || seen.Leader == l.self || rankAmong(l.size(), l.otherCandidates()) > maxNextInLineRank; answered {
 			continue // there is no leader to watch, or other instances watch it
 		}
 		start := bootTime()
--- a/internal/deployment/config.go
+++ b/internal/deployment/config.go
@@ -28,7 +28,7 @@
 		}
 		config, err := i.decoder.Configuration(row.Value)
 		if err != nil {
-			if i.unreadable.firstSeen(row.Key, row.Version) {
+			if i.unreadable.shouldLog(row.Key, row.Version) {
 				i.logger.Error("configuration cannot be read", zap.Error(err))
 			}
 			continue
--- a/internal/deployment/config_test.go
+++ b/internal/deployment/config_test.go
@@ -37,10 +37,10 @@
 		return err == nil
 	}
 	for _, c := range []struct {
-		stored  string
-		row     int64
-		version int64
-		admits  map[string]bool
+		stored     string
+		rowVersion int64
+		version    int64
+		admits     map[string]bool
 	}{
 		{"3 first second", 10, 3, map[string]bool{"first": true, "second": true}},
 		{"7 second", 11, 7, map[string]bool{"first": false, "second": true}},
@@ -49,8 +49,8 @@
 		{"8 third", 12, 8, map[string]bool{"first": false, "second": false, "third": true}},
 		{"5 first", 13, 8, map[string]bool{"first": false, "third": true}}, // an operator's write with an older version
 	} {
-		i.applyOperatorRows([]workload.Row{entryRow("config", c.stored, c.row)})
-		i.receiveRows(rowsMessage(entryRow("config", c.stored, c.row)))
+		i.applyOperatorRows([]workload.Row{entryRow("config", c.stored, c.rowVersion)})
+		i.receiveRows(rowsMessage(entryRow("config", c.stored, c.rowVersion)))
 		assert.Equal(t, i.configVersion(), c.version, c.stored)
 		for key, want := range c.admits {
 			assert.Equal(t, admits(key), want, "%s under %q", key, c.stored)
--- a/internal/deployment/contacts.go
+++ b/internal/deployment/contacts.go
@@ -28,14 +28,16 @@
 	// unresponsiveRetryInterval is the time between two hellos to an unresponsive
 	// instance.
 	unresponsiveRetryInterval = 3 * time.Second
-	// hubTimeout is how long a leaf receives nothing from the hubs of its zone before
-	// it follows the table itself: two hellos and their timeouts.
+	// hubTimeout is the time without a hello from the hubs of its zone after which a
+	// leaf follows the table itself: two hello intervals.
 	hubTimeout = 2 * helloInterval
-	// instanceListInterval is how often a leaf reads the list of instances, and
-	// minInstanceListInterval how often while no hub responds.
+	// instanceListInterval is the interval at which a leaf reads the list of instances,
+	// and minInstanceListInterval the interval while no hub has responded for that
+	// long.
 	instanceListInterval    = 10 * time.Second
 	minInstanceListInterval = time.Second
-	// roleCheckInterval is how often an instance checks whether it is a hub.
+	// roleCheckInterval is the interval at which an instance checks whether it is a
+	// hub.
 	roleCheckInterval = 100 * time.Millisecond
 )
 
@@ -86,7 +88,8 @@
 	hub bool
 	// listed is set once the instance has the list of instances.
 	listed bool
-	// lastHubContact is when a message from a hub of the zone was last received.
+	// lastHubContact is the time at which a hello from a hub of the zone was last
+	// received, or at which the list of instances became known.
 	lastHubContact time.Time
 }
 
@@ -139,8 +142,9 @@
 	i.role.lastHubContact = now
 }
 
-// contacts returns the instances to contact now, including the seeds while there is no
-// recent hello of any peer.
+// contacts returns the instances to contact now: those of contactsOf, unresponsive ones
+// to which another hello is due, the leader if this instance is a hub, and the seeds
+// while there is no recent hello of any peer.
 func (i *Instance) contacts() []string {
 	self := i.settings.Listen.Peers
 	list := contactsOf(i.followsTable(), i.settings.AvailabilityZone, i.replica.zones(self), i.peers.isUnresponsive)
@@ -178,8 +182,8 @@
 	}
 }
 
-// setListed records that the list of instances is known, and gives hubs time to
-// respond.
+// setListed records that the list of instances is known. The hubs have hubTimeout to
+// respond from then on.
 func (i *Instance) setListed() {
 	i.role.mu.Lock()
 	defer i.role.mu.Unlock()
--- a/internal/deployment/cut.go
+++ b/internal/deployment/cut.go
@@ -22,31 +22,31 @@
 // arrived in the first three seconds of a partition were not served at all.
 
 const (
-	// pingInterval is how often one instance of each other zone is pinged, so that a
-	// partition is noticed well before the balancer's next check.
+	// pingInterval is the interval at which one instance of each other zone is pinged,
+	// so that a partition is noticed well before the balancer's next check.
 	pingInterval = 200 * time.Millisecond
 	// pingTimeout bounds a ping and each concurrent probe of a witness; a slow instance
 	// answers within half of it.
 	pingTimeout = 250 * time.Millisecond
-	// witnessDelay is how long all pings may remain unanswered before the store and
-	// more instances are probed as well.
+	// witnessDelay is the time that all pings may remain unanswered before the store
+	// and more instances are probed as well.
 	witnessDelay = 100 * time.Millisecond
-	// witnessCount is how many more instances of other zones are probed before lost
-	// pings count as a partition.
+	// witnessCount is the number of further instances of other zones that are probed
+	// before lost pings count as a partition.
 	witnessCount = 2
 )
 
-// partitionWatch holds whether this instance is cut off: whether neither the store nor
-// any instance of another zone has answered since a probe of all of them failed.
+// partitionWatch holds whether this instance is cut off: a round of probes to the store
+// and to instances of all other zones failed, and none of them has answered since.
 type partitionWatch struct {
 	mu sync.Mutex
-	// cutOffSince is when the partition was detected; zero while the instance is not
-	// cut off.
+	// cutOffSince is the time at which the partition was detected; zero while the
+	// instance is not cut off.
 	cutOffSince time.Time
 	// detected is closed when a partition is detected.
 	detected chan struct{}
-	// isolated is set if the other instances of the zone did not answer either; they
-	// may not be cut off.
+	// isolated is set if no other instance of the zone answered either. Only this
+	// instance may be cut off then.
 	isolated bool
 }
 
@@ -87,6 +87,7 @@
 }
 
 // setIsolated records whether the instance is also cut off from the others of its zone.
+// It has no effect if the partition has ended.
 func (c *partitionWatch) setIsolated(isolated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,8 +134,8 @@
 	return api.WithRetryAfter(api.NewError(api.KindStoreUnavailable, "%v", errCutOff), after)
 }
 
-// watchPartition pings one instance of each other zone at a time, and probes all routes
-// if none answers soon.
+// watchPartition pings one instance of each other zone in each round, and probes the
+// store and more instances if none answers soon.
 func (i *Instance) watchPartition(ctx context.Context) {
 	for round := 0; ctx.Err() == nil; round++ {
 		pause(ctx, pingInterval)
@@ -162,10 +163,10 @@
 	}
 }
 
-// hubContactTimeout is how long a leaf receives nothing from the hubs of its zone
-// before it checks for a partition itself: a hello interval and the timeout of the next
-// hello.
-const hubContactTimeout = helloInterval + helloTimeout
+// delegationTimeout is the time without a hello from the hubs of its zone after which
+// a leaf no longer relies on them to detect a partition: a hello interval and the
+// timeout of the next hello.
+const delegationTimeout = helloInterval + helloTimeout
 
 // delegatesPartitionWatch reports whether this instance relies on the hubs of its zone
 // to detect a partition: it is a leaf, at least one hub has responded recently, and
@@ -176,10 +177,10 @@
 	}
 	now := bootTime()
 	hubs := i.peers.recent(func(v peerView) bool {
-		return v.hub && v.zone == i.settings.AvailabilityZone && now.Sub(v.receivedAt) < hubContactTimeout
+		return v.hub && v.zone == i.settings.AvailabilityZone && now.Sub(v.receivedAt) < delegationTimeout
 	})
 	connected := i.peers.recent(func(v peerView) bool {
-		return v.hub && !v.cutOff && v.zone == i.settings.AvailabilityZone && now.Sub(v.receivedAt) < hubContactTimeout
+		return v.hub && !v.cutOff && v.zone == i.settings.AvailabilityZone && now.Sub(v.receivedAt) < delegationTimeout
 	})
 	return len(connected) > 0 && len(connected) == len(hubs)
 }
@@ -211,7 +212,8 @@
 
 // probeZones pings one instance of each zone. It returns the first member of each zone
 // whose pinged instance did not answer, and whether there was any answer. If there is
-// none after witnessDelay, the store and some more instances are probed concurrently.
+// none after witnessDelay, or all pings have failed before, the store and some more
+// instances are probed concurrently.
 func (i *Instance) probeZones(ctx context.Context, zones [][]string, round int) (unresponsive []string, answered bool) {
 	answers := make(chan string, len(zones))
 	for _, members := range zones {
@@ -223,10 +225,10 @@
 			answers <- members[0]
 		}()
 	}
-	check := time.NewTimer(witnessDelay)
-	defer check.Stop()
-	checked := make(chan bool, 1)
-	checking := false
+	witnessTimer := time.NewTimer(witnessDelay)
+	defer witnessTimer.Stop()
+	witnessAnswers := make(chan bool, 1)
+	probingWitnesses := false
 	for remaining := len(zones); remaining > 0; {
 		select {
 		case id := <-answers:
@@ -236,16 +238,16 @@
 			} else {
 				unresponsive = append(unresponsive, id)
 			}
-		case <-check.C:
-			if checking = !answered; checking {
-				go func() { checked <- i.probeWitnesses(ctx, slices.Concat(zones...), round) }()
+		case <-witnessTimer.C:
+			if probingWitnesses = !answered; probingWitnesses {
+				go func() { witnessAnswers <- i.probeWitnesses(ctx, slices.Concat(zones...), round) }()
 			}
 		}
 	}
 	switch {
 	case answered:
-	case checking:
-		answered = <-checked
+	case probingWitnesses:
+		answered = <-witnessAnswers
 	default:
 		answered = i.probeWitnesses(ctx, slices.Concat(zones...), round)
 	}
--- a/internal/deployment/drains.go
+++ b/internal/deployment/drains.go
@@ -26,8 +26,8 @@
 
 	mu    sync.Mutex
 	zones map[string]drainState
-	// asOf is when the request for the newest answer that covers the whole table was
-	// sent.
+	// asOf is the time at which the request was sent whose answer is the newest to
+	// cover the whole table.
 	asOf time.Time
 }
 
@@ -74,7 +74,8 @@
 	return changed
 }
 
-// update sets the state of a zone, unless a newer one is known.
+// update sets the state of a zone, unless a newer one is known, and reports whether the
+// zone was drained or undrained.
 func (d *drains) update(zone string, state drainState) bool {
 	known := d.zones[zone]
 	if state.version < known.version {
--- a/internal/deployment/drains_test.go
+++ b/internal/deployment/drains_test.go
@@ -45,7 +45,7 @@
 		"an old removal after a new row changes nothing":           {[]drainUpdate{changesOf(undrainRow("a", 5), drainRow("a", 7)), changesOf(undrainRow("a", 5))}, []string{"a"}},
 		"a zone is drained again before its removal was seen":      {[]drainUpdate{changesOf(drainRow("a", 3)), changesOf(drainRow("a", 9))}, []string{"a"}},
 		"a whole read without its row undrains a zone":             {[]drainUpdate{changesOf(drainRow("a", 3)), tableAt(8)}, nil},
-		"a whole read that is older than its row does not":         {[]drainUpdate{changesOf(drainRow("a", 9)), tableAt(8)}, []string{"a"}},
+		"a whole read older than its row does not undrain it":      {[]drainUpdate{changesOf(drainRow("a", 9)), tableAt(8)}, []string{"a"}},
 		"a row from before a whole read without it does not drain": {[]drainUpdate{tableAt(2, drainRow("a", 1)), tableAt(8), changesOf(drainRow("a", 1))}, nil},
 		"several zones":            {[]drainUpdate{tableAt(8, drainRow("b", 4), drainRow("a", 3))}, []string{"a", "b"}},
 		"other rows drain nothing": {[]drainUpdate{tableAt(8, workload.Row{Key: "config", Version: 2}, workload.Row{Key: "wave/drain/a", Version: 2})}, nil},
--- a/internal/deployment/entries_test.go
+++ b/internal/deployment/entries_test.go
@@ -97,11 +97,11 @@
 		row   workload.Row
 		check func(t *testing.T, r *replica)
 	}{
-		"a job that is not a document": {
+		"a job row that is not a JSON object": {
 			workload.Row{Key: jobPrefix + "bad", Value: []byte("{"), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 1) },
 		},
-		"a job with fields of other types": {
+		"a job with a field of another type": {
 			workload.Row{Key: jobPrefix + "bad", Value: []byte(`{"id":"bad","steps":"none"}`), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 1) },
 		},
@@ -113,11 +113,11 @@
 			workload.Row{Key: jobPrefix + "bad", Value: []byte(`{"id":"bad"}`), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 1) },
 		},
-		"a job under another id": {
+		"a job whose id is not that of its key": {
 			workload.Row{Key: jobPrefix + "bad", Value: []byte(`{"id":"other","steps":[{"count":1}]}`), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 1) },
 		},
-		"a record that is not a document: the job's progress is unknown": {
+		"a record that is not a JSON object: the job's progress is unknown": {
 			workload.Row{Key: recordPrefix + "sound", Value: []byte("?"), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 0) },
 		},
@@ -125,17 +125,17 @@
 			workload.Row{Key: recordPrefix + "sound", Value: []byte(`{"final":"evaporated"}`), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.snapshot()), 0) },
 		},
-		"a worker that is not a document may run something": {
+		"a worker row that is not a JSON object: the worker may run something": {
 			workload.Row{Key: workerPrefix + "w", Value: []byte("?"), Version: 2},
 			func(t *testing.T, r *replica) {
 				assert.DeepEqual(t, ids(r.storedWorkers()), map[string]bool{"w": true})
 			},
 		},
-		"an instance that is not a document": {
+		"an instance row that is not a JSON object": {
 			workload.Row{Key: instancePrefix + "10.0.0.1:1", Value: []byte("7"), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, len(r.zones("")), 0) },
 		},
-		"a leader that is not a document": {
+		"a leader row that is not a JSON object": {
 			workload.Row{Key: leaderKey, Value: []byte("[]"), Version: 2},
 			func(t *testing.T, r *replica) { assert.Equal(t, r.seenLeader().version, int64(0)) },
 		},
--- a/internal/deployment/fake_test.go
+++ b/internal/deployment/fake_test.go
@@ -88,5 +88,5 @@
 
 // rowsMessage returns rows of the operators' table as a peer sends them.
 func rowsMessage(rows ...workload.Row) *peerpb.RowsNote {
-	return &peerpb.RowsNote{Source: string(workload.SourceConfiguration), Rows: packRows(rows)}
+	return &peerpb.RowsNote{Source: string(workload.SourceConfiguration), Rows: rowsToProto(rows)}
 }
--- a/internal/deployment/follow.go
+++ b/internal/deployment/follow.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// followWait is how long the store may wait for a change. It is shorter than the
-	// bounds within which changes must be in force, so that a feed that has stopped
+	// followWait is the time that the store may wait for a change. It is shorter than
+	// the bounds within which changes must be in force, so that a feed that has stopped
 	// responding is noticed in time.
 	followWait = 1 * time.Second
 	// followRetryPause is the pause after a failure.
 	followRetryPause = 100 * time.Millisecond
-	// leaderGap, nextInLineGap and restGap are how long hubs pause after changes of the
+	// leaderGap, nextInLineGap and restGap are the pauses of hubs after changes of the
 	// product's table. The leader is notified of new jobs by the instances that
-	// accepted them; its feed delivers those of which the notification was lost. The
-	// instances next in line observe renewals through the feed. The others receive
-	// records from the leader, and read jobs that they do not have.
+	// accepted them; its feed delivers those whose notification was lost. The instances
+	// next in line observe renewals through the feed. The others receive records from
+	// the leader, and read jobs that they do not have.
 	leaderGap     = 50 * time.Millisecond
 	nextInLineGap = 200 * time.Millisecond
 	restGap       = 600 * time.Millisecond
@@ -30,18 +30,18 @@
 	workersGap = 250 * time.Millisecond
 	// configurationGap batches changes that arrive in quick succession.
 	configurationGap = 20 * time.Millisecond
-	// rereadInterval is how often a followed table is read in addition: a feed may miss
-	// changes for a while.
+	// rereadInterval is the interval at which the operators' table is read in addition
+	// to its feed, which may miss changes for a while.
 	rereadInterval = 1 * time.Second
 )
 
 // tableGap returns the pause after changes of the product's table, given whether the
 // instance holds the lease and its rank among the candidates.
-func tableGap(holds bool, rank int) time.Duration {
+func tableGap(holdsLease bool, rank int) time.Duration {
 	switch {
-	case holds:
+	case holdsLease:
 		return leaderGap
-	case rank <= nextInLine:
+	case rank <= maxNextInLineRank:
 		return nextInLineGap
 	}
 	return restGap
@@ -128,7 +128,8 @@
 
 func pause(ctx context.Context, d time.Duration) { pauseOrWake(ctx, d, nil) }
 
-// pauseOrWake pauses until the duration has passed, the context ends, or wake delivers.
+// pauseOrWake pauses until the duration has passed, the context ends, or wake delivers a
+// value.
 func pauseOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/deployment/follow_test.go
+++ b/internal/deployment/follow_test.go
@@ -11,23 +11,23 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-func TestInstancesFarFromTheLeasePollTheStoreLessOften(t *testing.T) {
+func TestLowerRankedInstancesPollTheStoreLessOften(t *testing.T) {
 	for name, c := range map[string]struct {
-		holds bool
-		rank  int
-		want  time.Duration
+		holdsLease bool
+		rank       int
+		want       time.Duration
 	}{
 		"the leader":                     {true, 0, leaderGap},
 		"the next in line":               {false, 0, nextInLineGap},
-		"the last of those next in line": {false, nextInLine, nextInLineGap},
-		"after those next in line":       {false, nextInLine + 1, restGap},
+		"the last of those next in line": {false, maxNextInLineRank, nextInLineGap},
+		"after those next in line":       {false, maxNextInLineRank + 1, restGap},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, tableGap(c.holds, c.rank), c.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, tableGap(c.holdsLease, c.rank), c.want) })
 	}
 }
 
-func TestInstancesFarFromTheLeaseSeeARenewalBeforeSuspectingTheLeader(t *testing.T) {
-	turn := time.Duration(nextInLine+1) * candidateDelay
+func TestLowerRankedInstancesSeeARenewalBeforeSuspectingTheLeader(t *testing.T) {
+	turn := time.Duration(maxNextInLineRank+1) * candidateDelay
 	assert.Assert(t, restGap+renewInterval < suspectAfter+turn)
 }
 
--- a/internal/deployment/gossip.go
+++ b/internal/deployment/gossip.go
@@ -18,15 +18,15 @@
 	// may be two seconds old; with less than half of that as the interval, one hello
 	// may be lost.
 	helloInterval = 700 * time.Millisecond
-	// helloSkipWindow is how long no hello is sent to a peer after one was received
-	// from it. It is shorter than the interval, so that one of the two sends a hello in
-	// each interval.
+	// helloSkipWindow is the time for which no hello is sent to a peer after one was
+	// received from it. It is shorter than the interval, so that one of the two sends a
+	// hello in each interval.
 	helloSkipWindow = helloInterval * 3 / 4
 	// helloTimeout bounds one hello.
 	helloTimeout = 600 * time.Millisecond
 	// rowsTimeout bounds sending rows to a peer.
 	rowsTimeout = 800 * time.Millisecond
-	// peerViewTTL is how long a peer's hello counts as recent.
+	// peerViewTTL is the time for which a peer's hello counts as recent.
 	peerViewTTL = 2 * time.Second
 )
 
@@ -61,7 +61,7 @@
 	countedAt time.Time
 }
 
-// pendingCountsTTL is how long the cached counts are used.
+// pendingCountsTTL is the time for which the cached counts are used.
 const pendingCountsTTL = 250 * time.Millisecond
 
 func (p *pendingCounts) of(r *replica, now time.Time) map[string]int64 {
@@ -141,15 +141,15 @@
 func (i *Instance) sendRows(id string, source workload.Source, rows []workload.Row) {
 	ctx, cancel := context.WithTimeout(context.Background(), rowsTimeout)
 	defer cancel()
-	message := &peerpb.RowsNote{Source: string(source), Rows: packRows(rows)}
+	message := &peerpb.RowsNote{Source: string(source), Rows: rowsToProto(rows)}
 	compressRows(message.Rows)
 	if _, err := i.node.Call(ctx, id, &peerpb.Request{Body: &peerpb.Request_Rows{Rows: message}}); err != nil {
 		i.logger.Debug("passing rows on failed", zap.String("peer", id), zap.Error(err))
 	}
 }
 
-// sendToHubs sends rows to every hub, so that hubs whose feed has stopped responding
-// receive them too.
+// sendToHubs sends rows to every hub with a recent hello, so that hubs whose feed has
+// stopped responding receive them too.
 func (i *Instance) sendToHubs(source workload.Source, rows []workload.Row) {
 	for _, id := range i.peers.recent(func(v peerView) bool { return v.hub }) {
 		i.peerCalls.Go(func() { i.sendRows(id, source, rows) })
@@ -157,7 +157,7 @@
 }
 
 // notifyLeader sends rows to the leader and, from a leaf, also to the hub that it
-// queries. Both receive them from their feeds a little later.
+// queries first. Both receive them from their feeds a little later.
 func (i *Instance) notifyLeader(rows []workload.Row) {
 	recipients := []string{i.leaderAddr()}
 	if hubs := i.zoneHubs(); len(hubs) > 0 && !i.followsTable() {
@@ -198,7 +198,7 @@
 		i.logger.Error("rows of a peer cannot be read", zap.Error(err))
 		return
 	}
-	rows := unpackRows(message.GetRows())
+	rows := rowsFromProto(message.GetRows())
 	switch workload.Source(message.GetSource()) {
 	case workload.SourceOwn:
 		i.replica.apply(rows)
--- a/internal/deployment/grant.go
+++ b/internal/deployment/grant.go
@@ -8,7 +8,7 @@
 // grant is a lease that this instance holds. mu guards version, expiresAt and over.
 type grant struct {
 	epoch int64
-	// reason is why the lease could be taken, for the log.
+	// reason states why the lease could be taken, for the log.
 	reason string
 	// epochVersion is the version of the epoch row. Every write of the leader expects
 	// it, so that the store refuses writes of a leader that was replaced.
@@ -51,6 +51,8 @@
 	g.over = true
 }
 
+// renewed records the version of the renewed row, and extends the lease until the given
+// time if that is later than its current end.
 func (g *grant) renewed(version int64, until time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/deployment/instance.go
+++ b/internal/deployment/instance.go
@@ -100,8 +100,9 @@
 	leaseLoop sync.WaitGroup
 }
 
-// maxPeerCalls bounds the calls to peers in flight. Further calls are dropped, since
-// each carries information that is sent again.
+// maxPeerCalls bounds the calls to peers in flight, and also those that are queued.
+// Further calls are dropped, since the information in each is sent again or arrives by
+// another route.
 const maxPeerCalls = 128
 
 // peerLimits bounds how long an unresponsive peer can hold calls.
@@ -135,8 +136,8 @@
 	i.relayPool = pond.NewPool(maxRelayedCalls, pond.WithQueueSize(maxRelayedCalls), pond.WithNonBlocking(true))
 	i.workerAnswers = newBatcher(answerBatchLinger, maxAnswersPerMessage, i.sendAnswers)
 	i.store = &routedStore{
-		limit:      routeTimeout,
-		hedgeDelay: routeHedgeDelay,
+		attemptTimeout: routeTimeout,
+		hedgeDelay:     routeHedgeDelay,
 		routeState: &routeState{
 			direct:     o.Store,
 			caller:     i.node,
@@ -144,7 +145,7 @@
 			relayPeers: i.storeRelayPeers,
 		},
 	}
-	if !s.Tuning.enabled(mechOvertaking) {
+	if !s.Tuning.enabled(mechRouteHedging) {
 		i.store.hedgeDelay = routeTimeout
 	}
 	i.store.onAnswer = i.markReconnected
@@ -153,7 +154,7 @@
 	i.drains = newDrains(o.Decoder, o.Logger)
 	i.lease = &lease{
 		self:            s.Listen.Peers,
-		store:           i.store.withLimit(leaseRouteTimeout),
+		store:           i.store.withAttemptTimeout(leaseRouteTimeout),
 		replica:         i.replica,
 		logger:          o.Logger,
 		eligible:        i.eligible,
@@ -182,7 +183,7 @@
 
 // storeRelayPeers returns the peers that can make store calls for this instance.
 func (i *Instance) storeRelayPeers() []string {
-	if !i.settings.Tuning.enabled(mechPeerPaths) {
+	if !i.settings.Tuning.enabled(mechStoreRelays) {
 		return nil
 	}
 	return i.peers.recent(func(v peerView) bool { return v.storeReachable })
@@ -323,7 +324,7 @@
 	}
 }
 
-// settingsPollInterval is how often the settings file is polled.
+// settingsPollInterval is the interval at which the settings file is polled.
 const settingsPollInterval = 1 * time.Second
 
 // reload puts changed settings in force. Invalid settings change nothing.
@@ -346,7 +347,8 @@
 	i.logger.Info("settings in force", zap.String("store", settings.Store), zap.Strings("seeds", settings.Seeds))
 }
 
-// stopLinger is long enough for a balancer that checks once a second and removes an
+// stopLinger is the time for which a stopping instance still answers calls after it is
+// no longer ready: long enough for a balancer that checks once a second and removes an
 // instance after two failed checks.
 const stopLinger = 2200 * time.Millisecond
 
@@ -392,7 +394,7 @@
 	start(i.register)
 	start(i.gossip)
 	start(i.watchBusyLoop)
-	if i.settings.Tuning.enabled(mechCutWatch) {
+	if i.settings.Tuning.enabled(mechPartitionWatch) {
 		start(i.watchPartition)
 	}
 	leaseCtx, stopLease := context.WithCancel(ctx)
@@ -408,7 +410,7 @@
 
 // tableGap returns the pause after changes of the product's table.
 func (i *Instance) tableGap() time.Duration {
-	if !i.settings.Tuning.enabled(mechSeldomReads) {
+	if !i.settings.Tuning.enabled(mechRankedTableGap) {
 		return tableGap(i.lease.current() != nil, 0)
 	}
 	return tableGap(i.lease.current() != nil, rankAmong(i.lease.size(), i.otherCandidates()))
--- a/internal/deployment/jobstate.go
+++ b/internal/deployment/jobstate.go
@@ -46,7 +46,7 @@
 	return StateQueued
 }
 
-// pending returns, by queue, the number of jobs of which no task has started.
+// pending returns, by queue, the number of jobs that have not started.
 func (r *replica) pending() map[string]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/deployment/leader.go
+++ b/internal/deployment/leader.go
@@ -23,9 +23,9 @@
 	// minRoundInterval is the shortest time between two rounds. With a round for each
 	// event, a burst takes processor time from renewals and answers.
 	minRoundInterval = 15 * time.Millisecond
-	// roundRestFactor times the duration of a round is how long the loop rests after
-	// it, up to maxRoundRest. Without the rest, rounds take all available processor
-	// time on a large deployment, and polls that extend leases are late.
+	// roundRestFactor is the multiple of the duration of a round for which the loop
+	// rests after it, up to maxRoundRest. Without the rest, rounds take all available
+	// processor time on a large deployment, and polls that extend leases are late.
 	roundRestFactor = 3
 	maxRoundRest    = 100 * time.Millisecond
 	// leaderGCPercent is the heap growth between two garbage collections while this
@@ -59,9 +59,11 @@
 	// flight uses it.
 	recordVersions map[string]int64
 	// announced holds the jobs whose completion was announced before it was stored.
-	announced   map[string]bool
-	collectedAt time.Time
-	// unsyncedLoggedAt is when the workers that are waited for were last logged.
+	announced map[string]bool
+	// expiredRemovedAt is the time at which removeExpired last looked for expired jobs.
+	expiredRemovedAt time.Time
+	// unsyncedLoggedAt is the time at which the workers that are waited for were last
+	// logged.
 	unsyncedLoggedAt time.Time
 	// priorities holds the priorities for which steps have waited.
 	priorities map[int]bool
@@ -70,13 +72,13 @@
 	unreadableReports unreadableRows
 	// intents decides whether a start intent is stored before the first start of a job.
 	intents *intentMode
-	// startsHeld is set while nothing starts because the drained zones are not known
-	// recently enough.
+	// startsHeld is set while nothing starts because the copy of the drained zones is
+	// too old.
 	startsHeld bool
 	// synced is set while no worker is waited for; the lease reads it.
 	synced atomic.Bool
-	// quiescing leaders decide nothing any more; inFlight counts the unanswered orders
-	// and writes.
+	// quiescing is set once the leader makes no more decisions; inFlight counts the
+	// unanswered orders and writes.
 	quiescing atomic.Bool
 	inFlight  atomic.Int64
 	ctx       context.Context
@@ -257,8 +259,8 @@
 
 const (
 	// quiesceTimeout bounds how long a leader that gives up the lease waits for its
-	// orders: the next leader would interrupt a gang of which only some members were
-	// started. Workers answer within milliseconds, and a planned stop has seconds.
+	// orders: the next leader would interrupt a gang that was only partly started.
+	// Workers answer within milliseconds, and a planned stop has seconds.
 	quiesceTimeout      = 400 * time.Millisecond
 	quiescePollInterval = 5 * time.Millisecond
 )
@@ -274,11 +276,12 @@
 	}
 }
 
-// unsyncedLogInterval is how often the workers that a new leader waits for are logged.
+// unsyncedLogInterval is the interval at which the workers that a new leader waits for
+// are logged.
 const unsyncedLogInterval = time.Second
 
-// logUnsynced logs the workers that must answer before work of an earlier epoch can
-// continue.
+// logUnsynced logs how many workers must answer before work of an earlier epoch can
+// continue, and the first of them.
 func (c *leader) logUnsynced(now time.Time) {
 	if now.Sub(c.unsyncedLoggedAt) < unsyncedLogInterval {
 		return
--- a/internal/deployment/lease.go
+++ b/internal/deployment/lease.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// leaseDuration is how long a lease is valid without a renewal. It is short,
-	// because nothing starts between the death of a leader and the end of its lease,
-	// and long enough for three renewals on a slow store.
+	// leaseDuration is the time for which a lease is valid without a renewal. It is
+	// short, because nothing starts between the death of a leader and the end of its
+	// lease, and long enough for three renewals on a slow store.
 	leaseDuration = 2 * time.Second
 	// renewInterval is the time between renewals.
 	renewInterval = 400 * time.Millisecond
@@ -25,25 +25,29 @@
 	// which others may take it: two monotonic clocks differ a little, and the margin
 	// also bounds an order in flight.
 	leaseMargin = 300 * time.Millisecond
-	// suspectAfter is how long no renewal of a leader may be observed before it is
+	// suspectAfter is the time without an observed renewal after which a leader is
 	// asked whether it still holds the lease: two renewals and the delay of the feed.
 	// This detects most dead leaders in half the duration of the lease.
 	suspectAfter = 2*renewInterval + nextInLineGap + 100*time.Millisecond
-	// suspectAfterMissedPings is how long no renewal may be observed of a leader that
-	// left missedPingLimit consecutive pings unanswered: one renewal was definitely
-	// missed. Such a leader is not asked again.
+	// suspectAfterMissedPings is the time without an observed renewal after which the
+	// lease may be taken from a leader that left missedPingLimit consecutive pings
+	// unanswered: one renewal was definitely missed. Such a leader is not asked whether
+	// it still holds the lease.
 	suspectAfterMissedPings = renewInterval + nextInLineGap + 100*time.Millisecond
 	missedPingLimit         = 2
-	// nextInLine is the highest rank for the lease at which an instance still pings the
-	// leader.
-	nextInLine = 2
-	// leaderHeadStart is how long the store must have answered again before another
-	// instance takes the lease of a leader that is alive but lost the store as well.
-	// The leader retries every tenth of a second, and it knows everything that runs.
+	// maxNextInLineRank is the highest rank, from 0, of the instances that are next in
+	// line for the lease. They ping the leader and pause only for nextInLineGap between
+	// reads of the feed.
+	maxNextInLineRank = 2
+	// leaderHeadStart is the time for which the store must have answered again before
+	// another instance takes the lease of a leader that is alive but lost the store as
+	// well. The leader retries every tenth of a second, and its core has the state of
+	// everything that runs.
 	leaderHeadStart = 600 * time.Millisecond
 	// probeTimeout bounds asking a leader whether it holds the lease.
 	probeTimeout = 250 * time.Millisecond
-	// campaignInterval is how often an instance checks whether the lease is free.
+	// campaignInterval is the interval at which an instance checks whether the lease is
+	// free.
 	campaignInterval = 50 * time.Millisecond
 	// candidateDelay staggers the candidates, so that one of them is first: the time of
 	// a write to the store and of reading its result.
@@ -58,7 +62,7 @@
 	store   workload.Store
 	replica *replica
 	logger  *zap.Logger
-	// storeStable reports whether the store has answered without interruption for a
+	// storeStable reports whether no call to the store has failed on all routes for a
 	// duration.
 	storeStable func(d time.Duration) bool
 	// holdsLease asks an instance whether it holds the lease. An error means that it
@@ -77,7 +81,7 @@
 	// quiesce waits for orders and writes in flight before the lease is given up.
 	synced  func() bool
 	quiesce func()
-	// startedAt is when run was called.
+	// startedAt is the time at which run was called.
 	startedAt time.Time
 	tuning    Tuning
 	// lead runs while the lease is held; it returns when its context ends.
@@ -135,7 +139,7 @@
 	}()
 	reason := l.renew(ctx, g)
 	voluntary := ctx.Err() != nil || reason == reasonYielded
-	if voluntary && l.tuning.enabled(mechFinishing) {
+	if voluntary && l.tuning.enabled(mechQuiesce) {
 		l.quiesce()
 	}
 	g.end()
@@ -151,7 +155,8 @@
 // reasonYielded is the reason logged when the lease is handed to a larger instance.
 const reasonYielded = "yielded to a larger instance"
 
-// shouldYield reports whether the leader should hand over the lease now.
+// shouldYield reports whether the leader should hand over the lease now; since is the
+// time at which it took the lease.
 func (l *lease) shouldYield(since time.Time) bool {
 	return bootTime().Sub(since) >= yieldAfter && anyLarger(l.size(), l.otherCandidates(), yieldFactor) && l.synced()
 }
@@ -168,7 +173,7 @@
 		if ctx.Err() != nil {
 			return "released"
 		}
-		if !g.valid() && !l.tuning.enabled(mechOutages) {
+		if !g.valid() && !l.tuning.enabled(mechKeepLeaseInOutages) {
 			return "the lease expired"
 		}
 		if g.ended() {
@@ -184,20 +189,20 @@
 }
 
 // expiredRenewPause is the pause between renewals of an expired lease. While the store
-// is unreachable no instance can take the lease, and when it returns the leader, which
-// knows everything that runs, should be first.
+// is unreachable no instance can take the lease, and when it answers again the leader,
+// whose core has the state of everything that runs, should be first.
 const expiredRenewPause = 100 * time.Millisecond
 
 // renewOnce tries one renewal. It returns false if another instance took the lease.
 func (l *lease) renewOnce(ctx context.Context, g *grant, beat int64) bool {
 	sent := bootTime()
-	strict, number := g.promise.next()
+	strict, seq := g.promise.next()
 	row := encode(leaderRow{Leader: l.self, Epoch: g.epoch, Beat: beat, StoresIntents: strict})
 	written, err := l.store.Write(ctx, workload.Write{
 		Expect: []workload.Row{{Key: leaderKey, Version: g.version}},
 		Put:    []workload.Row{{Key: leaderKey, Value: row}},
 	})
-	g.promise.renewed(err == nil && !written.Conflict, number, bootTime().Sub(sent))
+	g.promise.renewed(err == nil && !written.Conflict, seq, bootTime().Sub(sent))
 	if err != nil {
 		l.logger.Debug("renewal failed", zap.Error(err))
 		return true // renew tries again
@@ -215,7 +220,8 @@
 	return true
 }
 
-// releaseTimeout bounds the release of the lease at a planned stop.
+// releaseTimeout bounds the release of the lease, at a planned stop or in favor of a
+// larger instance.
 const releaseTimeout = 1 * time.Second
 
 // release writes a released row, so that others can take the lease at once.
--- a/internal/deployment/lease_test.go
+++ b/internal/deployment/lease_test.go
@@ -73,7 +73,7 @@
 		"two renewals missed and stepped down":        {held, suspectAfter + time.Second/2, steppedDown, true, true},
 		"two renewals missed but the leader holds it": {held, suspectAfter + time.Second/2, holdsLease, true, false},
 		"expired, the leader had its head start":      {held, time.Minute, holdsLease, true, true},
-		"expired, and the store is only just back":    {held, time.Minute, holdsLease, false, false},
+		"expired, the store has only just recovered":  {held, time.Minute, holdsLease, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLease(t, "self", newMemoryStore())
--- a/internal/deployment/orders.go
+++ b/internal/deployment/orders.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// askAdvisor asks the placement advisor.
+// askAdvisor asks the placement advisor and passes its answer to the core.
 func (c *leader) askAdvisor(question workload.Question) {
 	ctx, cancel := context.WithTimeout(c.ctx, question.Within)
 	defer cancel()
@@ -60,14 +60,14 @@
 	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.Advised(question, advice, now, wallMS) })
 }
 
-func (c *leader) logOrder(what string, action dispatch.Action, more ...zap.Field) {
-	fields := orderFields(what, action.Order, zap.Int64("epoch", action.Order.Epoch), zap.String("reason", action.Reason))
+func (c *leader) logOrder(kind string, action dispatch.Action, more ...zap.Field) {
+	fields := orderFields(kind, action.Order, zap.Int64("epoch", action.Order.Epoch), zap.String("reason", action.Reason))
 	c.logger.Info("order", append(fields, more...)...)
 }
 
 // orderFields returns the log fields that identify an order.
-func orderFields(what string, o workload.Order, more ...zap.Field) []zap.Field {
-	fields := append([]zap.Field{zap.String("order", what)}, taskFields(o.Task)...)
+func orderFields(kind string, o workload.Order, more ...zap.Field) []zap.Field {
+	fields := append([]zap.Field{zap.String("order", kind)}, taskFields(o.Task)...)
 	fields = append(fields, zap.Int64("attempt", o.Attempt), zap.String("worker", o.Worker))
 	return append(fields, more...)
 }
@@ -91,7 +91,7 @@
 // sendOrder sends an order if the lease is still valid at that moment, and passes the
 // answer to the core.
 func (c *leader) sendOrder(
-	what string, action dispatch.Action, send func(context.Context, workload.Order) workload.Receipt,
+	kind string, action dispatch.Action, send func(context.Context, workload.Order) workload.Receipt,
 	answered func(*dispatch.Core, workload.Order, workload.Receipt, time.Time, int64),
 ) {
 	defer c.inFlight.Add(-1)
@@ -100,8 +100,8 @@
 	if c.grant.valid() {
 		receipt = send(c.ctx, action.Order)
 	}
-	metricOrder(what, receipt.Verdict).UpdateDuration(sent)
-	c.logFailedOrder(what, action, receipt)
+	metricOrder(kind, receipt.Verdict).UpdateDuration(sent)
+	c.logFailedOrder(kind, action, receipt)
 	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
 		answered(core, action.Order, receipt, now, wallMS)
 	})
@@ -112,7 +112,7 @@
 	if action.Poll.UntilMS == 0 || c.grant.valid() {
 		report = c.instance.routedWorkers.Poll(c.ctx, action.Poll)
 	}
-	if report.Unread > 0 && c.unreadableReports.firstSeen(action.Poll.Worker, c.grant.epoch) {
+	if report.Unread > 0 && c.unreadableReports.shouldLog(action.Poll.Worker, c.grant.epoch) {
 		c.logger.Error("worker lists what cannot be read", zap.String("worker", action.Poll.Worker), zap.Int("rows", report.Unread))
 	}
 	for _, e := range report.Ended {
@@ -128,10 +128,10 @@
 	return metrics.GetOrCreateHistogram(`corianderbank_deployment_order_seconds{order="` + kind + `",verdict="` + verdict.String() + `"}`)
 }
 
-func (c *leader) logFailedOrder(what string, action dispatch.Action, receipt workload.Receipt) {
+func (c *leader) logFailedOrder(kind string, action dispatch.Action, receipt workload.Receipt) {
 	if receipt.Verdict == workload.VerdictDone {
 		return
 	}
-	c.logger.Warn("order not carried out", orderFields(what, action.Order,
+	c.logger.Warn("order not carried out", orderFields(kind, action.Order,
 		zap.Stringer("verdict", receipt.Verdict), zap.Error(receipt.Err))...)
 }
--- a/internal/deployment/query.go
+++ b/internal/deployment/query.go
@@ -38,8 +38,8 @@
 }
 
 // zoneHubs returns the recently active hubs of the zone in the order in which this
-// instance queries them. Each leaf starts with a hub of its own, so that the hubs share
-// the load.
+// instance queries them. The first one depends on the instance's address, so that the
+// hubs share the load.
 func (i *Instance) zoneHubs() []string {
 	hubs := i.peers.recent(func(v peerView) bool { return v.hub && v.zone == i.settings.AvailabilityZone })
 	if len(hubs) == 0 {
--- a/internal/deployment/reach.go
+++ b/internal/deployment/reach.go
@@ -18,38 +18,40 @@
 	// routeTimeout bounds one attempt on one route. The store answers within
 	// milliseconds; when it is slow, within a few hundred.
 	routeTimeout = 900 * time.Millisecond
-	// routeHedgeDelay is how long a route may take before the next one is tried
+	// routeHedgeDelay is the time that a route may take before the next one is tried
 	// concurrently. Without it, an instance that the store does not answer would hold
 	// an urgent job for most of the time that the job has.
 	routeHedgeDelay = 250 * time.Millisecond
-	// directRetryAfter is how soon after a failure the direct route is tried first
-	// again, while a peer offers another one.
+	// directRetryAfter is the time after a failure for which the direct route is tried
+	// last, if there are routes through peers.
 	directRetryAfter = 1 * time.Second
-	// followSlack is added to the time that the store may wait for a change.
+	// followSlack is added to the time that the store may wait for a change, which
+	// bounds an attempt of a Follow call.
 	followSlack = 900 * time.Millisecond
-	// reachableWindow is how long the store counts as reachable after an answer.
+	// reachableWindow is the time for which the store counts as reachable after an
+	// answer.
 	reachableWindow = 1500 * time.Millisecond
 )
 
-// routedStore reaches the store by whatever route works: directly, or through a peer
+// routedStore reaches the store by any route that works: directly, or through a peer
 // that reaches it. Often only some instances are refused by the store. It implements
 // workload.Store.
 type routedStore struct {
 	*routeState
-	// limit bounds one attempt on one route; after hedgeDelay the next one is tried
-	// concurrently.
-	limit, hedgeDelay time.Duration
+	// attemptTimeout bounds one attempt on one route; after hedgeDelay the next one is
+	// tried concurrently.
+	attemptTimeout, hedgeDelay time.Duration
 }
 
 // limits are the time limits of one call.
 type limits struct {
-	// attempt bounds one attempt. After hedgeDelay without an answer, the next route is
-	// tried concurrently.
-	attempt, hedgeDelay time.Duration
+	// attemptTimeout bounds one attempt. After hedgeDelay without an answer, the next
+	// route is tried concurrently.
+	attemptTimeout, hedgeDelay time.Duration
 }
 
 const (
-	// slowFactor is how many times the average latency a route may take.
+	// slowFactor is the multiple of the average latency that a route may take.
 	slowFactor = 2
 	// maxAttemptTimeout bounds an attempt on a slow store.
 	maxAttemptTimeout = 1200 * time.Millisecond
@@ -59,15 +61,15 @@
 
 // limitsFor returns the limits of a call given the average latency. Asking a slow store
 // again on another route doubles its work and makes it slower.
-func limitsFor(limit, hedgeDelay, avgLatency time.Duration) limits {
+func limitsFor(attemptTimeout, hedgeDelay, avgLatency time.Duration) limits {
 	slow := min(slowFactor*avgLatency, maxAttemptTimeout)
-	return limits{attempt: max(limit, slow), hedgeDelay: max(hedgeDelay, slow)}
+	return limits{attemptTimeout: max(attemptTimeout, slow), hedgeDelay: max(hedgeDelay, slow)}
 }
 
 func (r *routedStore) limits() limits {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return limitsFor(r.limit, r.hedgeDelay, r.avgLatency)
+	return limitsFor(r.attemptTimeout, r.hedgeDelay, r.avgLatency)
 }
 
 // recordLatency updates the average latency of direct answers.
@@ -77,9 +79,10 @@
 	r.avgLatency += time.Duration(latencyWeight * float64(took-r.avgLatency))
 }
 
-// withLimit returns a routedStore with the same state and another bound for an attempt.
-func (r *routedStore) withLimit(limit time.Duration) *routedStore {
-	return &routedStore{routeState: r.routeState, limit: limit, hedgeDelay: min(r.hedgeDelay, limit)}
+// withAttemptTimeout returns a routedStore with the same state and another bound for an
+// attempt.
+func (r *routedStore) withAttemptTimeout(attemptTimeout time.Duration) *routedStore {
+	return &routedStore{routeState: r.routeState, attemptTimeout: attemptTimeout, hedgeDelay: min(r.hedgeDelay, attemptTimeout)}
 }
 
 // routeState is the state shared by all variants of a routedStore.
@@ -93,12 +96,13 @@
 	onAnswer func(start time.Time)
 
 	mu sync.Mutex
-	// failedAt is when the direct route failed last; zero after a success.
+	// failedAt is the time at which the direct route last failed; zero after a success.
 	failedAt time.Time
-	// directAt and answeredAt are when the store answered last directly and by any
-	// route.
+	// directAt and answeredAt are the times at which the store last answered directly
+	// and by any route.
 	directAt, answeredAt time.Time
-	// unreachableAt is when all routes last failed; zero if that never happened.
+	// unreachableAt is the time at which all routes last failed; zero if that never
+	// happened.
 	unreachableAt time.Time
 	// avgLatency is the moving average of the latency of direct answers.
 	avgLatency time.Duration
@@ -135,7 +139,7 @@
 		route := routes[started]
 		started++
 		hedge.Reset(limits.hedgeDelay)
-		go func() { outcomes <- tryRoute(attemptsCtx, route, limits.attempt, try) }()
+		go func() { outcomes <- tryRoute(attemptsCtx, route, limits.attemptTimeout, try) }()
 	}
 	start()
 	var f failures
@@ -172,8 +176,8 @@
 	return zero, f.err()
 }
 
-func tryRoute[T any](ctx context.Context, route workload.Store, limit time.Duration, try attempt[T]) outcome[T] {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func tryRoute[T any](ctx context.Context, route workload.Store, timeout time.Duration, try attempt[T]) outcome[T] {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	o := outcome[T]{route: route, start: bootTime()}
 	o.result, o.err = try(ctx, route)
@@ -234,7 +238,8 @@
 
 // recordResult records the result of an attempt that began at start, and logs when the
 // direct route to the store is lost and regained. An answer to a call that began before
-// the last failure proves nothing: the store lets calls that wait for changes complete.
+// the last failure proves nothing: the store lets calls complete that were already
+// waiting for changes.
 func (r *routedStore) recordResult(route workload.Store, start time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -288,7 +293,7 @@
 	r.unreachableAt = bootTime()
 }
 
-// stableFor reports whether the store has answered without interruption for a duration.
+// stableFor reports whether no call has failed on all routes for a duration.
 func (r *routedStore) stableFor(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -303,7 +308,7 @@
 }
 
 // reachable reports whether the store answered recently by any route, and whether it
-// did directly.
+// did directly and no direct attempt has failed since.
 func (r *routedStore) reachable() (byAnyRoute, directly bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/deployment/reach_test.go
+++ b/internal/deployment/reach_test.go
@@ -28,7 +28,7 @@
 }
 
 func newTestRoutedStore(direct workload.Store, by storePeer) *routedStore {
-	return &routedStore{limit: time.Second, hedgeDelay: routeHedgeDelay, routeState: &routeState{
+	return &routedStore{attemptTimeout: time.Second, hedgeDelay: routeHedgeDelay, routeState: &routeState{
 		direct: direct, caller: by, logger: zap.NewNop(), relayPeers: func() []string { return []string{"peer"} },
 	}}
 }
@@ -98,7 +98,7 @@
 	direct := &unresponsiveStore{memoryStore: newMemoryStore(), written: make(chan struct{}, 8)}
 	byPeer := newMemoryStore()
 	r := newTestRoutedStore(direct, storePeer{byPeer})
-	r.limit = time.Hour
+	r.attemptTimeout = time.Hour
 	for range 3 {
 		_, err := r.Write(t.Context(), workload.Write{Put: []workload.Row{{Key: "j/1", Value: []byte("x")}}})
 		assert.NilError(t, err)
@@ -109,7 +109,7 @@
 
 func TestASlowStoreIsNotAskedOnEveryPathAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		avgLatency, attempt, hedgeDelay time.Duration
+		avgLatency, attemptTimeout, hedgeDelay time.Duration
 	}{
 		"answers within milliseconds":          {4 * time.Millisecond, routeTimeout, routeHedgeDelay},
 		"slower than the hedge delay":          {300 * time.Millisecond, routeTimeout, 600 * time.Millisecond},
@@ -119,7 +119,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := limitsFor(routeTimeout, routeHedgeDelay, c.avgLatency)
-			assert.Equal(t, got, limits{attempt: c.attempt, hedgeDelay: c.hedgeDelay})
+			assert.Equal(t, got, limits{attemptTimeout: c.attemptTimeout, hedgeDelay: c.hedgeDelay})
 		})
 	}
 }
--- a/internal/deployment/records.go
+++ b/internal/deployment/records.go
@@ -20,10 +20,10 @@
 	maxEntriesPerWrite = 100
 	// writeRetryPause is the pause after a failed write of records.
 	writeRetryPause = 100 * time.Millisecond
-	// collectInterval is how often the rows of jobs that ended long ago are removed.
-	collectInterval = 5 * time.Second
-	// retentionFactor is by how much the retention of job states exceeds the promised
-	// time.
+	// removeExpiredInterval is the interval at which the rows of jobs that ended long
+	// ago are removed.
+	removeExpiredInterval = 5 * time.Second
+	// retentionFactor is the multiple of StatusKept for which job states are kept.
 	retentionFactor = 2
 )
 
@@ -176,13 +176,13 @@
 	}
 }
 
-// removeExpired removes the rows of jobs whose states need not be shown any more.
+// removeExpired removes the rows of jobs whose states no longer need to be shown.
 func (c *leader) removeExpired() {
 	now := bootTime()
-	if now.Sub(c.collectedAt) < collectInterval {
+	if now.Sub(c.expiredRemovedAt) < removeExpiredInterval {
 		return
 	}
-	c.collectedAt = now
+	c.expiredRemovedAt = now
 	retention := retentionFactor * c.instance.liveSettings.Load().bounds().StatusKept
 	ids := c.instance.replica.expired(time.Now().Add(-retention).UnixMilli(), maxRecordsPerWrite/2)
 	if len(ids) == 0 {
--- a/internal/deployment/relay.go
+++ b/internal/deployment/relay.go
@@ -41,9 +41,9 @@
 	case opWrite:
 		var written workload.Written
 		written, err = store.Write(ctx, workload.Write{
-			Part: call.GetPart(), Expect: unpackRows(call.GetExpect()), Put: unpackRows(call.GetPut()), Remove: call.GetRemove(),
+			Part: call.GetPart(), Expect: rowsFromProto(call.GetExpect()), Put: rowsFromProto(call.GetPut()), Remove: call.GetRemove(),
 		})
-		answer = &peerpb.StoreAnswer{Rows: packRows(written.Rows), Version: written.Version, Conflict: written.Conflict}
+		answer = &peerpb.StoreAnswer{Rows: rowsToProto(written.Rows), Version: written.Version, Conflict: written.Conflict}
 	case opRead, opFollow:
 		var page workload.Page
 		source := workload.Source(call.GetSource())
@@ -52,7 +52,7 @@
 		} else {
 			page, err = store.Follow(ctx, source, call.GetAfter(), time.Duration(call.GetWaitMs())*time.Millisecond)
 		}
-		answer = &peerpb.StoreAnswer{Rows: packRows(page.Rows), Version: page.Version, More: page.More}
+		answer = &peerpb.StoreAnswer{Rows: rowsToProto(page.Rows), Version: page.Version, More: page.More}
 	default:
 		err = fmt.Errorf("%w: no store call %q", workload.ErrNotDone, call.GetOp())
 	}
@@ -98,12 +98,12 @@
 // Write implements workload.Store.
 func (s *relayStore) Write(ctx context.Context, write workload.Write) (workload.Written, error) {
 	answer, err := s.call(ctx, &peerpb.StoreCall{
-		Op: opWrite, Part: write.Part, Expect: packRows(write.Expect), Put: packRows(write.Put), Remove: write.Remove,
+		Op: opWrite, Part: write.Part, Expect: rowsToProto(write.Expect), Put: rowsToProto(write.Put), Remove: write.Remove,
 	})
 	if err != nil {
 		return workload.Written{}, err
 	}
-	return workload.Written{Version: answer.GetVersion(), Conflict: answer.GetConflict(), Rows: unpackRows(answer.GetRows())}, nil
+	return workload.Written{Version: answer.GetVersion(), Conflict: answer.GetConflict(), Rows: rowsFromProto(answer.GetRows())}, nil
 }
 
 // Read implements workload.Store.
@@ -122,5 +122,5 @@
 	if err != nil {
 		return workload.Page{}, err
 	}
-	return workload.Page{Rows: unpackRows(answer.GetRows()), Version: answer.GetVersion(), More: answer.GetMore()}, nil
+	return workload.Page{Rows: rowsFromProto(answer.GetRows()), Version: answer.GetVersion(), More: answer.GetMore()}, nil
 }
--- a/internal/deployment/replica.go
+++ b/internal/deployment/replica.go
@@ -53,7 +53,7 @@
 type seenLeader struct {
 	leaderRow
 	version int64
-	// firstSeen is when this version was first seen.
+	// firstSeen is the time at which this version was first seen.
 	firstSeen time.Time
 }
 
@@ -71,10 +71,12 @@
 	// onChange is called, without the lock held, for new jobs and cancellations.
 	onChange func(change)
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// versions holds the newest known version of each row, by key.
 	versions map[string]int64
 	jobs     map[string]*knownJob
-	started  map[string]bool
+	// started holds the jobs that a leader has reported as started.
+	started map[string]bool
 	// startedEpoch is the highest epoch from which started was reported.
 	startedEpoch int64
 	leader       seenLeader
@@ -85,7 +87,7 @@
 	loaded bool
 	// allRows is set if all rows are kept. A leaf keeps only those of the instances.
 	allRows bool
-	// pinned is set while this instance leads and no row may be dropped.
+	// pinned is set while this instance leads and keepOnlyInstances has no effect.
 	pinned bool
 }
 
@@ -275,7 +277,7 @@
 	r.allRows = true
 }
 
-// pin prevents all rows from being dropped until unpin. A leader with missing rows
+// pin keeps keepOnlyInstances from dropping rows until unpin. A leader with missing rows
 // would treat jobs of an earlier epoch as new.
 func (r *replica) pin() { r.setPinned(true) }
 
@@ -319,8 +321,8 @@
 	return r.leader
 }
 
-// zones returns the known instances except one by availability zone, sorted by
-// compareSize.
+// zones returns the known instances by availability zone, without the one at the given
+// address, sorted by compareSize.
 func (r *replica) zones(except string) map[string][]peerSize {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -395,8 +397,8 @@
 	return *known, true
 }
 
-// expired returns jobs that ended before a time in milliseconds since 1970, including
-// those of which only the record is left.
+// expired returns up to limit jobs that ended before a time in milliseconds since 1970,
+// including those whose record is all that is left.
 func (r *replica) expired(beforeMS int64, limit int) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/deployment/rotation.go
+++ b/internal/deployment/rotation.go
@@ -13,14 +13,14 @@
 // that it answered, and derives from them when the balancer removes it.
 
 const (
-	// balancerCheckInterval is how often a balancer checks whether an instance is
-	// ready, and failedChecksUntilRemoval how many consecutive checks must fail until
-	// it routes no callers there.
+	// balancerCheckInterval is the interval at which a balancer checks whether an
+	// instance is ready, and failedChecksUntilRemoval the number of consecutive checks
+	// that must fail until it routes no callers there.
 	balancerCheckInterval    = 1 * time.Second
 	failedChecksUntilRemoval = 2
-	// callerRetrySpan is how long the attempts of a caller last that is asked to retry
-	// at once: it pauses between them on its own, about a tenth of a second longer each
-	// time.
+	// callerRetrySpan is the time over which a caller that is asked to retry at once
+	// makes its attempts: it pauses between them on its own, about a tenth of a second
+	// longer each time.
 	callerRetrySpan = 500 * time.Millisecond
 )
 
--- a/internal/deployment/rows.go
+++ b/internal/deployment/rows.go
@@ -17,7 +17,7 @@
 // minCompressSize is the size in bytes from which a value is compressed.
 const minCompressSize = 4 << 10
 
-func packRows(rows []workload.Row) []*peerpb.StoreRow {
+func rowsToProto(rows []workload.Row) []*peerpb.StoreRow {
 	list := make([]*peerpb.StoreRow, len(rows))
 	for i, row := range rows {
 		list[i] = &peerpb.StoreRow{Key: row.Key, Value: row.Value, Version: row.Version, Deleted: row.Deleted}
@@ -25,7 +25,7 @@
 	return list
 }
 
-func unpackRows(rows []*peerpb.StoreRow) []workload.Row {
+func rowsFromProto(rows []*peerpb.StoreRow) []workload.Row {
 	list := make([]workload.Row, len(rows))
 	for i, row := range rows {
 		list[i] = workload.Row{Key: row.GetKey(), Value: row.GetValue(), Version: row.GetVersion(), Deleted: row.GetDeleted()}
@@ -39,8 +39,8 @@
 		if len(row.GetValue()) < minCompressSize {
 			continue
 		}
-		if packed := config.Pack(row.GetValue()); len(packed) < len(row.GetValue()) {
-			row.Value, row.Packed = packed, true
+		if compressed := config.Pack(row.GetValue()); len(compressed) < len(row.GetValue()) {
+			row.Value, row.Packed = compressed, true
 		}
 	}
 }
--- a/internal/deployment/rows_test.go
+++ b/internal/deployment/rows_test.go
@@ -29,12 +29,12 @@
 		{Key: "small", Value: []byte("as it is"), Version: 8},
 		{Key: "empty", Version: 9, Deleted: true},
 	}
-	packed := packRows(rows)
-	compressRows(packed)
-	assert.Assert(t, proto.Size(&peerpb.RowsNote{Rows: packed}) < len(rows[0].Value)/4)
+	message := rowsToProto(rows)
+	compressRows(message)
+	assert.Assert(t, proto.Size(&peerpb.RowsNote{Rows: message}) < len(rows[0].Value)/4)
 	assert.Assert(t, len(rows[0].Value) > 100_000, "the row itself is unchanged")
-	assert.NilError(t, expandRows(packed))
-	assert.DeepEqual(t, unpackRows(packed), rows)
+	assert.NilError(t, expandRows(message))
+	assert.DeepEqual(t, rowsFromProto(message), rows)
 }
 
 func TestAMessageThatCannotBeExpandedChangesNothing(t *testing.T) {
@@ -48,9 +48,9 @@
 
 func TestValuesWrittenThroughAPeerAreNotCompressed(t *testing.T) {
 	value := largeConfiguration(100)
-	rows := unpackRows(packRows([]workload.Row{{Key: "j/1", Value: value}}))
+	rows := rowsFromProto(rowsToProto([]workload.Row{{Key: "j/1", Value: value}}))
 	assert.DeepEqual(t, rows[0].Value, value)
-	assert.Assert(t, !packRows(rows)[0].GetPacked())
+	assert.Assert(t, !rowsToProto(rows)[0].GetPacked())
 }
 
 func TestAPeerIsSentEachConfigurationOnceInAWhile(t *testing.T) {
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -17,7 +17,7 @@
 	AvailabilityZone string `json:"availability_zone"`
 	// Listen holds the addresses to listen on, IP number and port.
 	Listen Listen `json:"listen"`
-	// Seeds are addresses for peers of some instances; they may be stale.
+	// Seeds are addresses on which some instances listen for peers; they may be stale.
 	Seeds []string `json:"seeds"`
 	// Store is the address of the platform's store.
 	Store string `json:"store"`
@@ -30,14 +30,14 @@
 	Processor Processor `json:"processor"`
 	// MemoryMB is the memory that the process may use, in megabytes.
 	MemoryMB int64 `json:"memory_mb"`
-	// Descriptors is how many file descriptors the process may have open; zero means no
-	// bound.
+	// Descriptors is the number of file descriptors that the process may have open;
+	// zero means no bound.
 	Descriptors int `json:"descriptors"`
-	// StopWithinMS is how long a planned stop may take, in milliseconds.
+	// StopWithinMS is the time that a planned stop may take, in milliseconds.
 	StopWithinMS int64 `json:"stop_within_ms"`
 	// Bounds are the deployment's fixed times and factors.
 	Bounds BoundSettings `json:"bounds"`
-	// Tuning disables mechanisms for measurements.
+	// Tuning changes mechanisms, numbers and choices for measurements.
 	Tuning Tuning `json:"tuning"`
 }
 
@@ -75,21 +75,22 @@
 	Metrics string `json:"metrics"`
 }
 
-// BoundSettings are the deployment's fixed times and factors, times in milliseconds. A
-// missing bound takes a cautious default.
+// BoundSettings are the deployment's fixed times and factors. A missing bound takes a
+// cautious default.
 type BoundSettings struct {
-	// LongestLeaseMS is the longest lease that a worker grants.
+	// LongestLeaseMS is the longest lease that a worker grants, in milliseconds.
 	LongestLeaseMS int64 `json:"longest_lease_ms"`
-	// StopMS is the longest time that a worker takes to stop a task.
+	// StopMS is the longest time that a worker takes to stop a task, in milliseconds.
 	StopMS int64 `json:"stop_ms"`
-	// ReclaimMS is the time within which guaranteed capacity must be available.
+	// ReclaimMS is the time within which guaranteed capacity must be available, in
+	// milliseconds.
 	ReclaimMS int64 `json:"reclaim_ms"`
-	// StatusKeptS is how long the state of an ended job is kept, in seconds.
+	// StatusKeptS is the time for which the state of an ended job is kept, in seconds.
 	StatusKeptS float64 `json:"status_kept_s"`
 	// RemoteFactor is the factor by which tasks take longer away from their rack.
 	RemoteFactor float64 `json:"remote_factor"`
 	// DrainZoneMS is the time after an operator's order to drain an availability zone
-	// within which starts there must cease.
+	// within which starts there must cease, in milliseconds.
 	DrainZoneMS int64 `json:"drain_zone_ms"`
 }
 
@@ -99,7 +100,7 @@
 var compiledSettings = strictjson.MustCompile("deployment-settings.schema.json", settingsSchema)
 
 // defaultSettings returns the values for settings that a file omits. The default bounds
-// are on the side that keeps promises: long leases, quick reclaim.
+// are cautious, so that guarantees hold: long leases, quick reclaim.
 func defaultSettings() Settings {
 	return Settings{
 		LogLevel: "info", MemoryMB: 256, StopWithinMS: 4500,
--- a/internal/deployment/succession.go
+++ b/internal/deployment/succession.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// This file decides which instance leads. Where instances differ in size, a small one
-// cannot carry bursts: it renews late, is replaced by another small one, and so on. The
-// larger instances therefore take the lease first, and a small leader hands it over to
-// a larger instance that is available, once every worker has answered.
+// This file ranks the instances for the lease. Where instances differ in size, a small
+// leader is overloaded by bursts: it renews late, is replaced by another small one, and
+// so on. The larger instances therefore take the lease first, and a small leader hands it
+// over to a larger instance that is available, once every worker has answered.
 
 const (
-	// initialLeaseWait is how long an instance waits before it takes a lease that was
-	// never held: two hellos to each peer, after which it knows the larger ones.
+	// initialLeaseWait is the time that an instance waits before it takes a lease that
+	// was never held: two hello intervals, after which it has normally received hellos
+	// of the larger instances.
 	initialLeaseWait = 2 * helloInterval
-	// yieldFactor is how many times larger another instance must be for a handover,
-	// which costs a poll of every worker.
+	// yieldFactor is the factor by which another instance must be larger for a
+	// handover, which costs a poll of every worker.
 	yieldFactor = 1.5
 	// yieldAfter is the minimum time between taking the lease and handing it over:
 	// several hellos, so that the lease does not move to a peer that keeps appearing
--- a/internal/deployment/tuning.go
+++ b/internal/deployment/tuning.go
@@ -7,11 +7,12 @@
 	"github.com/corianderbank/corianderbank/internal/dispatch"
 )
 
-// Tuning disables mechanisms to measure their value. The zero value changes nothing.
+// Tuning disables mechanisms, and changes numbers and choices, to measure their value.
+// The zero value changes nothing.
 type Tuning struct {
 	// Without lists the disabled mechanisms, of this package or of dispatch.
 	Without []dispatch.Mechanism `json:"without"`
-	// Numbers and Choices are those of dispatch.
+	// Numbers and Choices are those of dispatch.Tuning.
 	Numbers map[dispatch.Number]float64 `json:"numbers"`
 	Choices map[dispatch.Choice]string  `json:"choices"`
 }
@@ -19,25 +20,25 @@
 // The mechanisms of an instance. They improve the service, and no guarantee depends on
 // them.
 const (
-	mechEarlyReplacement dispatch.Mechanism = "early_replacement"
-	mechOutages          dispatch.Mechanism = "outages"
-	mechPeerPaths        dispatch.Mechanism = "peer_paths"
-	mechOvertaking       dispatch.Mechanism = "overtaking"
-	mechRetryAfter       dispatch.Mechanism = "retry_after"
-	mechRoundGap         dispatch.Mechanism = "round_gap"
-	mechCutWatch         dispatch.Mechanism = "cut_watch"
-	mechAnnouncements    dispatch.Mechanism = "announcements"
-	mechLargerFirst      dispatch.Mechanism = "larger_first"
-	mechFinishing        dispatch.Mechanism = "finishing"
-	mechSeldomReads      dispatch.Mechanism = "seldom_reads"
-	mechWorkerRelays     dispatch.Mechanism = "worker_relays"
+	mechEarlyReplacement   dispatch.Mechanism = "early_replacement"
+	mechKeepLeaseInOutages dispatch.Mechanism = "outages"
+	mechStoreRelays        dispatch.Mechanism = "peer_paths"
+	mechRouteHedging       dispatch.Mechanism = "overtaking"
+	mechRetryAfter         dispatch.Mechanism = "retry_after"
+	mechRoundGap           dispatch.Mechanism = "round_gap"
+	mechPartitionWatch     dispatch.Mechanism = "cut_watch"
+	mechAnnouncements      dispatch.Mechanism = "announcements"
+	mechLargerFirst        dispatch.Mechanism = "larger_first"
+	mechQuiesce            dispatch.Mechanism = "finishing"
+	mechRankedTableGap     dispatch.Mechanism = "seldom_reads"
+	mechWorkerRelays       dispatch.Mechanism = "worker_relays"
 )
 
 // Mechanisms returns the mechanisms of an instance.
 func Mechanisms() []dispatch.Mechanism {
 	return []dispatch.Mechanism{
-		mechEarlyReplacement, mechOutages, mechPeerPaths, mechOvertaking, mechRetryAfter, mechRoundGap, mechCutWatch,
-		mechAnnouncements, mechLargerFirst, mechFinishing, mechSeldomReads, mechWorkerRelays,
+		mechEarlyReplacement, mechKeepLeaseInOutages, mechStoreRelays, mechRouteHedging, mechRetryAfter, mechRoundGap, mechPartitionWatch,
+		mechAnnouncements, mechLargerFirst, mechQuiesce, mechRankedTableGap, mechWorkerRelays,
 	}
 }
 
--- a/internal/deployment/unread.go
+++ b/internal/deployment/unread.go
@@ -6,12 +6,14 @@
 // repeats itself causes one log line and not one per repetition. It is safe for
 // concurrent use; its zero value is empty.
 type unreadableRows struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// rows holds the newest logged version by key.
 	rows map[string]int64
 }
 
-// firstSeen reports whether this version of a row is seen for the first time.
-func (u *unreadableRows) firstSeen(key string, version int64) bool {
+// shouldLog reports whether neither this nor a newer version of a row was logged, and
+// records it as logged.
+func (u *unreadableRows) shouldLog(key string, version int64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if seen, known := u.rows[key]; known && seen >= version {
--- a/internal/deployment/worker_reach.go
+++ b/internal/deployment/worker_reach.go
@@ -31,22 +31,22 @@
 // this route like on any other.
 
 const (
-	// callBatchLinger is how long calls wait for others to the same hub.
+	// callBatchLinger is the time that calls wait for others to the same hub.
 	callBatchLinger = 10 * time.Millisecond
 	// maxCallsPerMessage bounds the calls of one message.
 	maxCallsPerMessage = 256
-	// relayTimeout bounds sending a message to a hub, and is how much the route through
-	// a hub may add to a call.
+	// relayTimeout bounds sending a message from the leader to a hub or back, and is the
+	// time that the route through a hub may add to a call.
 	relayTimeout = 400 * time.Millisecond
 	// relayedOrderTimeout bounds a start or a stop at the worker including the route
 	// there and back.
 	relayedOrderTimeout = 500*time.Millisecond + relayTimeout
 	// relayedPollTimeout is added to the time that a poll may wait.
 	relayedPollTimeout = 600*time.Millisecond + relayTimeout
-	// hubRetryAfter is how long no calls are sent to a hub after it did not accept a
-	// message.
+	// hubRetryAfter is the time for which no calls are sent to a hub after it did not
+	// accept a message.
 	hubRetryAfter = 1500 * time.Millisecond
-	// hubListTTL is how long the cached list of a zone's hubs is used.
+	// hubListTTL is the time for which the cached list of a zone's hubs is used.
 	hubListTTL = 200 * time.Millisecond
 )
 
@@ -58,7 +58,8 @@
 	logger *zap.Logger
 	// hubs returns the responsive hubs of a zone, without this instance.
 	hubs func(zone string) []string
-	// maxDirect is how many workers this instance calls directly; zero means no bound.
+	// maxDirect is the number of workers that this instance calls directly at most;
+	// zero means no bound.
 	maxDirect int
 	// directShare is the share of the workers that this instance calls directly, as the
 	// bits of a float64.
@@ -68,7 +69,7 @@
 	mu          sync.Mutex
 	pending     map[uint64]pendingCall
 	hubsByZone  map[string]hubList
-	// failedAt is when a hub last did not accept a message.
+	// failedAt is the time at which a hub last did not accept a message.
 	failedAt map[string]time.Time
 }
 
@@ -90,8 +91,9 @@
 	fetchedAt time.Time
 }
 
-// errNotRelayed means that no hub accepted the call and that it was not carried out.
-var errNotRelayed = errors.New("no hub accepted the call")
+// errNotRelayed means that the hub did not accept the call and that it was not carried
+// out.
+var errNotRelayed = errors.New("the hub did not accept the call")
 
 func newRoutedWorkers(direct workload.Workers, caller peer.Caller, hubs func(zone string) []string, maxDirect int, logger *zap.Logger) *routedWorkers {
 	r := &routedWorkers{
@@ -174,14 +176,14 @@
 	if hub == "" {
 		return direct(ctx, o)
 	}
-	answer, err := r.callHub(ctx, hub, packOrder(op, o), relayedOrderTimeout)
+	answer, err := r.callHub(ctx, hub, orderToProto(op, o), relayedOrderTimeout)
 	switch {
 	case errors.Is(err, errNotRelayed):
 		return direct(ctx, o)
 	case err != nil:
 		return workload.Receipt{Verdict: workload.VerdictUnknown, Err: err}
 	}
-	return unpackReceipt(answer)
+	return receiptFromProto(answer)
 }
 
 // Poll implements workload.Workers.
@@ -190,14 +192,14 @@
 	if hub == "" {
 		return r.direct.Poll(ctx, p)
 	}
-	answer, err := r.callHub(ctx, hub, packPoll(p), p.Wait+relayedPollTimeout)
+	answer, err := r.callHub(ctx, hub, pollToProto(p), p.Wait+relayedPollTimeout)
 	switch {
 	case errors.Is(err, errNotRelayed):
 		return r.direct.Poll(ctx, p)
 	case err != nil:
 		return workload.Report{Verdict: workload.VerdictUnknown, Err: err}
 	}
-	return unpackReport(answer)
+	return reportFromProto(answer)
 }
 
 // Forget implements workload.Workers.
@@ -233,7 +235,8 @@
 }
 
 // sendCalls sends calls to a hub. Calls that the hub definitely did not accept fail at
-// once and take another route; the others are decided by their answers or timeouts.
+// once with errNotRelayed and are then made directly; the others end with their answers
+// or time out.
 func (r *routedWorkers) sendCalls(hub string, batch []*peerpb.WorkerCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 	defer cancel()
@@ -273,16 +276,16 @@
 }
 
 const (
-	// workersPerCore is how many workers an instance calls directly for each core that
-	// it may use.
+	// workersPerCore is the number of workers that an instance calls directly for each
+	// core that it may use.
 	workersPerCore = 2000
 	// connectionsPerWorker is the number of connections that an instance needs for a
 	// worker: a waiting poll, concurrent orders, and one that is being replaced.
 	connectionsPerWorker = 3
 )
 
-// maxDirectWorkers returns how many workers an instance calls directly; zero means no
-// bound.
+// maxDirectWorkers returns how many workers an instance calls directly at most; zero
+// means no bound.
 func maxDirectWorkers(s *Settings) int {
 	limit := math.MaxInt
 	if connections := s.WorkerConnections(); connections > 0 {
--- a/internal/deployment/worker_reach_test.go
+++ b/internal/deployment/worker_reach_test.go
@@ -21,7 +21,7 @@
 	mu      sync.Mutex
 	calls   int
 	verdict workload.Verdict
-	// latency is how long an answer takes.
+	// latency is the time that an answer takes.
 	latency time.Duration
 }
 
@@ -252,12 +252,12 @@
 		processor   Processor
 		want        int
 	}{
-		"no limits known":            {0, Processor{}, 0},
-		"few descriptors":            {1500, Processor{Share: 1, Cores: 2}, 250},
-		"a small processor":          {8192, Processor{Share: 0.1, Cores: 1}, 200},
-		"hardly any descriptors":     {4, Processor{}, 1},
-		"hardly any processor":       {4100, Processor{Share: 0.0001, Cores: 1}, 1},
-		"many of both, for its size": {100_000, Processor{Share: 1, Cores: 4}, 8000},
+		"no limits known":                          {0, Processor{}, 0},
+		"few descriptors":                          {1500, Processor{Share: 1, Cores: 2}, 250},
+		"a small processor":                        {8192, Processor{Share: 0.1, Cores: 1}, 200},
+		"hardly any descriptors":                   {4, Processor{}, 1},
+		"hardly any processor":                     {4100, Processor{Share: 0.0001, Cores: 1}, 1},
+		"many of both, the processor is the bound": {100_000, Processor{Share: 1, Cores: 4}, 8000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := defaultSettings()
--- a/internal/deployment/worker_relay.go
+++ b/internal/deployment/worker_relay.go
@@ -20,15 +20,16 @@
 )
 
 const (
-	// maxRelayedCalls bounds the calls that a hub has in flight for others.
+	// maxRelayedCalls bounds the calls that a hub has in flight for leaders, and also
+	// those that it queues in addition.
 	maxRelayedCalls = 4096
-	// answerBatchLinger is how long answers wait for others to the same leader.
+	// answerBatchLinger is the time that answers wait for others to the same leader.
 	answerBatchLinger = 15 * time.Millisecond
 	// maxAnswersPerMessage bounds the answers of one message.
 	maxAnswersPerMessage = 256
 )
 
-var errRelayFull = errors.New("too many calls for others under way")
+var errRelayFull = errors.New("too many relayed calls are in flight or queued")
 
 // relayCalls makes calls to workers for the leader. It returns at once; the answers are
 // sent in separate messages.
@@ -38,7 +39,7 @@
 	}
 	for _, call := range calls {
 		if i.relayPool.Go(func() { i.workerAnswers.add(leader, i.relayCall(call)) }) != nil {
-			i.workerAnswers.add(leader, packAnswer(call.GetId(), workload.VerdictUnsent, 0, errRelayFull))
+			i.workerAnswers.add(leader, newWorkerAnswer(call.GetId(), workload.VerdictUnsent, 0, errRelayFull))
 		}
 	}
 	return nil
@@ -49,17 +50,17 @@
 	direct := i.options.Workers
 	switch call.GetOp() {
 	case opStart:
-		return packReceipt(call.GetId(), direct.Start(ctx, unpackOrder(call)))
+		return receiptToProto(call.GetId(), direct.Start(ctx, orderFromProto(call)))
 	case opStop:
-		return packReceipt(call.GetId(), direct.Stop(ctx, unpackOrder(call)))
+		return receiptToProto(call.GetId(), direct.Stop(ctx, orderFromProto(call)))
 	case opPoll:
-		return packReport(call.GetId(), direct.Poll(ctx, unpackPoll(call)))
+		return reportToProto(call.GetId(), direct.Poll(ctx, pollFromProto(call)))
 	}
-	return packAnswer(call.GetId(), workload.VerdictUnsent, 0, errors.New("no such call"))
+	return newWorkerAnswer(call.GetId(), workload.VerdictUnsent, 0, errors.New("unknown call to a worker"))
 }
 
-// sendAnswers sends the answers of workers to the leader. If that fails, the timeouts
-// of the leader decide.
+// sendAnswers sends the answers of workers to the leader. If that fails, the calls of
+// the leader time out.
 func (i *Instance) sendAnswers(leader string, answers []*peerpb.WorkerAnswer) {
 	ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 	defer cancel()
@@ -69,20 +70,20 @@
 	}
 }
 
-func packTask(t workload.TaskID) *peerpb.TaskName {
+func taskToProto(t workload.TaskID) *peerpb.TaskName {
 	return &peerpb.TaskName{Job: t.Job, Occurrence: int32(t.Occurrence), Step: int32(t.Step), Index: int32(t.Index)}
 }
 
-func unpackTask(t *peerpb.TaskName) workload.TaskID {
+func taskFromProto(t *peerpb.TaskName) workload.TaskID {
 	return workload.TaskID{Job: t.GetJob(), Occurrence: int(t.GetOccurrence()), Step: int(t.GetStep()), Index: int(t.GetIndex())}
 }
 
-func packOrder(op string, o workload.Order) *peerpb.WorkerCall {
+func orderToProto(op string, o workload.Order) *peerpb.WorkerCall {
 	return &peerpb.WorkerCall{
 		Op:         op,
 		Worker:     o.Worker,
 		Addr:       o.Addr,
-		Task:       packTask(o.Task),
+		Task:       taskToProto(o.Task),
 		Attempt:    o.Attempt,
 		Epoch:      o.Epoch,
 		UntilMs:    o.UntilMS,
@@ -92,11 +93,11 @@
 	}
 }
 
-func unpackOrder(call *peerpb.WorkerCall) workload.Order {
+func orderFromProto(call *peerpb.WorkerCall) workload.Order {
 	return workload.Order{
 		Worker:     call.GetWorker(),
 		Addr:       call.GetAddr(),
-		Task:       unpackTask(call.GetTask()),
+		Task:       taskFromProto(call.GetTask()),
 		Attempt:    call.GetAttempt(),
 		Epoch:      call.GetEpoch(),
 		UntilMS:    call.GetUntilMs(),
@@ -106,7 +107,7 @@
 	}
 }
 
-func packPoll(p workload.Poll) *peerpb.WorkerCall {
+func pollToProto(p workload.Poll) *peerpb.WorkerCall {
 	return &peerpb.WorkerCall{
 		Op:           opPoll,
 		Worker:       p.Worker,
@@ -118,7 +119,7 @@
 	}
 }
 
-func unpackPoll(call *peerpb.WorkerCall) workload.Poll {
+func pollFromProto(call *peerpb.WorkerCall) workload.Poll {
 	return workload.Poll{
 		Worker:       call.GetWorker(),
 		Addr:         call.GetAddr(),
@@ -129,7 +130,7 @@
 	}
 }
 
-func packAnswer(id uint64, verdict workload.Verdict, clockMS int64, err error) *peerpb.WorkerAnswer {
+func newWorkerAnswer(id uint64, verdict workload.Verdict, clockMS int64, err error) *peerpb.WorkerAnswer {
 	answer := &peerpb.WorkerAnswer{Id: id, Verdict: verdict.String(), ClockMs: clockMS}
 	if err != nil {
 		answer.Message = err.Error()
@@ -137,42 +138,42 @@
 	return answer
 }
 
-func packReceipt(id uint64, r workload.Receipt) *peerpb.WorkerAnswer {
-	return packAnswer(id, r.Verdict, r.ClockMS, r.Err)
+func receiptToProto(id uint64, r workload.Receipt) *peerpb.WorkerAnswer {
+	return newWorkerAnswer(id, r.Verdict, r.ClockMS, r.Err)
 }
 
-func unpackReceipt(answer *peerpb.WorkerAnswer) workload.Receipt {
+func receiptFromProto(answer *peerpb.WorkerAnswer) workload.Receipt {
 	return workload.Receipt{Verdict: workload.ParseVerdict(answer.GetVerdict()), ClockMS: answer.GetClockMs(), Err: messageError(answer)}
 }
 
-func packReport(id uint64, r workload.Report) *peerpb.WorkerAnswer {
-	answer := packAnswer(id, r.Verdict, r.ClockMS, r.Err)
+func reportToProto(id uint64, r workload.Report) *peerpb.WorkerAnswer {
+	answer := newWorkerAnswer(id, r.Verdict, r.ClockMS, r.Err)
 	answer.Unread = int32(r.Unread)
 	for _, running := range r.Running {
 		answer.Running = append(answer.Running, &peerpb.RunningTask{
-			Task: packTask(running.Task), Attempt: running.Attempt, Checkpoint: running.Checkpoint, Percent: int32(running.Percent),
+			Task: taskToProto(running.Task), Attempt: running.Attempt, Checkpoint: running.Checkpoint, Percent: int32(running.Percent),
 		})
 	}
 	for _, e := range r.Ended {
 		answer.Ended = append(answer.Ended, &peerpb.EndedTask{
-			Number: e.Number, Task: packTask(e.Task), Attempt: e.Attempt, Kind: string(e.Kind), Checkpoint: e.Checkpoint,
+			Number: e.Number, Task: taskToProto(e.Task), Attempt: e.Attempt, Kind: string(e.Kind), Checkpoint: e.Checkpoint,
 		})
 	}
 	return answer
 }
 
-func unpackReport(answer *peerpb.WorkerAnswer) workload.Report {
+func reportFromProto(answer *peerpb.WorkerAnswer) workload.Report {
 	r := workload.Report{
 		Verdict: workload.ParseVerdict(answer.GetVerdict()), ClockMS: answer.GetClockMs(), Unread: int(answer.GetUnread()), Err: messageError(answer),
 	}
 	for _, running := range answer.GetRunning() {
 		r.Running = append(r.Running, workload.Running{
-			Task: unpackTask(running.GetTask()), Attempt: running.GetAttempt(), Checkpoint: running.GetCheckpoint(), Percent: int(running.GetPercent()),
+			Task: taskFromProto(running.GetTask()), Attempt: running.GetAttempt(), Checkpoint: running.GetCheckpoint(), Percent: int(running.GetPercent()),
 		})
 	}
 	for _, e := range answer.GetEnded() {
 		r.Ended = append(r.Ended, workload.Ended{
-			Number: e.GetNumber(), Task: unpackTask(e.GetTask()), Attempt: e.GetAttempt(), Kind: workload.EndKind(e.GetKind()), Checkpoint: e.GetCheckpoint(),
+			Number: e.GetNumber(), Task: taskFromProto(e.GetTask()), Attempt: e.GetAttempt(), Kind: workload.EndKind(e.GetKind()), Checkpoint: e.GetCheckpoint(),
 		})
 	}
 	return r
--- a/internal/deployment/workers.go
+++ b/internal/deployment/workers.go
@@ -15,8 +15,8 @@
 	decoder  Decoder
 	logger   *zap.Logger
 	onChange func()
-	// retention is how long a worker that is no longer listed is remembered, so that a
-	// late row does not list it again.
+	// retention is the time for which a worker that is no longer listed is remembered,
+	// so that a late row does not list it again.
 	retention time.Duration
 
 	mu      sync.Mutex
@@ -76,11 +76,10 @@
 	r.entries[row.Key] = &rosterEntry{worker: worker, version: row.Version}
 }
 
-// delistUnreadable handles an entry that does not decode to a usable worker: a worker
-// that was listed under it no longer is. It is logged once until the entry can be
-// decoded again.
+// delistUnreadable logs an entry that does not decode to a usable worker, once until it
+// can be decoded again, and delists the worker that was listed under it.
 func (r *roster) delistUnreadable(row workload.Row, known *rosterEntry, err error) {
-	if r.unreadable.firstSeen(row.Key, 0) {
+	if r.unreadable.shouldLog(row.Key, 0) {
 		r.logger.Error("worker's entry cannot be read", zap.String("worker", row.Key), zap.Error(err))
 	}
 	if known != nil && known.delistedAt.IsZero() {
@@ -88,7 +87,8 @@
 	}
 }
 
-// reload applies a whole read of the list.
+// reload applies a whole read of the list, and forgets workers that were delisted longer
+// ago than the retention.
 func (r *roster) reload(rows []workload.Row, _ int64) {
 	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
