--- a/internal/platform/breaker.go
+++ b/internal/platform/breaker.go
@@ -107,8 +107,8 @@
 	b.probes.Go(b.probe)
 }
 
-// probe reads a row repeatedly until the store answers or the breaker is closed
-// by another call or by Close.
+// probe reads a row repeatedly until the store answers, another call closes the
+// breaker, or Close is called.
 func (b *Breaker) probe() {
 	retry := backoff.Backoff{Base: probeBaseDelay, Max: probeMaxDelay}
 	for !b.Reachable() && sleep(b.ctx, retry.Failed(rand.Float64())) {
--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -17,18 +17,18 @@
 // second in total. Eight instances that return at the same time after an outage,
 // or a burst of keyed requests, demand far more.
 //
-// Without it: lease and configuration calls wait behind claims, leases expire, and
-// the placer changes because callers are busy. A store that has just recovered is
-// overloaded again.
+// Without it: lease and configuration calls wait behind claims, so that leases expire
+// and another instance becomes the placer merely because callers send many requests. A
+// store that has just recovered is overloaded again.
 //
 // Thresholds: the capacity of the store is taken as 300 writes and 2,000 reads a
 // second, the low end of what it serves, divided by the number of instances that
 // share it. A bucket holds the share of one second, so that a burst of up to that
 // size passes without delay. It starts empty, so that instances that start at the
 // same time do not each spend the share of one second immediately. Each purpose
-// reserves a part of the bucket for those with higher precedence: it stops at 10%
-// more of the bucket than the purpose before it, so that claims are still served
-// when submissions already wait.
+// leaves a part of the bucket to those with higher precedence: 10% of the bucket more
+// than the purpose before it, so that claims are still served when submissions already
+// wait.
 
 // Capacity of the store for all instances together, in calls per second.
 const (
@@ -40,7 +40,7 @@
 	// defaultInstances is the assumed number of instances until SetInstances is
 	// called.
 	defaultInstances = 8
-	// reserveStep is the part of the bucket that each purpose reserves for the
+	// reserveStep is the additional part of the bucket that each purpose leaves to the
 	// purposes before it.
 	reserveStep = 0.1
 	// maxWaiting limits the calls that wait for one bucket.
@@ -52,7 +52,7 @@
 // bucket is one instance's share of the store's writes or reads.
 type bucket struct {
 	total   float64
-	mu      sync.Mutex // makes checking and using limiter one step
+	mu      sync.Mutex // makes checking and using limiter atomic
 	limiter *rate.Limiter
 	waiting atomic.Int64
 	refused atomic.Int64
@@ -91,7 +91,7 @@
 }
 
 // take waits for a token. It returns an error if none is available before the
-// deadline of ctx or within maxWait.
+// deadline of ctx or within maxWait, or if maxWaiting calls already wait.
 func (b *bucket) take(ctx context.Context, purpose Purpose) error {
 	if b.waiting.Add(1) > maxWaiting {
 		b.waiting.Add(-1)
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -57,15 +57,16 @@
 	return adapter
 }
 
-// Reachable reports whether the platform answered the last call. Calls canceled
-// by the caller are not counted.
+// Reachable reports whether the platform answered the last call with anything but
+// KindStoreUnavailable. Calls without a response that the caller canceled are not
+// counted.
 func (h *HTTP) Reachable() bool { return h.reachable.Load() }
 
 // Close closes idle connections.
 func (h *HTTP) Close() { h.client.GetClient().CloseIdleConnections() }
 
 // Commit implements Tables with one attempt. The result is CommitUnknown if the
-// attempt may have reached the store but was not answered.
+// attempt may have reached the store and no definite answer arrived.
 func (h *HTTP) Commit(ctx context.Context, _ Purpose, tx api.Tx) CommitResult {
 	var answer api.TxAnswer
 	sent, err := h.post(ctx, "/v1/tables/commit", tx, &answer)
@@ -154,7 +155,7 @@
 }
 
 // call makes one HTTP request and returns the body of a successful response. The
-// boolean reports whether any byte of the request may have been sent.
+// bool result reports whether any byte of the request may have been sent.
 func (h *HTTP) call(ctx context.Context, method, path, contentType string, data []byte) (bool, []byte, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
--- a/internal/platform/contract_test.go
+++ b/internal/platform/contract_test.go
@@ -42,7 +42,8 @@
 }
 
 // runFaultFreeContract runs check as runContract does and also against the HTTP
-// client with the stand-in platform, which injects no faults: service is nil there.
+// client with the stand-in platform, where service is nil and check cannot inject
+// faults.
 func runFaultFreeContract(t *testing.T, check func(t *testing.T, service *fake.Platform, port ports)) {
 	t.Helper()
 	runContract(t, check)
@@ -149,19 +150,19 @@
 
 func TestTablesContractUnderFaults(t *testing.T) {
 	cases := map[string]func(t *testing.T, service *fake.Platform, port ports){
-		"an answer lost after the write is unknown and the row is written": func(t *testing.T, service *fake.Platform, port ports) {
+		"a commit whose answer is lost after the write is unknown and the row is written": func(t *testing.T, service *fake.Platform, port ports) {
 			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LostAfter: true} })
 			assert.Equal(t, commit(t, port, put("w1", "a", 0, `1`)).State, platform.CommitUnknown)
 			service.SetFault(nil)
 			assert.Equal(t, readOne(t, port, "a").WriteID, "w1")
 		},
-		"an answer lost before the write is unknown and nothing is written": func(t *testing.T, service *fake.Platform, port ports) {
+		"a commit that is lost before the write is unknown and nothing is written": func(t *testing.T, service *fake.Platform, port ports) {
 			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LostBefore: true} })
 			assert.Equal(t, commit(t, port, put("w1", "a", 0, `1`)).State, platform.CommitUnknown)
 			service.SetFault(nil)
 			assert.Equal(t, readOne(t, port, "a").Version, int64(0))
 		},
-		"an unreachable platform is a definite failure": func(t *testing.T, service *fake.Platform, port ports) {
+		"a commit to an unreachable platform is definitely not done and queries fail": func(t *testing.T, service *fake.Platform, port ports) {
 			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{Down: true} })
 			result := commit(t, port, put("w1", "a", 0, `1`))
 			assert.Equal(t, result.State, platform.CommitNotDone)
@@ -171,7 +172,7 @@
 			_, err = port.Scan(t.Context(), platform.PurposeOther, api.ScanQuery{Table: "t"})
 			assert.Assert(t, api.IsKind(err, api.KindStoreUnavailable))
 		},
-		"an ended context sends nothing": func(t *testing.T, _ *fake.Platform, port ports) {
+		"a commit whose context has ended is not sent": func(t *testing.T, _ *fake.Platform, port ports) {
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
 			assert.Equal(t, port.Commit(ctx, platform.PurposeOther, put("w1", "a", 0, `1`)).State, platform.CommitNotDone)
--- a/internal/platform/fake/fake.go
+++ b/internal/platform/fake/fake.go
@@ -25,7 +25,9 @@
 
 // Fault describes the fault of one call. The zero value is no fault.
 type Fault struct {
-	// Delay is the time to wait before the call is processed.
+	// Delay is the time to wait before the call is processed. If the caller's
+	// context ends during the wait, a commit is applied then and its result is
+	// unknown; other calls fail.
 	Delay time.Duration
 	// Down refuses the call at once. The call has no effect.
 	Down bool
@@ -35,7 +37,7 @@
 	// LostAfter loses the answer after the call has taken effect.
 	LostAfter bool
 	// AppliesAfter loses the answer at once and applies a commit after this time
-	// if its conditions hold then.
+	// if its conditions hold then. A put takes effect at once.
 	AppliesAfter time.Duration
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -13,9 +13,9 @@
 
 // Stack implements Tables by layering, from the caller inwards, grouped writes,
 // resolution of lost answers, the store budget and the circuit breaker over a
-// client that makes one attempt per call. Stack checks the breaker before the
-// other layers as well, so that during an outage callers wait neither for the
-// budget nor for a group.
+// client that makes one attempt per call. For Commit and Read, Stack checks the
+// breaker before the other layers as well, so that during an outage their callers
+// wait neither for the budget nor for a group.
 type Stack struct {
 	Tables
 	grouping *GroupingTables
@@ -119,8 +119,8 @@
 func NewWriteID() string { return rand.Text() }
 
 // ErrorOf converts a commit result to an error: nil for CommitDone, KindConflict
-// for a version conflict, KindStoreUnavailable if the transaction never reached
-// the store, and KindResultUnknown for CommitUnknown.
+// for a version conflict, KindStoreUnavailable for any other CommitNotDone, and
+// KindResultUnknown for CommitUnknown.
 func ErrorOf(result CommitResult) error {
 	switch {
 	case result.State == CommitDone:
--- a/internal/platform/ports.go
+++ b/internal/platform/ports.go
@@ -29,10 +29,10 @@
 	// Conflicts lists the current rows whose versions did not match, for
 	// CommitNotDone.
 	Conflicts []api.Row
-	// Now is the store's time; zero for CommitUnknown.
+	// Now is the store's time; zero if Err is set.
 	Now time.Time
-	// Err is the cause of CommitUnknown, or of CommitNotDone if the transaction
-	// never reached the store. It is nil for a version conflict.
+	// Err is the cause of CommitUnknown, or of CommitNotDone if the transaction was
+	// not sent or the platform rejected it. It is nil for a version conflict.
 	Err error
 }
 
--- a/internal/platform/stack_test.go
+++ b/internal/platform/stack_test.go
@@ -29,9 +29,9 @@
 
 func TestLostAnswersAreReadBack(t *testing.T) {
 	cases := map[string]struct {
-		faults   func(fake.Call) fake.Fault
-		occupied bool
-		want     platform.CommitState
+		faults    func(fake.Call) fake.Fault
+		rowExists bool
+		want      platform.CommitState
 	}{
 		"lost before the write: the repeat writes":     {faultFirst(1, fake.Fault{LostBefore: true}), false, platform.CommitDone},
 		"lost after the write: the repeat reads back":  {faultFirst(1, fake.Fault{LostAfter: true}), false, platform.CommitDone},
@@ -48,7 +48,7 @@
 				service := fake.New()
 				stack := platform.NewStack(service)
 				defer stack.Close()
-				if test.occupied {
+				if test.rowExists {
 					service.Commit(t.Context(), platform.PurposeClaim, put("other", "a", 0, `0`))
 				}
 				service.SetFault(test.faults)
@@ -268,8 +268,8 @@
 	}
 }
 
-// TestReturnAfterOutageStaysInsideTheBudget has eight instances with many pending
-// writes when the store recovers, and counts the commits that reach it each second.
+// TestReturnAfterOutageStaysInsideTheBudget lets the store recover while eight
+// instances have many pending writes, and counts the commits that reach it each second.
 func TestReturnAfterOutageStaysInsideTheBudget(t *testing.T) {
 	const writers = 60
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/standin/drive/input.go
+++ b/internal/standin/drive/input.go
@@ -80,11 +80,11 @@
 
 // workUnit is one request or job to send.
 type workUnit struct {
-	name       string
-	arrival    time.Duration
-	deliveries int
-	item       Item
-	payload    json.RawMessage
+	name          string
+	arrivalOffset time.Duration // from the start of the run
+	deliveries    int
+	item          Item
+	payload       json.RawMessage
 }
 
 // expand returns the work units of all items, one for each of an item's Count.
@@ -103,8 +103,8 @@
 			if err != nil {
 				return nil, err
 			}
-			arrival := time.Duration(item.AtMS+int64(i)*item.SpacingMS) * time.Millisecond
-			units = append(units, workUnit{name: name, arrival: arrival, deliveries: max(item.Deliveries, 1), item: item, payload: payload})
+			arrivalOffset := time.Duration(item.AtMS+int64(i)*item.SpacingMS) * time.Millisecond
+			units = append(units, workUnit{name: name, arrivalOffset: arrivalOffset, deliveries: max(item.Deliveries, 1), item: item, payload: payload})
 		}
 	}
 	return units, nil
--- a/internal/standin/drive/run.go
+++ b/internal/standin/drive/run.go
@@ -46,7 +46,8 @@
 // retryDelay is the delay before a job is queried at the next entry instance.
 const retryDelay = 200 * time.Millisecond
 
-// callTimeoutMargin is added to the time that a call may wait at the server.
+// callTimeoutMargin is the time allowed for a call in addition to the time that it
+// may wait at the server.
 const callTimeoutMargin = 10 * time.Second
 
 // Run sends all work of input and returns one answer for each delivery, in the
@@ -83,7 +84,7 @@
 }
 
 func (r *runner) deliver(ctx context.Context, entry string, answer *Answer) {
-	timer := time.NewTimer(time.Until(r.startedAt.Add(answer.unit.arrival)))
+	timer := time.NewTimer(time.Until(r.startedAt.Add(answer.unit.arrivalOffset)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -111,7 +112,7 @@
 }
 
 func (r *runner) deliverJob(ctx context.Context, entry string, answer *Answer) {
-	submission := answer.unit.buildJob(r.startedAt.Add(answer.unit.arrival))
+	submission := answer.unit.buildJob(r.startedAt.Add(answer.unit.arrivalOffset))
 	var got api.JobAnswer
 	if !r.call(ctx, "POST", entry, "/v1/jobs", submission, &got, answer) {
 		return
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -187,7 +187,7 @@
 
 func TestWorkerRejectsInvalidCalls(t *testing.T) {
 	cases := map[string]struct {
-		do   func(worker *Worker) error
+		call func(worker *Worker) error
 		kind api.Kind
 	}{
 		"a lower epoch": {func(worker *Worker) error {
@@ -222,7 +222,7 @@
 			worker := newTestWorker()
 			_, err := worker.Reserve(reserve(2, "g", 4))
 			assert.NilError(t, err)
-			assert.Assert(t, api.IsKind(tc.do(worker), tc.kind))
+			assert.Assert(t, api.IsKind(tc.call(worker), tc.kind))
 			assert.Equal(t, len(worker.Starts()), 0)
 		})
 	}
--- a/internal/standin/tables.go
+++ b/internal/standin/tables.go
@@ -33,7 +33,7 @@
 }
 
 // commit applies all operations of tx or none. A repeated write id gets the
-// same answer as before.
+// same answer as before, with the current time.
 func (t *tables) commit(tx api.Tx) api.TxAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -266,7 +266,7 @@
 	return used
 }
 
-// beginCall is the first step of every call of a placer. It rejects an epoch
+// beginCall is the first step of every call with an epoch. It rejects an epoch
 // below the highest one seen and updates the reservations to the current time.
 // The caller holds mu.
 func (k *Worker) beginCall(epoch int64) error {
@@ -471,8 +471,8 @@
 	return name, Progress{ProgressMS: res.progress.Milliseconds()}, nil
 }
 
-// findReservation returns the reservation that request refers to. The caller
-// holds mu.
+// findReservation calls beginCall and returns the reservation that request refers
+// to. The caller holds mu.
 func (k *Worker) findReservation(request api.Stop) (*reservation, error) {
 	if err := k.beginCall(request.Epoch); err != nil {
 		return nil, err
--- a/internal/standin/worker_http.go
+++ b/internal/standin/worker_http.go
@@ -66,7 +66,7 @@
 	k.handleStopCall(w, r, k.Checkpoint)
 }
 
-func (k *Worker) handleStopCall(w http.ResponseWriter, r *http.Request, do func(context.Context, api.Stop) (api.StopAnswer, error)) {
+func (k *Worker) handleStopCall(w http.ResponseWriter, r *http.Request, operation func(context.Context, api.Stop) (api.StopAnswer, error)) {
 	var request api.Stop
 	if !readJSON(w, r, &request) {
 		return
@@ -77,7 +77,7 @@
 		ctx, cancel = context.WithTimeout(ctx, milliseconds(request.WithinMS))
 		defer cancel()
 	}
-	answer, err := do(ctx, request)
+	answer, err := operation(ctx, request)
 	k.writeAnswer(w, answer, err)
 }
 
--- a/internal/workload/check.go
+++ b/internal/workload/check.go
@@ -53,7 +53,7 @@
 
 func (r Resources) valid() bool { return r.MilliCPU >= 0 && r.MemoryMB >= 0 && r.Accelerators >= 0 }
 
-// Check returns an error if the entry does not describe a usable worker.
+// Check returns an error if the id, address or pool is empty or a number is negative.
 func (w *Worker) Check() error {
 	switch {
 	case w.ID == "":
--- a/internal/workload/ports.go
+++ b/internal/workload/ports.go
@@ -41,7 +41,7 @@
 }
 
 // ErrUnknown is wrapped by errors of store calls that may have been executed or
-// may still be.
+// may still be executed.
 var ErrUnknown = errors.New("the store's answer is missing")
 
 // ErrNotDone is wrapped by errors of store calls that were definitely not executed.
@@ -95,7 +95,8 @@
 	// Epoch is the fencing token. A worker rejects orders with an epoch lower than
 	// the highest it has seen.
 	Epoch int64
-	// UntilMS is the latest time for a start, on the worker's clock.
+	// UntilMS is the latest time for a start, on the worker's clock. A start also
+	// extends the worker's lease up to this time.
 	UntilMS    int64
 	Spec       string
 	Checkpoint string
@@ -103,10 +104,10 @@
 	Ticket string
 }
 
-// Verdict is the outcome of an order.
+// Verdict is the outcome of an order or a poll.
 type Verdict int
 
-// Outcomes of an order.
+// Outcomes of an order or a poll.
 const (
 	// VerdictDone means that the order was carried out, now or earlier.
 	VerdictDone Verdict = iota
@@ -130,9 +131,11 @@
 	VerdictUnwell
 	// VerdictRejected means that the worker rejected the order as malformed.
 	VerdictRejected
-	// VerdictUnsent means that no connection could be opened and nothing was sent.
+	// VerdictUnsent means that nothing was sent, for instance because no connection
+	// could be opened or the leader's lease had expired.
 	VerdictUnsent
-	// VerdictClosed means that the connection was refused and nothing was sent.
+	// VerdictClosed means that the worker's address refused the connection, so that
+	// nothing was sent.
 	VerdictClosed
 )
 
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -58,7 +58,8 @@
 	Need Resources `json:"need"`
 	// EstimateMS is the declared run time of a task. It is often inaccurate.
 	EstimateMS int64 `json:"estimate_ms,omitempty"`
-	// After lists the steps whose tasks must all have completed successfully first.
+	// After lists the indexes of the steps that must be completed successfully before
+	// this one starts.
 	After []int `json:"after,omitempty"`
 	// Checkpoints reports whether a stopped task can resume from its checkpoint.
 	Checkpoints bool `json:"checkpoints,omitempty"`
@@ -110,7 +111,8 @@
 	// Account is the client account that submitted the job.
 	Account string `json:"account,omitempty"`
 	// AcceptedMS is the time of acceptance on the accepting instance's clock, in
-	// milliseconds since 1970. It is only used to order jobs, since clocks differ.
+	// milliseconds since 1970. Clocks differ between instances, so that it is used only
+	// to order jobs and to estimate the age of a job, within a plausible range.
 	AcceptedMS int64  `json:"accepted_ms"`
 	Spec       string `json:"spec,omitempty"`
 	Steps      []Step `json:"steps"`
@@ -145,7 +147,8 @@
 	Pool string
 	// Priority orders queues. 0 is the most urgent and may preempt others.
 	Priority int
-	// Attempts is the number of times that a task or a gang may fail.
+	// Attempts is the number of failed attempts of a task or a gang after which its job
+	// fails. Values below 1 count as 1. Failures of long-running tasks are not counted.
 	Attempts int
 	// Stretch and GraceMS define the latency objective of a job: Stretch times the
 	// duration of its critical path, plus GraceMS.
@@ -159,7 +162,7 @@
 }
 
 // Advice contains the decision time of the placement advisor, per question and per
-// item, and the validity of its tickets.
+// worker in the question, and the validity of its tickets.
 type Advice struct {
 	DecisionMS, PerItemMS, ValidityMS int64
 }
@@ -259,7 +262,7 @@
 type Bounds struct {
 	// LongestLease is the maximum duration of a lease that a worker grants.
 	LongestLease time.Duration
-	// StopTime is the maximum duration of a stop.
+	// StopTime is the longest time that a worker takes to stop a task.
 	StopTime time.Duration
 	// Reclaim is the maximum time until guaranteed capacity is available.
 	Reclaim time.Duration
