--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -57,7 +57,7 @@
 	// MaxQueued bounds the account's waiting requests; zero means that the rule
 	// that accepted the request sets no limit.
 	MaxQueued int
-	// Rule is the name of that rule.
+	// Rule is the name of the rule that accepted the request.
 	Rule string
 }
 
@@ -71,8 +71,8 @@
 	MaxQueued int
 }
 
-// Refusal is the final answer to a request that admission does not dispatch. It
-// is returned to the caller at once.
+// Refusal reports that admission does not dispatch a request. It is returned at
+// once, and is the final answer unless another availability zone runs the request.
 type Refusal struct {
 	Request Request
 	Kind    api.Kind
@@ -101,15 +101,16 @@
 	running      map[string]runningRequest
 	expiry       entryHeap
 	serviceTimes *ServiceTimes
-	// virtualTime is the virtual time of the account served last: service
-	// received, in seconds, divided by weight.
+	// virtualTime is the largest virtual time at which an account was served.
+	// An account that starts to wait begins at least there, so that it gets no
+	// credit for the time in which it sent nothing.
 	virtualTime float64
 	capacity    int
 	sequence    uint64
 }
 
-// runningRequest records the service time that a request was charged when it was
-// dispatched, in seconds.
+// runningRequest records the service time, in seconds, that the account was
+// charged when the request was dispatched.
 type runningRequest struct {
 	account *account
 	kind    string
@@ -321,8 +322,8 @@
 }
 
 // Finish records that a request no longer uses its slot. The account is charged
-// the actual service time in place of the expected one; zero means that the
-// request did not run.
+// the actual service time in place of the expected one. Zero charges nothing and
+// leaves the run time estimates unchanged.
 func (q *Queue) Finish(id string, service time.Duration) {
 	finished, ok := q.running[id]
 	if !ok {
--- a/internal/admission/servicetimes.go
+++ b/internal/admission/servicetimes.go
@@ -6,8 +6,8 @@
 	// DefaultServiceTime is assumed for a kind without observations.
 	DefaultServiceTime = 50 * time.Millisecond
 	// meanGain is the weight of one observation in the mean: about the last
-	// twenty count, so that the mean follows a change within a second at the
-	// current load.
+	// twenty count, so that the mean follows a change within a second at the load
+	// of present deployments.
 	meanGain = 0.05
 	// highQuantile is the quantile that HighQuantile returns: one in a hundred
 	// requests of a kind takes longer than load shedding assumes. At 0.9, a tenth
--- a/internal/entry/bodies_test.go
+++ b/internal/entry/bodies_test.go
@@ -59,7 +59,7 @@
 	assert.Assert(t, answer.Outcome != "")
 	if recorder.Code >= 400 {
 		assert.Equal(t, answer.Outcome, api.OutcomeNotRun)
-		assert.Equal(t, api.AnswerFor(answer.Kind).Kind, answer.Kind, "a kind of the closed list")
+		assert.Equal(t, api.AnswerFor(answer.Kind).Kind, answer.Kind, "the error kind is not declared")
 	}
 	return recorder.Code, answer.Kind
 }
@@ -82,8 +82,8 @@
 		"deadline beyond the limit": {"/v1/requests", `{"account":"a","kind":"k","deadline_ms":1000000000000}`, api.KindInvalidField},
 		"past deadline":             {"/v1/jobs", `{"account":"a","kind":"k","deadline":"2001-01-01T00:00:00Z",` + shape + `}`, api.KindPastDeadline},
 		"negative shape":            {"/v1/jobs", `{"account":"a","kind":"k","declared_run_s":1,"shape":{"tasks":-1,"accelerators_per_task":1}}`, api.KindInvalidShape},
-		"absurd shape":              {"/v1/jobs", `{"account":"a","kind":"k","declared_run_s":1,"shape":{"tasks":1,"accelerators_per_task":1000000}}`, api.KindInvalidShape},
-		"absurd run time":           {"/v1/jobs", `{"account":"a","kind":"k","declared_run_s":1e300,"shape":{"tasks":1,"accelerators_per_task":1}}`, api.KindInvalidField},
+		"shape beyond the limit":    {"/v1/jobs", `{"account":"a","kind":"k","declared_run_s":1,"shape":{"tasks":1,"accelerators_per_task":1000000}}`, api.KindInvalidShape},
+		"run time beyond the limit": {"/v1/jobs", `{"account":"a","kind":"k","declared_run_s":1e300,"shape":{"tasks":1,"accelerators_per_task":1}}`, api.KindInvalidField},
 		"no run time":               {"/v1/jobs", `{"account":"a","kind":"k","shape":{"tasks":1,"accelerators_per_task":1}}`, api.KindInvalidField},
 		"valid request":             {"/v1/requests", `{"account":"a","kind":"k"}`, ""},
 		"valid job":                 {"/v1/jobs", `{"account":"a","kind":"k",` + shape + `}`, ""},
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -36,6 +36,8 @@
 	s.writeRequest(w, s.opts.Requests.Execute(ctx, id, submission))
 }
 
+// admitRequest checks whether the instance can accept a request, and decodes and
+// validates its body.
 func (s *Server) admitRequest(w http.ResponseWriter, r *http.Request, submission *api.RequestSubmission) error {
 	if err := s.opts.Ready(); err != nil {
 		return err
@@ -49,6 +51,7 @@
 	return s.validateRequest(submission)
 }
 
+// validateRequest checks the fields and sets the default deadline if there is none.
 func (s *Server) validateRequest(submission *api.RequestSubmission) error {
 	if err := validateNames(submission.Account, submission.Kind, submission.IdempotencyKey); err != nil {
 		return err
@@ -103,6 +106,8 @@
 	s.writeJob(w, answer)
 }
 
+// admitJob checks whether the instance can accept a job, and decodes and validates
+// its body.
 func (s *Server) admitJob(w http.ResponseWriter, r *http.Request, job *api.JobSubmission) error {
 	if err := s.opts.Ready(); err != nil {
 		return err
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -9,8 +9,9 @@
 	"github.com/corianderbank/corianderbank/internal/config"
 )
 
-// configFile is the document name in the problems of a refused configuration.
-const configFile = "configuration"
+// configDocumentName is the document name in the problems of a refused
+// configuration.
+const configDocumentName = "configuration"
 
 func (s *Server) applyConfig(w http.ResponseWriter, r *http.Request) {
 	var apply api.ConfigApply
@@ -20,7 +21,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 	defer cancel()
-	version, err := s.opts.Config.Publish(ctx, apply.Expect, configFile, apply.Document)
+	version, err := s.opts.Config.Publish(ctx, apply.Expect, configDocumentName, apply.Document)
 	if err != nil {
 		writeOperatorError(w, err)
 		return
--- a/internal/request/attempt.go
+++ b/internal/request/attempt.go
@@ -25,7 +25,7 @@
 }
 
 // lateError reports that the caller's deadline passed during an attempt. The
-// attempt continues, and its result is sent on the channel.
+// attempt continues, and its result is sent on the channel result.
 type lateError struct {
 	error
 	result chan attemptResult
@@ -46,7 +46,7 @@
 	for {
 		assigned := x.Dispatcher.acquireSlot(ctx, slotRequest{request: r.admissionRequest, tried: tried, isRetry: isRetry})
 		if assigned.refusal != nil {
-			return x.handleRefusal(ctx, r, assigned.refusal, mayHaveRunErr)
+			return x.forwardOrRefuse(ctx, r, assigned.refusal, mayHaveRunErr)
 		}
 		r.transition(eventDispatch)
 		r.answer.Attempts++
@@ -65,7 +65,7 @@
 		if mayHaveRun(result.err) {
 			mayHaveRunErr = result.err
 		}
-		decision := x.Dispatcher.mayRetry(retryQuery{
+		decision := x.Dispatcher.retryDecision(retryQuery{
 			attempt: retry.Attempt{
 				Account: r.submission.Account, Idempotent: r.submission.Idempotent, NotRun: !mayHaveRun(result.err),
 				Retries: r.answer.Attempts - 1, MaxRetries: r.verdict.Retries, Deadline: r.admissionRequest.Deadline,
@@ -82,11 +82,11 @@
 	}
 }
 
-// handleRefusal ends a request that admission refused: it is forwarded to another
-// zone if one has free capacity and no claim is held here, and otherwise refused.
-// If an earlier attempt may have run, it is neither forwarded nor reported as not
-// run.
-func (x *Executor) handleRefusal(ctx context.Context, r *activeRequest, refusal *admission.Refusal, mayHaveRunErr error) (api.RequestAnswer, error) {
+// forwardOrRefuse ends a request that admission refused: it is forwarded to another
+// zone if one has free capacity, no claim is held here and this instance is not
+// shutting down, and otherwise refused. If an earlier attempt may have run, it is
+// neither forwarded nor reported as not run.
+func (x *Executor) forwardOrRefuse(ctx context.Context, r *activeRequest, refusal *admission.Refusal, mayHaveRunErr error) (api.RequestAnswer, error) {
 	if mayHaveRunErr == nil && !r.needsClaim() && refusal.Kind != api.KindStopping {
 		if answer, done := x.spill(ctx, r, true); done {
 			r.transitions(eventDispatch, eventAnswer)
@@ -102,6 +102,8 @@
 	return !r.submission.Idempotent && r.submission.IdempotencyKey != ""
 }
 
+// finishWithError ends the request and returns its error: err, or mayHaveRunErr if
+// err alone would report a request that may have run as not run.
 func (x *Executor) finishWithError(r *activeRequest, err, mayHaveRunErr error) error {
 	if mayHaveRunErr != nil && !mayHaveRun(err) {
 		err = mayHaveRunErr
@@ -158,7 +160,7 @@
 	took := time.Since(started)
 	observeAttempt(took, err)
 	x.Dispatcher.postEvent(finishedEvent{
-		id: call.ID, choice: assigned.choice, account: call.Account, ran: err == nil || (mayHaveRun(err) && !api.IsKind(err, api.KindBackendFailed)),
+		id: call.ID, choice: assigned.choice, account: call.Account, chargeable: err == nil || (mayHaveRun(err) && !api.IsKind(err, api.KindBackendFailed)),
 		result: routing.Result{
 			Failed: err != nil, Took: took, Expected: assigned.expected, Incarnation: assigned.choice.Incarnation,
 		},
--- a/internal/request/dispatcher.go
+++ b/internal/request/dispatcher.go
@@ -22,7 +22,8 @@
 )
 
 const (
-	// tickInterval is the longest time between two refreshes from the fleet.
+	// tickInterval is the minimum time between two refreshes from the fleet, and
+	// the longest time that the event loop sleeps.
 	tickInterval = 50 * time.Millisecond
 	// spillInterval is the minimum time between two updates of the spill decision.
 	spillInterval = 100 * time.Millisecond
@@ -79,18 +80,20 @@
 	warm atomic.Bool
 
 	// The fields below are owned by the event loop.
-	startedAt       time.Time
-	queue           *admission.Queue
-	table           *routing.Table
-	budget          *retry.Budget
-	spill           routing.Spill
-	members         *slots.Members
-	holder          *slots.Holder
-	owner           *slots.Owner
-	random          *rand.Rand
-	waiting         map[string]slotRequest
-	sharing         *sharing
-	spillUpdatedAt  time.Time
+	startedAt      time.Time
+	queue          *admission.Queue
+	table          *routing.Table
+	budget         *retry.Budget
+	spill          routing.Spill
+	members        *slots.Members
+	holder         *slots.Holder
+	owner          *slots.Owner
+	random         *rand.Rand
+	waiting        map[string]slotRequest
+	sharing        *sharing
+	spillUpdatedAt time.Time
+	// limitsSnapshot and limitsInstances are the configuration and the number of
+	// instances from which the limits were last set.
 	limitsSnapshot  *config.Snapshot
 	limitsInstances int
 }
@@ -139,8 +142,9 @@
 // capacity.
 func (d *Dispatcher) Load() float64 { return float64(d.load.Load()) / 1000 }
 
-// Warm reports whether the instance has slots to assign. It becomes true after
-// warmupTimeout in any case, because a zone may have no backend servers.
+// Warm reports whether the instance has had slots to assign since its start. It
+// becomes true after warmupTimeout in any case, because a zone may have no backend
+// servers, and stays true.
 func (d *Dispatcher) Warm() bool { return d.warm.Load() }
 
 // Run is the event loop. It returns when ctx ends, and refuses the requests that
--- a/internal/request/executor.go
+++ b/internal/request/executor.go
@@ -33,6 +33,7 @@
 	// Execute returns the whole answer to exactly this request. Errors:
 	// KindNotReady if no byte of the request can have arrived,
 	// KindNoBackendServer if the backend server reports that it did not run it,
+	// KindBackendFailed if the backend server reports a failure,
 	// KindAnswerNotWhole, KindBackendTimeout or KindResultUnknown if it may have
 	// run.
 	Execute(ctx context.Context, server model.BackendServer, call api.Execute) (api.ExecuteAnswer, error)
@@ -202,7 +203,7 @@
 	return situation
 }
 
-// refusalError converts a refusal by admission into an error, and records it.
+// refusalError records a refusal by admission and converts it into an error.
 func (x *Executor) refusalError(r *activeRequest, refusal *admission.Refusal) error {
 	countRefusal(r.submission.Account, refusal.Kind)
 	x.decide(r, "admit", "refuse", refusal.Reason, "")
--- a/internal/request/progress.go
+++ b/internal/request/progress.go
@@ -26,7 +26,8 @@
 func newProgress() progress { return progress{state: requestChart.Initial} }
 
 // transition applies an event according to the chart. An undeclared transition
-// only increments a counter; the chart's test excludes it for declared events.
+// only increments a counter. It cannot happen with the events declared in the
+// chart, as chart.Check requires every state to handle or ignore each of them.
 func (p *progress) transition(event chart.Event) {
 	next, err := requestChart.Next(p.state, event)
 	if err != nil {
--- a/internal/request/sharing.go
+++ b/internal/request/sharing.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// serialBits is the number of low bits of a serial that count the answers of
-	// one process: about a million answers to slot demands per step of the
-	// incarnation, which is a millisecond.
+	// serialBits is the number of low bits of a serial that count the answers to
+	// slot demands of one process. The bits above start at the incarnation, which
+	// is the start time in milliseconds, so the serials of two processes overlap
+	// only if the earlier one gave about a million answers per millisecond.
 	serialBits = 20
 	// slotCallTimeout bounds a slot demand. It is shorter than
 	// slots.OwnerTimeout.
 	slotCallTimeout = 500 * time.Millisecond
-	// maxSlotCalls bounds the slot demands in flight.
+	// maxSlotCalls bounds the slot demands sent concurrently, and those queued to
+	// be sent.
 	maxSlotCalls = 16
 )
 
@@ -97,7 +99,8 @@
 }
 
 // demandDue reports whether slots are to be demanded now: after DemandInterval,
-// or after DemandMinInterval if requests have started or stopped waiting.
+// or after DemandMinInterval if requests have started or stopped waiting. While
+// calls are in flight, no demands are due before slotCallTimeout.
 func (s *sharing) demandDue(now time.Time) bool {
 	elapsed := now.Sub(s.demandedAt)
 	if s.inFlight > 0 && elapsed < slotCallTimeout {
--- a/internal/request/spill.go
+++ b/internal/request/spill.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// zoneLoads returns the mean load level of each other zone, sorted by name.
+// zoneLoads returns the mean load level of each other zone, sorted by name. It
+// leaves out instances that are leaving and those without a fresh state message.
 func (d *Dispatcher) zoneLoads() []routing.ZoneLoad {
 	sums, counts := map[string]float64{}, map[string]int{}
 	for _, peerState := range d.options.Fleet.PeerStates() {
@@ -58,15 +59,15 @@
 type target struct{ zone, instance string }
 
 // spillQuery requests the target for the next request, empty if it stays in this
-// zone. rescue is set for a request that would otherwise be refused here.
+// zone. refusedHere is set for a request that admission refused in this zone.
 type spillQuery struct {
-	rescue bool
-	reply  chan target
+	refusedHere bool
+	reply       chan target
 }
 
 func (q spillQuery) apply(d *Dispatcher, _ time.Time) {
 	zone := ""
-	if q.rescue {
+	if q.refusedHere {
 		zone = routing.Rescue(d.zoneLoads())
 	} else {
 		zone = d.spill.Next()
@@ -85,8 +86,8 @@
 	q.reply <- target{zone: zone, instance: best}
 }
 
-func (d *Dispatcher) spillTarget(rescue bool) target {
-	query := spillQuery{rescue: rescue, reply: make(chan target, 1)}
+func (d *Dispatcher) spillTarget(refusedHere bool) target {
+	query := spillQuery{refusedHere: refusedHere, reply: make(chan target, 1)}
 	d.postEvent(query)
 	select {
 	case answer := <-query.reply:
@@ -97,13 +98,14 @@
 }
 
 // spill runs the request in another availability zone if the load in this zone
-// requires it. It returns false if the request is to be run here, because it is
-// not spilled, did not reach the other zone, or did not run there.
-func (x *Executor) spill(ctx context.Context, r *activeRequest, rescue bool) (api.RequestAnswer, bool) {
+// requires it. It returns false if the request remains in this zone, because it
+// is not spilled, did not reach the other zone, did not run there, or is
+// idempotent and its answer was lost; in the last case it sets r.mayHaveRunErr.
+func (x *Executor) spill(ctx context.Context, r *activeRequest, refusedHere bool) (api.RequestAnswer, bool) {
 	if r.forwarded || !r.verdict.Spill || x.Caller == nil {
 		return api.RequestAnswer{}, false
 	}
-	destination := x.Dispatcher.spillTarget(rescue)
+	destination := x.Dispatcher.spillTarget(refusedHere)
 	if destination.instance == "" {
 		return api.RequestAnswer{}, false
 	}
--- a/internal/request/turns.go
+++ b/internal/request/turns.go
@@ -75,8 +75,10 @@
 	id     string
 	choice routing.Choice
 	result routing.Result
-	// ran reports whether the time was spent running on a backend server.
-	ran bool
+	// chargeable reports whether result.Took is charged to the account as service
+	// time. It is not if the request cannot have run, or if the backend server
+	// reported a failure.
+	chargeable bool
 	// account is the request's client account.
 	account string
 }
@@ -87,14 +89,14 @@
 	}
 	d.table.Finished(e.choice.ID, e.result)
 	service := time.Duration(0)
-	if e.ran {
+	if e.chargeable {
 		service = e.result.Took
 	}
 	d.queue.Finish(e.id, service)
 }
 
-// retryQuery requests the decision whether an attempt without a whole answer is
-// retried.
+// retryQuery requests the decision whether an attempt that failed or returned no
+// whole answer is retried.
 type retryQuery struct {
 	attempt retry.Attempt
 	request admission.Request
@@ -108,7 +110,7 @@
 	q.reply <- d.budget.Decide(q.attempt, now)
 }
 
-func (d *Dispatcher) mayRetry(query retryQuery) retry.Decision {
+func (d *Dispatcher) retryDecision(query retryQuery) retry.Decision {
 	query.reply = make(chan retry.Decision, 1)
 	d.postEvent(query)
 	select {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,6 +1,6 @@
 // Package retry decides whether a request is dispatched again after an attempt
-// that did not return a whole answer. It does no I/O: the time is passed in, and
-// the caller must serialize the calls.
+// that failed or returned no whole answer. It does no I/O: the time is passed in,
+// and the caller must serialize the calls.
 //
 // Load pattern: one backend server or all of them fail or are slow, so many
 // attempts end without an answer at the same time.
@@ -26,7 +26,7 @@
 	Burst = 10.0
 )
 
-// Attempt describes an attempt that did not return a whole answer.
+// Attempt describes an attempt that failed or returned no whole answer.
 type Attempt struct {
 	// Account is the client account.
 	Account string
@@ -69,7 +69,8 @@
 // measurements.
 func NewUnlimited() *Budget { return &Budget{tokens: make(map[string]float64), unlimited: true} }
 
-// Answered credits the account with RetriesPerAnswer for a whole answer.
+// Answered credits the account with RetriesPerAnswer for a whole answer that
+// reports no failure.
 func (b *Budget) Answered(account string) {
 	b.tokens[account] = min(b.Tokens(account)+RetriesPerAnswer, Burst)
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -30,7 +30,7 @@
 		"no other backend server":                                      {func(a *Attempt) { a.Others = 0 }, false},
 		"exactly enough time left":                                     {func(a *Attempt) { a.Expected = time.Second }, true},
 		"a request past its deadline":                                  {func(a *Attempt) { a.Deadline = now.Add(-1) }, false},
-		"non-idempotent work that may have run, with no deadline":      {func(a *Attempt) { a.Idempotent, a.Retries = false, 2 }, false},
+		"non-idempotent work that may have run, with no retries left":  {func(a *Attempt) { a.Idempotent, a.Retries = false, 2 }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/routing/ejection.go
+++ b/internal/routing/ejection.go
@@ -13,19 +13,20 @@
 //
 // Without ejection, each request sent there takes many times as long or is lost.
 // With seventeen servers of eight slots that is at least one request in seventeen,
-// so it determines the 99th percentile. Without the bound, a fault common to all
-// servers (such as a slow database behind them) would take every server out of
+// so it determines the 99th percentile. Without maxEjectedShare, a fault common to
+// all servers (such as a slow database behind them) would take every server out of
 // service.
 const (
 	// slowRatio is the ratio to the median slowness above which a server is
 	// ejected. With a lower one, chance and a mix of request kinds make healthy
 	// servers appear slow.
 	slowRatio = 3.0
-	// failureRatio is the share of failed attempts above which a server is
-	// ejected.
-	failureRatio = 0.5
-	// failureMultiple is the ratio to the median failure rate above which a
-	// server is ejected, so that requests that fail everywhere eject no server.
+	// failureRateLimit is the share of failed attempts above which a server is
+	// ejected, if the share also exceeds failureMultiple.
+	failureRateLimit = 0.5
+	// failureMultiple is the ratio to the median failure rate that an ejected
+	// server must also exceed, so that requests that fail everywhere eject no
+	// server.
 	failureMultiple = 2.0
 	// minSamples is the minimum number of attempts before a server is evaluated.
 	minSamples = 8
@@ -37,16 +38,17 @@
 	// evaluateInterval is the minimum time between evaluations.
 	evaluateInterval = 100 * time.Millisecond
 	// baseEjection is the duration of a first ejection. It doubles with each
-	// consecutive ejection, up to maxEjection.
+	// consecutive ejection, up to maxEjection. A server that was ready for
+	// maxEjection starts again at baseEjection.
 	baseEjection = 5 * time.Second
 	maxEjection  = 60 * time.Second
-	// maxLatencyRatio bounds one observation, so that a single hung request does
-	// not eject a server.
-	maxLatencyRatio = 10.0
+	// maxSlownessSample bounds one observation of slowness, so that a single hung
+	// request does not eject a server.
+	maxSlownessSample = 10.0
 )
 
-// evaluate ejects slow and failing backend servers, and ends ejections and ramps
-// that have run their time.
+// evaluate ejects slow and failing backend servers, and ends the ejections and
+// ramps whose time is over.
 func (t *Table) evaluate(now time.Time) {
 	if now.Sub(t.evaluatedAt) < evaluateInterval {
 		return
@@ -99,7 +101,7 @@
 	if s.samples < minSamples || (s.State != model.BackendReady && s.State != model.BackendRamping) {
 		return ""
 	}
-	if s.failureRate > max(failureRatio, failureMultiple*medianFailureRate) {
+	if s.failureRate > max(failureRateLimit, failureMultiple*medianFailureRate) {
 		return fmt.Sprintf("%.0f%% of attempts failed", 100*s.failureRate)
 	}
 	if s.slowness > slowRatio*medianSlowness {
@@ -124,7 +126,7 @@
 	return values[len(values)/2]
 }
 
-// canEject reports whether one more server may be ejected within the bound.
+// canEject reports whether maxEjectedShare allows one more ejected server.
 func (t *Table) canEject() bool {
 	serving, ejected := 0, 0
 	for _, s := range t.servers {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -32,11 +32,11 @@
 	RampTime = 5 * time.Second
 	// minRampShare is the share with which a ramping backend server starts.
 	minRampShare = 0.1
-	// latencyGain is the weight of one observation in the slowness of a server:
+	// slownessGain is the weight of one observation in the slowness of a server:
 	// about the last five count.
-	latencyGain = 0.2
+	slownessGain = 0.2
 	// failureGain is the weight of one observation in the failure rate of a
-	// server. Nine consecutive failures eject a server. At 0.2, where three do,
+	// server. Nine consecutive failures eject a server. At 0.2, where three did,
 	// an account whose requests all fail caused healthy servers to be ejected.
 	failureGain = 0.08
 )
@@ -82,7 +82,8 @@
 	chart   *chart.Chart
 	servers []*server
 	byID    map[string]*server
-	turns   int
+	// turns counts the round-robin choices.
+	turns int
 	// candidates is a buffer that Pick reuses.
 	candidates []Candidate
 	// evaluatedAt is the time of the last evaluation.
@@ -98,14 +99,15 @@
 	slowness float64
 	// failureRate is the smoothed share of failed attempts.
 	failureRate float64
-	samples     int
+	// samples counts the attempts since the last ejection or new incarnation.
+	samples int
 	// stateSince is the time of the last change of state.
 	stateSince time.Time
 	// consecutiveEjections determines the duration of the next ejection.
 	consecutiveEjections int
 }
 
-// Transition is a change of a backend server's state, to be logged.
+// Transition is a change of a backend server's state, to be recorded.
 type Transition struct {
 	BackendServer string
 	From, To      model.BackendState
@@ -137,8 +139,8 @@
 }
 
 // Sync updates the table from the membership's view of the zone's backend
-// servers. Servers in the first list are not ramped, as they were running before
-// this instance.
+// servers. Servers added to an empty table are not ramped: those in the first list
+// were running before this instance.
 func (t *Table) Sync(servers []model.BackendServer, now time.Time) {
 	first := len(t.servers) == 0
 	listed := make(map[string]bool, len(servers))
@@ -336,7 +338,7 @@
 	s.failureRate += failureGain * (failed - s.failureRate)
 	if result.Expected > 0 && !result.Failed {
 		ratio := float64(result.Took) / float64(result.Expected)
-		s.slowness += latencyGain * (min(ratio, maxLatencyRatio) - s.slowness)
+		s.slowness += slownessGain * (min(ratio, maxSlownessSample) - s.slowness)
 	}
 }
 
--- a/internal/routing/spill.go
+++ b/internal/routing/spill.go
@@ -18,16 +18,19 @@
 	// spillStopLoad is the load below which spilling is reduced: on average no
 	// request waits.
 	spillStopLoad = 0.95
-	// remoteStartLoad and remoteStopLoad are the load limits of the receiving
-	// zone for increasing and for reducing the spilled share.
+	// remoteStartLoad is the load of the receiving zone below which spilling
+	// starts, its share increases, and the zone receives requests that are refused
+	// here. remoteStopLoad is the load above which the share is reduced.
 	remoteStartLoad = 0.7
 	remoteStopLoad  = 0.95
 	// spillDelay is how long the overload must last before spilling starts. It
 	// is longer than a burst that the queue absorbs.
 	spillDelay = 200 * time.Millisecond
 	// spillStep is the increase of the spilled share with each update, and
-	// maxSpillShare its maximum. The steps are small because the new load of a
-	// remote zone is known here only after a few updates.
+	// maxSpillShare its maximum while backend servers accept work in this zone.
+	// The share is reduced in steps of twice spillStep. The steps are small
+	// because the new load of a remote zone is known here only after a few
+	// updates.
 	spillStep     = 0.05
 	maxSpillShare = 0.6
 )
--- a/internal/slots/holder.go
+++ b/internal/slots/holder.go
@@ -27,7 +27,9 @@
 
 // ownerState is the state of the exchange of demands and answers with one owner.
 type ownerState struct {
-	serial   uint64
+	// serial identifies the last answer received.
+	serial uint64
+	// lastSent is the time at which the last demand was sent.
 	lastSent time.Time
 	// answeredAt is the time at which the last answered demand was sent.
 	answeredAt time.Time
@@ -36,6 +38,7 @@
 // Demand is a message to one owner.
 type Demand struct {
 	Owner string
+	// Echo is the serial of the last answer received from the owner.
 	Echo  uint64
 	Wants []Want
 }
@@ -155,8 +158,8 @@
 }
 
 // hasOtherGrant reports whether a previous owner's grant of at least one slot is
-// still valid. Such a grant is kept, because a new owner may have no slots to
+// valid at the given time. Such a grant is kept, because a new owner may have no slots to
 // grant yet.
-func (h *Holder) hasOtherGrant(server *serverState, owner string, now time.Time) bool {
-	return server.grantedBy != owner && server.granted > 0 && now.Before(server.validUntil)
+func (h *Holder) hasOtherGrant(server *serverState, owner string, at time.Time) bool {
+	return server.grantedBy != owner && server.granted > 0 && at.Before(server.validUntil)
 }
--- a/internal/slots/members.go
+++ b/internal/slots/members.go
@@ -77,7 +77,7 @@
 }
 
 // NewMembers returns an empty list. No instance has a share until ViewWindow
-// after the first call of Set.
+// after now, or after the first call of Set if that is later than PauseLimit.
 func NewMembers(now time.Time) *Members {
 	return &Members{views: []view{{replacedAt: now}}, lastSet: now}
 }
@@ -115,7 +115,8 @@
 func (m *Members) Live() []string { return m.live }
 
 // Share returns the number of a backend server's slots that belong to the
-// instance: the minimum over all views within ViewWindow.
+// instance: the minimum over all views within ViewWindow, or zero if the last call
+// of Set is more than PauseLimit ago.
 func (m *Members) Share(id, backendServer string, slots int, now time.Time) int {
 	if now.Sub(m.lastSet) > PauseLimit {
 		return 0
--- a/internal/slots/owner.go
+++ b/internal/slots/owner.go
@@ -26,8 +26,8 @@
 }
 
 // Owner grants the slots of backend servers to the instances that demand them.
-// It does not need to know whether it owns a backend server: it only grants
-// shares that were lent to it.
+// It does not check whether it owns a backend server: it only grants shares that
+// were lent to it.
 type Owner struct {
 	members *Members
 	// readyAt is the time at which all grants of an earlier process with the
@@ -60,8 +60,8 @@
 	earlierGrantEnds time.Time
 }
 
-// NewOwner returns an owner that grants nothing until GrantValidity has passed.
-// The serial must differ from that of every earlier process with the same id by
+// NewOwner returns an owner that grants nothing until GrantValidity and LoanMargin
+// have passed. The serial must differ from that of every earlier process with the same id by
 // more than the number of answers; the incarnation shifted left satisfies this.
 func NewOwner(members *Members, serial uint64, now time.Time) *Owner {
 	return &Owner{
@@ -137,8 +137,8 @@
 	return Grant{BackendServer: want.BackendServer, Slots: alloc.granted, Validity: GrantValidity}
 }
 
-// budget returns the sum of the shares lent for at least GrantValidity, and the
-// part of it that other instances do not hold.
+// budget returns the sum of the shares whose loans last for at least another
+// GrantValidity, and the part of it that other instances do not hold.
 func (o *Owner) budget(server, from string, slots int, now time.Time) (budget, free int) {
 	heldByOthers := 0
 	for id, other := range o.servers[server] {
@@ -203,8 +203,8 @@
 	return budget
 }
 
-// Forget removes the state of instances whose loans and grants have ended, and
-// of backend servers that no instance has state for.
+// Forget removes the allocations of instances whose loans and grants have ended,
+// and the backend servers without allocations.
 func (o *Owner) Forget(now time.Time) {
 	for server, allocations := range o.servers {
 		for id, alloc := range allocations {
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -116,7 +116,7 @@
 	})
 }
 
-// refreshView updates n's view of the other instances; the list lags by up to 3 s.
+// refreshView updates n's view of the other instances; the list lags by up to 2 s.
 func (z *zone) refreshView(n *instance) {
 	live := []string{n.id}
 	for id, other := range z.instances {
