--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -85,8 +85,8 @@
 	return Load(data)
 }
 
-// Next returns the state that event leads to from the given state. An undeclared
-// event returns the unchanged state and a *TransitionError.
+// Next returns the state that event leads to from the given state. For an
+// undeclared event it returns the unchanged state and a *TransitionError.
 func (c *Chart) Next(from State, event Event) (State, error) {
 	spec, ok := c.States[from]
 	if !ok {
@@ -107,8 +107,8 @@
 func (c *Chart) Final(state State) bool { return c.States[state].Final }
 
 // Check returns every fault of the chart: unknown names, unreachable states,
-// events that a state neither handles nor ignores, and states whose final mark
-// contradicts their transitions.
+// states without a doc, events that a state neither handles nor ignores or
+// lists twice, and states whose final mark contradicts their transitions.
 func (c *Chart) Check() []string {
 	var problems []string
 	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -2,6 +2,9 @@
 // is not idempotent. A claim is a row in the platform's tables that is inserted
 // before the dispatch: only the process that inserted it may dispatch the
 // request, and only once.
+//
+// Callers retry, so requests with the same key may arrive several times, also
+// on different instances. Each such request is called an arrival of the key.
 package claim
 
 import (
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -17,9 +17,9 @@
 const (
 	// tableClaims has one row per account and key, for the latest claim.
 	tableClaims = "claims"
-	// tableOutcomes has one row per ended claim, keyed by the key and the
-	// claim's name. Only the holder inserts it, so ending a claim does not
-	// require reading a version.
+	// tableOutcomes has one row per ended claim. Its key consists of the key of
+	// the claim's row and the unique name of the claim. Only the holder inserts
+	// it, so ending a claim does not require reading a version.
 	tableOutcomes = "claim_ends"
 )
 
@@ -63,7 +63,7 @@
 
 var _ Claims = (*Store)(nil)
 
-// New returns a Store that keeps claims in tables, whose Commit must settle
+// New returns a Store that keeps claims in tables, whose Commit must resolve
 // lost answers (see platform.Resolving). Run records the outcomes that could
 // not be stored at first.
 func New(tables platform.Tables) *Store {
@@ -172,7 +172,7 @@
 	if !registered {
 		return claimResult{current: current, answer: answer}, err
 	}
-	result := put(ctx, s.tables, platform.PurposeClaim, current.row, claim)
+	result := writeRow(ctx, s.tables, platform.PurposeClaim, current.row, claim)
 	switch {
 	case result.State == platform.CommitDone:
 		return claimResult{held: own}, nil
@@ -206,8 +206,8 @@
 	return current
 }
 
-// put writes value over the current version of a row.
-func put(ctx context.Context, tables platform.Tables, purpose platform.Purpose, current api.Row, value any) platform.CommitResult {
+// writeRow writes value over the current version of a row.
+func writeRow(ctx context.Context, tables platform.Tables, purpose platform.Purpose, current api.Row, value any) platform.CommitResult {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return platform.CommitResult{State: platform.CommitNotDone, Err: err}
--- a/internal/claim/unsettled.go
+++ b/internal/claim/unsettled.go
@@ -24,7 +24,7 @@
 )
 
 // held is a claim of this process. Its store's mu guards outcome and
-// unrecorded.
+// unrecorded. Once set, outcome does not change and is also read without mu.
 type held struct {
 	store *Store
 	ref   api.Ref
@@ -81,7 +81,7 @@
 	return false, replayed(existing.outcome.Answer), nil
 }
 
-// remove removes a claim that was not inserted from unsettled.
+// remove deletes from unsettled a claim that was not inserted into the store.
 func (s *Store) remove(h *held) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,7 @@
 }
 
 // applyRecordResult applies the result of recordOutcome: a claim whose outcome
-// may not be stored is left to the sweep, any other is removed.
+// the store may lack is left to the sweep, any other is removed from unsettled.
 func (s *Store) applyRecordResult(h *held, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,13 +122,13 @@
 }
 
 // recordOutcome inserts the outcome of a claim. If the insertion of the claim
-// itself has an unknown result, the outcome may be stored before the claim
-// arrives, or although it never does: the outcome names its claim, so it
-// affects no other. A conflict means that an earlier attempt has inserted the
-// outcome.
+// itself has an unknown result, the outcome may be stored before the claim is,
+// or although the claim never is. This is harmless, because the outcome names
+// its claim and so affects no other. A conflict means that an earlier attempt
+// has inserted the outcome.
 func (s *Store) recordOutcome(ctx context.Context, h *held) error {
 	outcome := api.Row{Ref: outcomeRef(h.ref, h.claim)}
-	err := platform.ErrorOf(put(ctx, s.tables, platform.PurposeOutcome, outcome, h.outcome))
+	err := platform.ErrorOf(writeRow(ctx, s.tables, platform.PurposeOutcome, outcome, h.outcome))
 	if api.IsKind(err, api.KindConflict) {
 		return nil
 	}
@@ -179,20 +179,20 @@
 func (s *Store) recordBatch(ctx context.Context, batch []*held) bool {
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
-	var answered atomic.Bool
-	answered.Store(true)
+	var allRecorded atomic.Bool
+	allRecorded.Store(true)
 	var wg sync.WaitGroup
 	for _, h := range batch {
 		wg.Go(func() {
 			err := s.recordOutcome(ctx, h)
 			s.applyRecordResult(h, err)
 			if err != nil {
-				answered.Store(false)
+				allRecorded.Store(false)
 			}
 		})
 	}
 	wg.Wait()
-	return answered.Load()
+	return allRecorded.Load()
 }
 
 func (s *Store) unrecordedClaims() []*held {
--- a/internal/lease/store.go
+++ b/internal/lease/store.go
@@ -17,9 +17,9 @@
 // real drift) and slow scheduling.
 const marginDivisor = 10
 
-// row is the value of a lease row. An empty holder means that the lease is
+// leaseRow is the value of a lease row. An empty holder means that the lease is
 // free. The row is never deleted, so that the epoch never decreases.
-type row struct {
+type leaseRow struct {
 	Holder string `json:"holder"`
 	// Process distinguishes two processes that use the same instance id.
 	Process string `json:"process"`
@@ -67,20 +67,20 @@
 
 // nextRow returns the row that acquires or renews the lease. It returns
 // KindConflict if another instance holds it.
-func (s *Store) nextRow(current row, instance string, now time.Time) (row, error) {
+func (s *Store) nextRow(current leaseRow, instance string, now time.Time) (leaseRow, error) {
 	free := current.Holder == "" || !current.ExpiresAt.After(now)
 	if !free && current.Holder != instance {
-		return row{}, api.NewError(api.KindConflict, "the lease is held by %s", current.Holder)
+		return leaseRow{}, api.NewError(api.KindConflict, "the lease is held by %s", current.Holder)
 	}
-	next := row{Holder: instance, Process: s.process, Epoch: current.Epoch, ExpiresAt: now.Add(s.duration)}
+	next := leaseRow{Holder: instance, Process: s.process, Epoch: current.Epoch, ExpiresAt: now.Add(s.duration)}
 	if current.Process != s.process || current.Holder != instance {
 		next.Epoch++
 	}
 	return next, nil
 }
 
-// Release implements Leases. It leaves a lease that has changed hands
-// unchanged.
+// Release implements Leases. It does nothing if another process holds the lease
+// or the epoch has changed.
 func (s *Store) Release(ctx context.Context, held Held, instance string) error {
 	current, _, err := s.read(ctx, held.Zone)
 	if err != nil {
@@ -90,13 +90,13 @@
 	if value.Holder != instance || value.Process != s.process || value.Epoch != held.Epoch {
 		return nil
 	}
-	return s.write(ctx, current.row, row{Epoch: value.Epoch})
+	return s.write(ctx, current.row, leaseRow{Epoch: value.Epoch})
 }
 
 // storedRow is a lease row as read, with its decoded value.
 type storedRow struct {
 	row   api.Row
-	value row
+	value leaseRow
 }
 
 func (s *Store) read(ctx context.Context, zone string) (storedRow, time.Time, error) {
@@ -114,7 +114,7 @@
 	return current, rows.Now, nil
 }
 
-func (s *Store) write(ctx context.Context, current api.Row, next row) error {
+func (s *Store) write(ctx context.Context, current api.Row, next leaseRow) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return api.NewError(api.KindInternal, "lease row: %w", err)
@@ -131,7 +131,7 @@
 }
 
 func holderOf(conflict api.Row) string {
-	var value row
+	var value leaseRow
 	if json.Unmarshal(conflict.Value, &value) != nil || value.Holder == "" {
 		return "nobody any more"
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
 // Package lifecycle implements the state chart charts/instance.json for one
 // instance's process, from startup, when it is not ready, to a graceful
-// shutdown that interrupts no request in flight.
+// shutdown that lets the requests in flight finish within a time limit.
 package lifecycle
 
 import (
@@ -39,11 +39,13 @@
 // Options configures a Life. A nil step is skipped.
 type Options struct {
 	Logger *zap.Logger
-	// StopWithin bounds the whole shutdown.
+	// StopWithin bounds the shutdown up to the end of Drain. Close has a short
+	// time limit of its own.
 	StopWithin time.Duration
-	// Linger is how long the instance, no longer ready, still answers new calls
-	// before it drains, so that the platform's load balancer can notice. It
-	// refuses them as not run. Zero means DefaultLinger; a negative value
+	// Linger is the minimum time, within StopWithin, between the start of the
+	// shutdown and Drain. During it the instance, no longer ready, answers new
+	// calls with a refusal that marks them as not run, so that the platform's
+	// load balancer can notice. Zero means DefaultLinger; a negative value
 	// disables it.
 	Linger time.Duration
 	// Announce notifies the peers that this instance leaves.
@@ -66,7 +68,8 @@
 	stopping chan struct{}
 	stopped  chan struct{}
 
-	// mu guards state and result.
+	// mu guards state. result is set before stopped is closed and read
+	// afterwards.
 	mu     sync.Mutex
 	state  chart.State
 	result error
@@ -117,8 +120,8 @@
 func (l *Life) Ready() bool { return l.State() == Ready }
 
 // Refusal returns the error with which callers' work is refused in the current
-// state: KindStopping during a shutdown, KindNotReady before the first
-// configuration, nil otherwise.
+// state: KindNotReady in Starting, nil in Ready, and KindStopping from the start
+// of a shutdown.
 func (l *Life) Refusal() error {
 	switch l.State() {
 	case Ready:
@@ -187,10 +190,10 @@
 	}
 }
 
-// shutdown runs the steps in order. The instance is not ready from before the
-// first step. Peers are notified first, so that none forwards work here; then
-// the roles are released, so that their next holder can start while requests
-// finish here.
+// shutdown runs the steps in order. Stop has already moved the instance out of
+// the state Ready. Peers are notified first, so that none forwards work here;
+// then the roles are released, so that their next holder can start while
+// requests finish here.
 func (l *Life) shutdown() error {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), l.options.StopWithin)
@@ -204,7 +207,8 @@
 	return err
 }
 
-// linger waits for the rest of the linger time since started.
+// linger waits until the linger time, counted from started, has passed or ctx
+// ends.
 func (l *Life) linger(ctx context.Context, started time.Time) {
 	select {
 	case <-time.After(l.options.Linger - time.Since(started)):
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -53,8 +53,8 @@
 		announce, handOver, drain time.Duration
 		handOverErr               error
 		linger                    time.Duration
-		// wantDuration is the duration of the whole shutdown; wantErr reports
-		// whether drain does not finish.
+		// wantDuration is the duration of the whole shutdown; wantErr is set if
+		// drain does not finish.
 		wantDuration time.Duration
 		wantErr      bool
 	}{
--- a/internal/membership/backend.go
+++ b/internal/membership/backend.go
@@ -22,7 +22,8 @@
 	lastAnswer, lastProbe time.Time
 	// confirmed reports that this incarnation has answered since knownSince.
 	// The list may contain an incarnation that has started to leave in the
-	// meantime, so an unconfirmed one is left out of the view.
+	// meantime, so the view leaves out an unconfirmed one at first (see
+	// usable).
 	confirmed  bool
 	flapDamper flapDamper
 }
@@ -94,9 +95,9 @@
 	return entry
 }
 
-// restoreBackend returns a backend server that was gone to its initial state,
-// unless this incarnation is leaving or the server is held down because it
-// flaps.
+// restoreBackend puts a backend server that was gone back into its initial
+// state, unless this incarnation is leaving or the server is held down because
+// it flaps.
 func (s *state) restoreBackend(entry *backendEntry, now time.Time) {
 	if s.isMarkedLeaving(entry.ID, entry.Incarnation) || entry.flapDamper.heldDown(now) {
 		return
@@ -164,9 +165,9 @@
 	}
 }
 
-// checkBackendTimeout applies the timeouts of one backend server. A server is
-// only considered gone while the instance list is being read, because an
-// outdated list is no evidence.
+// checkBackendTimeout applies the timeouts of one backend server, including the
+// end of its ramp time. A server is only considered gone while the instance
+// list is current (listFresh), because an outdated list is no evidence.
 func (s *state) checkBackendTimeout(id string, entry *backendEntry, listFresh bool, now time.Time) {
 	unseen := now.Sub(entry.lastSeen)
 	if unseen > s.thresholds.Retention && listFresh {
--- a/internal/membership/calls.go
+++ b/internal/membership/calls.go
@@ -9,8 +9,8 @@
 // callPool runs the outgoing calls of one background loop on a bounded pool.
 // When the pool and a queue of the same length are full, a call is refused.
 //
-// It waits for calls with a WaitGroup of its own and does not stop the pool,
-// because stopping goes through a pool that the whole process shares.
+// It waits for calls with a WaitGroup of its own instead of stopping the pool,
+// because pond runs the stop as a task of a pool that the whole process shares.
 type callPool struct {
 	pool     pond.Pool
 	inFlight sync.WaitGroup
--- a/internal/membership/control_bench_test.go
+++ b/internal/membership/control_bench_test.go
@@ -25,7 +25,8 @@
 	benchWarmUp   = 5 * time.Second
 	benchMeasure  = 20 * time.Second
 	benchInterval = 500 * time.Millisecond
-	// benchPerZone stands for the few entry instances of an availability zone.
+	// benchPerZone is the number of entry instances per availability zone,
+	// which is small in practice.
 	benchPerZone = 6
 )
 
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -48,8 +48,10 @@
 	// called from several goroutines.
 	Local  func() Local
 	Logger *zap.Logger
-	// PeerInterval is the minimum time between exchanges with a peer of the
-	// same availability zone; ListInterval is that between reads of the list.
+	// PeerInterval is the mean time between exchanges with a peer of the same
+	// availability zone in a small fleet; it is longer in a large one (see
+	// planIntervals). ListInterval is the maximum wait between reads of the
+	// list while they succeed.
 	PeerInterval time.Duration
 	ListInterval time.Duration
 	// Thresholds defaults to DefaultThresholds.
@@ -324,9 +326,9 @@
 	return states
 }
 
-// Reach returns the numbers of instances of this zone and of the other zones
-// that sent a state message recently, and the highest placer epoch received
-// from this zone.
+// Reach returns the numbers of peers of this zone and of the other zones that
+// sent a state message recently, and the highest placer epoch received from
+// this zone.
 func (f *Fleet) Reach() (zonePeers, otherPeers int, epoch int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -94,14 +94,16 @@
 func zeroLocal(int) membership.Local { return membership.Local{} }
 
 func TestUrgentChangesReachAllPeersAtOnce(t *testing.T) {
-	const listed = "b1"
+	const serverID = "b1"
 	cases := map[string]struct {
-		announce func(first *membership.Fleet, raise func())
+		// causeChange causes the change on the first fleet. Its raiseVersion
+		// raises the configuration version there.
+		causeChange func(first *membership.Fleet, raiseVersion func())
 		// received reports whether a fleet has received the change.
 		received func(fleet *membership.Fleet) bool
 	}{
 		"a backend server leaves": {
-			func(first *membership.Fleet, _ func()) { first.ObserveBackend(listed, 1, true) },
+			func(first *membership.Fleet, _ func()) { first.ObserveBackend(serverID, 1, true) },
 			func(fleet *membership.Fleet) bool {
 				servers := fleet.BackendServers("z0")
 				return len(servers) == 1 && servers[0].State == model.BackendLeaving
@@ -114,7 +116,7 @@
 			},
 		},
 		"a configuration is in force": {
-			func(_ *membership.Fleet, raise func()) { raise() },
+			func(_ *membership.Fleet, raiseVersion func()) { raiseVersion() },
 			func(fleet *membership.Fleet) bool { return fleet.PeerStates()["e0"].State.GetConfigVersion() == 2 },
 		},
 	}
@@ -124,7 +126,7 @@
 				var mu sync.Mutex
 				version := int64(1)
 				n := &network{list: api.InstanceList{Instances: []api.ListedInstance{
-					{ID: listed, Role: api.RoleBackendServer, AvailabilityZone: "z0", Incarnation: 1},
+					{ID: serverID, Role: api.RoleBackendServer, AvailabilityZone: "z0", Incarnation: 1},
 				}}}
 				fleets, end := n.start(t, 30, func(i int) membership.Local {
 					mu.Lock()
@@ -136,7 +138,7 @@
 				})
 				defer end()
 				time.Sleep(30 * time.Second)
-				test.announce(fleets[0], func() {
+				test.causeChange(fleets[0], func() {
 					mu.Lock()
 					defer mu.Unlock()
 					version = 2
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -24,13 +24,14 @@
 )
 
 // gossip exchanges states with peers: with those that are due; with every peer
-// at once when a server or an instance starts to leave or the placer role
-// changes; and, when a new configuration is in force here, with those that lack
-// it.
+// at once when a backend server or this instance starts to leave or the placer
+// role changes; and, when a new configuration is in force here, with those that
+// lack it.
 type gossip struct {
 	fleet    *Fleet
 	schedule *schedule
-	// wake starts a round at once; one pending entry stands for all later ones.
+	// wake starts a round at once. Triggers that arrive before that round
+	// share its entry.
 	wake *ring.Dropping[struct{}]
 	// lastEpoch is the placer epoch sent last, and sentVersions holds the
 	// configuration version sent last to each peer. Only the gossip loop uses
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -16,6 +16,7 @@
 	// BackendServers returns the backend servers of a zone, including leaving
 	// ones.
 	BackendServers(zone string) []model.BackendServer
-	// Workers returns the workers of a zone that the instance list contains.
+	// Workers returns the known workers of a zone, whatever their health. Only
+	// the instance list adds workers.
 	Workers(zone string) []model.Worker
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -26,7 +26,8 @@
 // answer and for one exchange with the peers.
 
 const (
-	// probeInterval is the maximum time without an answer of a backend server.
+	// probeInterval is the maximum time that a backend server goes without an
+	// answer before it is probed.
 	probeInterval = 1500 * time.Millisecond
 	// probeCheckInterval is the time between checks for servers that are due.
 	probeCheckInterval = 250 * time.Millisecond
@@ -48,7 +49,7 @@
 // use.
 type HTTPProber struct{ client *resty.Client }
 
-// NewHTTPProber returns a prober that keeps one connection to each server.
+// NewHTTPProber returns a prober that uses at most one connection per server.
 func NewHTTPProber() *HTTPProber {
 	transport := &http.Transport{MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, IdleConnTimeout: 4 * probeInterval, DisableCompression: true}
 	client := resty.NewWithClient(&http.Client{Transport: transport, Timeout: probeTimeout})
--- a/internal/membership/schedule.go
+++ b/internal/membership/schedule.go
@@ -9,19 +9,19 @@
 
 // With one exchange for each pair of instances at a fixed interval, the traffic
 // of an instance would grow with the number of its peers, and at 60 instances
-// it is many times what the control traffic of a small instance may use. So the
-// number of exchanges per second is bounded and the interval grows with the
-// fleet. Peers of the same availability zone take precedence, because they
+// it would be many times what the control traffic of a small instance may use.
+// So the number of exchanges per second is bounded and the interval grows with
+// the fleet. Peers of the same availability zone take precedence, because they
 // share backend servers and the placer role; instances of other zones matter
-// for forwarded requests only. Urgent changes (a leaving signal, a new
-// configuration) do not wait for a scheduled exchange: they are sent to every
-// peer at once.
+// for forwarded requests only. Urgent changes do not wait for a scheduled
+// exchange: a leaving signal is sent to every peer at once, a new configuration
+// to every peer that lacks it.
 
 const (
 	// exchangesPerSecond bounds the exchanges of an instance with the peers of
-	// its own availability zone, and separately those with all other peers. A
-	// limit of six keeps three peers at an interval of half a second, which is
-	// the current size.
+	// its own availability zone, and separately those with all other peers. At
+	// six, an availability zone with three peers per instance, the current
+	// size, keeps an interval of half a second.
 	exchangesPerSecond = 6
 	// otherZoneFactor is the minimum ratio of the interval for other zones to
 	// the base interval.
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -13,14 +13,15 @@
 // Without ordering rules a list that lags would bring a leaving backend server
 // back, and a list that is unstable would empty the fleet. A leaving signal is
 // kept per incarnation and never revoked within it. A missing list entry only
-// counts while the instance list is being read, because a list that cannot be
-// read is no evidence. The timeouts are in Thresholds, with their reasons.
+// counts while the instance list is current, because a list that cannot be read
+// is no evidence. The timeouts are in Thresholds, with their reasons.
 
 // Thresholds holds the timeouts for members that stop responding.
 type Thresholds struct {
 	// BackendTimeout is how long a backend server that is no longer listed
-	// counts as present without an answer of its own. It is longer than a list
-	// read that misses one interval, and shorter than callers wait.
+	// counts as present without an answer of its own, and how long a list
+	// counts as current after it was received. It is longer than the gap that
+	// one missed list read leaves, and shorter than callers wait.
 	BackendTimeout time.Duration
 	// BackendConfirmTimeout is how long a listed backend server may leave
 	// probes unanswered before it is used anyway. It allows several probes, so
@@ -29,7 +30,8 @@
 	// BackendRampTime is how long a backend server counts as ramping.
 	BackendRampTime time.Duration
 	// WorkerSuspectTimeout and WorkerLossTimeout are the times without a report
-	// after which a worker is suspect and lost. WorkerLossTimeout is longer
+	// after which a worker is suspect and lost. A worker that neither is listed
+	// nor reports for WorkerLossTimeout is removed. WorkerLossTimeout is longer
 	// than any worker lease.
 	WorkerSuspectTimeout, WorkerLossTimeout time.Duration
 	// Retention is how long leaving signals and entries of lost members are
@@ -176,9 +178,9 @@
 	}
 }
 
-// nextState returns the state of a chart after an event. The charts handle
-// every event in every state, which a test of package chart checks, so an error
-// leaves the state unchanged.
+// nextState returns the state of a chart after an event. An error, which leaves
+// the state unchanged, is not expected: the charts handle every event in every
+// state, which a test of package chart checks.
 func nextState[S ~string](machine *chart.Chart, from S, event chart.Event) S {
 	to, err := machine.Next(chart.State(from), event)
 	if err != nil {
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -19,10 +19,10 @@
 // step is an event of a table test at a time after its start.
 type step struct {
 	after time.Duration
-	do    func(s *state, now time.Time)
+	apply func(s *state, now time.Time)
 }
 
-func at(after time.Duration, do func(*state, time.Time)) step { return step{after, do} }
+func at(after time.Duration, apply func(*state, time.Time)) step { return step{after, apply} }
 
 func listBackend(incarnation int64, leaving bool) func(*state, time.Time) {
 	return func(s *state, now time.Time) {
@@ -85,7 +85,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newState(model.Instance{ID: "self", Zone: "z1"}, 500*time.Millisecond, DefaultThresholds())
 			for _, step := range test.steps {
-				step.do(s, startTime.Add(step.after))
+				step.apply(s, startTime.Add(step.after))
 			}
 			servers := s.backendServers("z1", startTime.Add(time.Minute))
 			if test.want == "" {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,7 +1,7 @@
 // Package model defines the types that the decision packages share: workers,
-// gangs, client accounts, backend servers and the configuration that binds
-// them. The types are plain data. Every holder of a value may read it; a value
-// that was passed to another goroutine must not be written again.
+// jobs, gangs, client accounts and their guarantees, objectives, backend servers
+// and instances. The types are plain data. Every holder of a value may read it;
+// a value that was passed to another goroutine must not be modified again.
 package model
 
 import (
@@ -97,7 +97,8 @@
 	Borrowed bool
 }
 
-// GuaranteedShape is a shape that an account can claim Count times in a zone.
+// GuaranteedShape is a shape that is guaranteed to an account Count times in a
+// zone.
 type GuaranteedShape struct {
 	api.Shape
 	Count int `json:"count"`
--- a/internal/peer/coalesce.go
+++ b/internal/peer/coalesce.go
@@ -13,7 +13,8 @@
 	// would delay each step by a millisecond or more.
 	coalesceYields = 8
 	// maxPendingBytes bounds the bytes that a connection buffers. A writer
-	// waits while the buffer is full.
+	// waits while the buffer is full; an empty buffer accepts a write of any
+	// size.
 	maxPendingBytes = 64 << 10
 	// flushTimeout bounds the last write before a connection closes.
 	flushTimeout = time.Second
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -57,8 +57,8 @@
 
 // handshake exchanges instance ids and incarnations with the peer, as a Request
 // without a body in each direction, and returns those of the peer. The dialer
-// sends first and the other side responds, so that a dialer knows that its
-// messages arrive.
+// sends first and the other side responds, which confirms to the dialer that
+// its messages arrive.
 func (n *Node) handshake(conn net.Conn, dialer bool) (string, int64, error) {
 	if err := conn.SetDeadline(time.Now().Add(n.limits.DialTimeout)); err != nil {
 		return "", 0, err
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -24,7 +24,7 @@
 	// dialedBy is the id of the instance that dialed.
 	dialedBy      string
 	establishedAt time.Time
-	// probing reports that a probe is in progress.
+	// probing reports that probeConnection is waiting for a ping.
 	probing atomic.Bool
 }
 
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -26,8 +26,9 @@
 	// call waits within its context.
 	MaxCalls int
 	// MaxControl and MaxWork bound the calls of peers being handled: state,
-	// configuration and slots (default 64), and forwarded work (default 512).
-	// A further call is refused with KindQueueFull.
+	// configuration and slots (default 64), and all other calls, such as
+	// forwarded work (default 512). As many again wait in a queue; a further
+	// call is refused with KindQueueFull.
 	MaxControl, MaxWork int
 	// DialTimeout bounds connecting and the handshake; default 2 s.
 	DialTimeout time.Duration
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -104,7 +104,7 @@
 const drainPollInterval = 10 * time.Millisecond
 
 // Drain waits until no work forwarded by peers is being handled, or until ctx
-// ends. By then the handler must refuse new work.
+// ends. The handler must refuse new work from before the call of Drain.
 func (n *Node) Drain(ctx context.Context) error {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,6 +1,6 @@
 // Package ring provides bounded queues between goroutines. The type determines
 // what happens when a queue is full: Refusing refuses the new entry, Dropping
-// drops the oldest one. Both count the entries that they turn away.
+// drops the oldest one. Both count the entries that they refuse or drop.
 package ring
 
 import (
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// mayPlace reports whether the placer may start waiting jobs although its lease
-// has expired; package zone decides.
+// mayPlace reports whether the placer may start waiting jobs after its lease has
+// expired, according to package zone.
 func (i *instance) mayPlace() bool {
 	zonePeers, otherPeers, epoch := i.fleet.Reach()
 	permission := zone.Decide(zone.Situation{
@@ -133,7 +133,8 @@
 // fleetView implements entry.Fleet.
 type fleetView struct{ *instance }
 
-// Status returns the status of the jobs, the zones and all known instances.
+// Status returns the status of the jobs, the zones, this instance and every peer
+// that has sent its state.
 func (f fleetView) Status(ctx context.Context) api.Status {
 	status := f.jobs.Status(ctx)
 	status.Instance = f.settings.Instance
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -190,6 +190,9 @@
 	})
 }
 
+// ready returns nil if the instance accepts work, otherwise the error with which
+// it refuses. The first call with a configuration and slots of backend servers
+// changes the state of the lifecycle to ready.
 func (i *instance) ready() error {
 	refusal := i.lifecycle.Refusal()
 	if refusal == nil {
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -173,41 +173,41 @@
 
 func buildIndex(file string, data []byte) (*Positions, []api.Problem) {
 	positions := &Positions{file: file, data: data, offsets: map[string]int64{"": 0, "/": 0}}
-	w := &indexer{positions: positions, decoder: json.NewDecoder(bytes.NewReader(data))}
-	w.decoder.UseNumber()
-	err := w.indexValue("", 0)
+	ix := &indexer{positions: positions, decoder: json.NewDecoder(bytes.NewReader(data))}
+	ix.decoder.UseNumber()
+	err := ix.indexValue("", 0)
 	if err == nil {
-		err = w.checkEnd()
+		err = ix.checkEnd()
 	}
 	if err != nil {
-		line, column := lineAndColumn(data, w.decoder.InputOffset())
-		w.problems = append(w.problems, api.Problem{File: file, Path: "/", Line: line, Column: column, Message: err.Error()})
+		line, column := lineAndColumn(data, ix.decoder.InputOffset())
+		ix.problems = append(ix.problems, api.Problem{File: file, Path: "/", Line: line, Column: column, Message: err.Error()})
 	}
-	return positions, w.problems
+	return positions, ix.problems
 }
 
-func (w *indexer) checkEnd() error {
-	if _, err := w.decoder.Token(); !errors.Is(err, io.EOF) {
+func (ix *indexer) checkEnd() error {
+	if _, err := ix.decoder.Token(); !errors.Is(err, io.EOF) {
 		return errors.New("data after the end of the document")
 	}
 	return nil
 }
 
 // nextOffset returns the offset of the next token, skipping separators.
-func (w *indexer) nextOffset() int64 {
-	offset := w.decoder.InputOffset()
-	for offset < int64(len(w.positions.data)) && strings.IndexByte(" \t\r\n,:", w.positions.data[offset]) >= 0 {
+func (ix *indexer) nextOffset() int64 {
+	offset := ix.decoder.InputOffset()
+	for offset < int64(len(ix.positions.data)) && strings.IndexByte(" \t\r\n,:", ix.positions.data[offset]) >= 0 {
 		offset++
 	}
 	return offset
 }
 
-func (w *indexer) indexValue(path string, depth int) error {
+func (ix *indexer) indexValue(path string, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("nested deeper than %d", maxDepth)
 	}
-	w.positions.offsets[path] = w.nextOffset()
-	token, err := w.decoder.Token()
+	ix.positions.offsets[path] = ix.nextOffset()
+	token, err := ix.decoder.Token()
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -216,18 +216,18 @@
 	}
 	switch token {
 	case json.Delim('{'):
-		return w.indexObject(path, depth)
+		return ix.indexObject(path, depth)
 	case json.Delim('['):
-		return w.indexArray(path, depth)
+		return ix.indexArray(path, depth)
 	}
 	return nil
 }
 
-func (w *indexer) indexObject(path string, depth int) error {
+func (ix *indexer) indexObject(path string, depth int) error {
 	seen := make(map[string]bool)
-	for w.decoder.More() {
-		offset := w.nextOffset()
-		token, err := w.decoder.Token()
+	for ix.decoder.More() {
+		offset := ix.nextOffset()
+		token, err := ix.decoder.Token()
 		if err != nil {
 			return err
 		}
@@ -237,24 +237,24 @@
 		}
 		child := path + jsonPointer([]string{name})
 		if seen[name] {
-			line, column := lineAndColumn(w.positions.data, offset)
-			w.problems = append(w.problems, api.Problem{File: w.positions.file, Path: child, Line: line, Column: column, Message: "duplicate name"})
+			line, column := lineAndColumn(ix.positions.data, offset)
+			ix.problems = append(ix.problems, api.Problem{File: ix.positions.file, Path: child, Line: line, Column: column, Message: "duplicate name"})
 		}
 		seen[name] = true
-		if err := w.indexValue(child, depth+1); err != nil {
+		if err := ix.indexValue(child, depth+1); err != nil {
 			return err
 		}
 	}
-	_, err := w.decoder.Token()
+	_, err := ix.decoder.Token()
 	return err
 }
 
-func (w *indexer) indexArray(path string, depth int) error {
-	for i := 0; w.decoder.More(); i++ {
-		if err := w.indexValue(fmt.Sprintf("%s/%d", path, i), depth+1); err != nil {
+func (ix *indexer) indexArray(path string, depth int) error {
+	for i := 0; ix.decoder.More(); i++ {
+		if err := ix.indexValue(fmt.Sprintf("%s/%d", path, i), depth+1); err != nil {
 			return err
 		}
 	}
-	_, err := w.decoder.Token()
+	_, err := ix.decoder.Token()
 	return err
 }
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -78,14 +78,14 @@
 	Claims bool
 	// Spill permits forwarding requests to other availability zones.
 	Spill bool
-	// TakePlacer permits attempts to acquire the placer lease, which depends on
-	// the store alone.
+	// TakePlacer permits attempts to acquire the placer lease, which requires
+	// the store but no peer.
 	TakePlacer bool
 	// RenewGangs permits renewing running gangs, which keeps them alive.
 	RenewGangs bool
 	Starts     Starts
 	Config     Source
-	// Reason is a short explanation of Starts for the log.
+	// Reason is a short explanation of Starts.
 	Reason string
 }
 
@@ -117,7 +117,8 @@
 	}
 }
 
-// superseded reports whether another instance has taken the placer lease since.
+// superseded reports whether a higher epoch than that of this instance's lease
+// has been seen, so that another holder has acquired the lease since.
 func superseded(s Situation) bool { return s.HighestEpoch > s.Epoch }
 
 func allowedStarts(s Situation) (Starts, string) {
