--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -9,7 +9,7 @@
 	"github.com/corianderbank/corianderbank/internal/losses"
 )
 
-// defaultInterval is the interval of a row in the table of submission times.
+// defaultInterval is the time interval that a row of the table by submission time covers.
 const defaultInterval = 2 * time.Second
 
 func (inv *invocation) addLosses() {
@@ -30,15 +30,15 @@
 		}
 	}
 	report := reader.Report()
-	jobs := report.Lost()
+	jobs := report.NotOnTime()
 	if all {
 		jobs = report.Jobs
 	}
 	return inv.print(report, func(w io.Writer) {
-		printLostJobs(w, &report, jobs)
+		printJobTable(w, &report, jobs)
 		printSummaries(w, "LOST_TO", report.ByCause())
 		printSummaries(w, "FROM", report.ByTime(interval))
-		_, _ = fmt.Fprintf(w, "\n%d of %d jobs not on time; %d lines not parsed\n", len(report.Lost()), len(report.Jobs), report.Unparsed)
+		_, _ = fmt.Fprintf(w, "\n%d of %d jobs not on time; %d lines not parsed\n", len(report.NotOnTime()), len(report.Jobs), report.Unparsed)
 	})
 }
 
@@ -67,7 +67,7 @@
 	return cells
 }
 
-func printLostJobs(w io.Writer, report *losses.Report, jobs []losses.Job) {
+func printJobTable(w io.Writer, report *losses.Report, jobs []losses.Job) {
 	table(w, func(row func(...any)) {
 		row(append([]any{"AT_S", "JOB", "QUEUE", "PRIORITY", "OUTCOME", "TOOK_S", "OBJECTIVE_S", "LOST_TO"}, causeTitles()...)...)
 		for i := range jobs {
--- a/internal/cli/stored.go
+++ b/internal/cli/stored.go
@@ -56,7 +56,8 @@
 	})
 }
 
-// explainStored describes the effect of a configuration, with the queues by precedence.
+// explainStored describes the effect of a configuration, with the queues in the order of
+// their priorities.
 func explainStored(c *workload.Configuration) storedConfig {
 	result := storedConfig{Version: c.Version, Queues: []storedQueue{}, Accounts: []storedAccount{}, Problems: []string{}}
 	queues := slices.Clone(c.Queues)
@@ -99,17 +100,17 @@
 
 func printStored(w io.Writer, c *storedConfig) {
 	_, _ = fmt.Fprintf(w, "version %d\n", c.Version)
-	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "QUEUE\tADDRESS\tPOOL\tPRIORITY\tATTEMPTS\tOBJECTIVE\tPUBLIC\tADVISOR")
+	writer := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	_, _ = fmt.Fprintln(writer, "QUEUE\tADDRESS\tPOOL\tPRIORITY\tATTEMPTS\tOBJECTIVE\tPUBLIC\tADVISOR")
 	for _, q := range c.Queues {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n",
+		_, _ = fmt.Fprintf(writer, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n",
 			q.Name, q.Address, q.Pool, q.Priority, q.Attempts, q.Objective, yesNo(q.Public), yesNo(q.Advisor))
 	}
-	_, _ = fmt.Fprintln(table, "CLIENT ACCOUNT\tKEYS\tGUARANTEED ACCELERATORS")
+	_, _ = fmt.Fprintln(writer, "CLIENT ACCOUNT\tKEYS\tGUARANTEED ACCELERATORS")
 	for _, account := range c.Accounts {
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\n", account.Name, account.Keys, account.Accelerators)
+		_, _ = fmt.Fprintf(writer, "%s\t%d\t%d\n", account.Name, account.Keys, account.Accelerators)
 	}
-	_ = table.Flush()
+	_ = writer.Flush()
 	for _, problem := range c.Problems {
 		_, _ = fmt.Fprintln(w, "note:", problem)
 	}
--- a/internal/cli/stored_test.go
+++ b/internal/cli/stored_test.go
@@ -14,9 +14,9 @@
 )
 
 // runWithDecoder runs the command line with a decoder of stored configurations.
-func runWithDecoder(stored func([]byte) (*workload.Configuration, error), args ...string) (int, string, string) {
+func runWithDecoder(decode func([]byte) (*workload.Configuration, error), args ...string) (int, string, string) {
 	var out, errs bytes.Buffer
-	code := Run(args, &out, &errs, Serve{Stored: stored})
+	code := Run(args, &out, &errs, Serve{Stored: decode})
 	return code, out.String(), errs.String()
 }
 
@@ -28,7 +28,7 @@
 }
 
 func TestStoredConfigurationIsExplained(t *testing.T) {
-	read := func([]byte) (*workload.Configuration, error) {
+	decode := func([]byte) (*workload.Configuration, error) {
 		return &workload.Configuration{
 			Version: 7,
 			Queues: []workload.Queue{
@@ -41,7 +41,7 @@
 			},
 		}, nil
 	}
-	code, out, _ := runWithDecoder(read, "config", "stored", writeFile(t, "stored.json", "{}"))
+	code, out, _ := runWithDecoder(decode, "config", "stored", writeFile(t, "stored.json", "{}"))
 	assert.Equal(t, code, ExitDone)
 	for _, line := range []string{
 		"version 7",
@@ -56,8 +56,8 @@
 }
 
 func TestUnreadableStoredConfigurationIsAnError(t *testing.T) {
-	read := func([]byte) (*workload.Configuration, error) { return nil, errors.New("truncated body") }
-	code, _, errs := runWithDecoder(read, "config", "stored", writeFile(t, "stored.json", "{"))
+	decode := func([]byte) (*workload.Configuration, error) { return nil, errors.New("truncated body") }
+	code, _, errs := runWithDecoder(decode, "config", "stored", writeFile(t, "stored.json", "{"))
 	assert.Assert(t, code != ExitDone)
 	assert.Assert(t, strings.Contains(errs, "truncated body"), errs)
 }
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// maxLogLine bounds a line of a log file.
-const maxLogLine = 1 << 20
+// maxLogLineBytes bounds a line of a log file.
+const maxLogLineBytes = 1 << 20
 
 // logLine is a log line that contains the id being traced.
 type logLine struct {
@@ -51,7 +51,8 @@
 	})
 }
 
-// findLines returns the lines of a file that contain an id as a value.
+// findLines returns the lines of a file that contain an id as a value, or after "for" in
+// the text of a reason.
 func findLines(file, id string) ([]logLine, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -60,7 +61,7 @@
 	defer func() { _ = f.Close() }()
 	var lines []logLine
 	scanner := bufio.NewScanner(f)
-	scanner.Buffer(nil, maxLogLine)
+	scanner.Buffer(nil, maxLogLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		if strings.Contains(text+" ", "="+id+" ") || strings.Contains(text, " for "+id) {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,10 +9,11 @@
 	"github.com/corianderbank/corianderbank/internal/strictjson"
 )
 
-// Check is the Checker of a whole document. It checks that names of client accounts are
-// unique, that guarantees contradict neither each other nor the account's limit, the
-// objectives, and the rules. It does not consider the existing workers: whether the
-// guarantees fit on them is checked by the placement.
+// Check is the Checker of a whole document. It checks the client accounts, the
+// objectives and the rules: names of client accounts must be unique, and the guarantees
+// in a zone must not list a shape twice or exceed the account's limit. It does not
+// consider the existing workers: whether the guarantees fit on them is checked by the
+// placement.
 func Check(document *Document, positions *strictjson.Positions) []api.Problem {
 	c := &documentChecker{positions: positions}
 	seen := make(map[string]bool, len(document.Accounts))
@@ -52,7 +53,7 @@
 		seen := make(map[api.Shape]bool, len(shapes))
 		for k, shape := range shapes {
 			if seen[shape.Shape] {
-				c.addProblem(fmt.Sprintf("%s/%d", at, k), "the shape is listed twice; raise its count in place of that")
+				c.addProblem(fmt.Sprintf("%s/%d", at, k), "the shape is listed twice; raise its count instead")
 			}
 			seen[shape.Shape] = true
 		}
--- a/internal/config/check_test.go
+++ b/internal/config/check_test.go
@@ -20,7 +20,7 @@
 		want string
 	}{
 		"a valid document": {`{"client_accounts": [{"name": "a"}], ` + lastRule + `}`, ""},
-		"two accounts of one name": {
+		"two accounts with the same name": {
 			`{"client_accounts": [{"name": "a"}, {"name": "a"}], ` + lastRule + `}`, `/client_accounts/1/name: duplicate client account "a"`,
 		},
 		"a guarantee above the account's limit": {
--- a/internal/config/manager.go
+++ b/internal/config/manager.go
@@ -47,11 +47,11 @@
 	options Options
 	chart   *chart.Chart
 	current atomic.Pointer[version]
-	// confirmed is the local time at which the store last confirmed that the version in
+	// confirmedAt is the local time at which the store last confirmed that the version in
 	// force is the highest.
-	confirmed atomic.Pointer[time.Time]
-	// activating serializes updates of current.
-	activating sync.Mutex
+	confirmedAt atomic.Pointer[time.Time]
+	// activateMu serializes updates of current.
+	activateMu sync.Mutex
 }
 
 var _ Source = (*Manager)(nil)
@@ -91,7 +91,7 @@
 	if current == nil {
 		return 0, 0
 	}
-	if at := m.confirmed.Load(); at != nil {
+	if at := m.confirmedAt.Load(); at != nil {
 		confirmed = time.Since(*at)
 	}
 	return time.Since(current.activatedAt), confirmed
@@ -140,8 +140,8 @@
 
 // activate puts next into force if it is higher than the current version.
 func (m *Manager) activate(next *version) bool {
-	m.activating.Lock()
-	defer m.activating.Unlock()
+	m.activateMu.Lock()
+	defer m.activateMu.Unlock()
 	current := m.current.Load()
 	if current != nil && next.snapshot.Version <= current.snapshot.Version {
 		return false
@@ -164,7 +164,7 @@
 		}
 	}
 	now := time.Now()
-	m.confirmed.Store(&now)
+	m.confirmedAt.Store(&now)
 	return nil
 }
 
@@ -184,26 +184,26 @@
 	}
 }
 
-func (m *Manager) fetch(ctx context.Context, row headRow) error {
-	data, err := m.readDocument(ctx, row)
+func (m *Manager) fetch(ctx context.Context, record versionRecord) error {
+	data, err := m.readDocument(ctx, record)
 	if err != nil {
 		return err
 	}
-	_, err = m.Offer(row.Version, row.Digest, data)
+	_, err = m.Offer(record.Version, record.Digest, data)
 	return err
 }
 
 // readDocument reads the document of a version from the object store.
-func (m *Manager) readDocument(ctx context.Context, row headRow) ([]byte, error) {
-	packed, err := m.options.Objects.Get(ctx, row.Object)
+func (m *Manager) readDocument(ctx context.Context, record versionRecord) ([]byte, error) {
+	packed, err := m.options.Objects.Get(ctx, record.Object)
 	if err != nil {
 		return nil, err
 	}
 	return Unpack(packed)
 }
 
-// headRow is the value of the head row and of the history rows.
-type headRow struct {
+// versionRecord is the value of the head row and of the history rows.
+type versionRecord struct {
 	Version int64  `json:"version"`
 	Digest  string `json:"digest"`
 	// Object names the document in the object store.
@@ -211,6 +211,6 @@
 	AppliedAt time.Time `json:"applied_at"`
 }
 
-func (h headRow) toAPI(document json.RawMessage) api.ConfigVersion {
+func (h versionRecord) toAPI(document json.RawMessage) api.ConfigVersion {
 	return api.ConfigVersion{Version: h.Version, Digest: h.Digest, AppliedAt: h.AppliedAt, Document: document}
 }
--- a/internal/config/manager_test.go
+++ b/internal/config/manager_test.go
@@ -31,7 +31,7 @@
 		check  func(t *testing.T, err error)
 	}{
 		"the next version is accepted": {expect: 1, data: document("b")},
-		"another head is a conflict with its version": {expect: 0, data: document("b"), kind: api.KindConfigConflict, check: func(t *testing.T, err error) {
+		"a conflict carries the version in force": {expect: 0, data: document("b"), kind: api.KindConfigConflict, check: func(t *testing.T, err error) {
 			assert.Equal(t, Winner(err), int64(1))
 		}},
 		"a document with errors is refused with all problems": {
@@ -119,9 +119,9 @@
 	assert.Equal(t, string(old.Document), string(document("b")))
 	_, err = manager.Get(t.Context(), 9)
 	assert.Assert(t, api.IsKind(err, api.KindNotFound), "%v", err)
-	now, err := manager.Get(t.Context(), 0)
+	current, err := manager.Get(t.Context(), 0)
 	assert.NilError(t, err)
-	assert.Equal(t, now.Version, int64(3))
+	assert.Equal(t, current.Version, int64(3))
 }
 
 // TestInForceEverywhereWithinTwoSeconds publishes every 5 s (0.2 changes per second)
@@ -143,14 +143,14 @@
 				for n := range 40 {
 					_, err := managers[n%8].Publish(t.Context(), int64(n), "f", document(fmt.Sprintf("a%d", n)))
 					assert.NilError(t, err)
-					accepted := time.Now()
+					acceptedAt := time.Now()
 					for _, manager := range managers {
 						for manager.Version() <= int64(n) {
 							time.Sleep(time.Millisecond)
 						}
 					}
-					durations = append(durations, time.Since(accepted))
-					time.Sleep(5*time.Second - time.Since(accepted))
+					durations = append(durations, time.Since(acceptedAt))
+					time.Sleep(5*time.Second - time.Since(acceptedAt))
 				}
 				sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
 				t.Logf("in force on all eight: p50 %v, max %v", durations[20], durations[39])
--- a/internal/config/publish.go
+++ b/internal/config/publish.go
@@ -96,7 +96,7 @@
 	if head.Version != expect {
 		return api.ConfigVersion{}, conflictWith(head.Version)
 	}
-	next := headRow{Version: expect + 1, Digest: digestOf(data), AppliedAt: time.Now().UTC()}
+	next := versionRecord{Version: expect + 1, Digest: digestOf(data), AppliedAt: time.Now().UTC()}
 	next.Object = fmt.Sprintf("config-%012d-%s.gz", next.Version, next.Digest)
 	if err := m.options.Objects.Put(ctx, next.Object, Pack(data)); err != nil {
 		pending.apply(eventLose)
@@ -112,8 +112,9 @@
 	return next.toAPI(nil), nil
 }
 
-// moveHead makes next the head if the head row has not changed since it was read.
-func (m *Manager) moveHead(ctx context.Context, pending *proposal, headRead api.Row, next headRow) error {
+// moveHead makes next the head and adds it to the history if the head row has not changed
+// since it was read.
+func (m *Manager) moveHead(ctx context.Context, pending *proposal, headRead api.Row, next versionRecord) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return api.NewError(api.KindInternal, "configuration head: %w", err)
@@ -145,7 +146,7 @@
 // fallback.
 func headVersionIn(conflicts []api.Row, fallback int64) int64 {
 	for _, row := range conflicts {
-		var head headRow
+		var head versionRecord
 		if row.Table == tableHead && json.Unmarshal(row.Value, &head) == nil {
 			return head.Version
 		}
@@ -180,8 +181,8 @@
 }
 
 // head reads the head row; version 0 means that there is no configuration yet.
-func (m *Manager) head(ctx context.Context) (api.Row, headRow, error) {
-	var head headRow
+func (m *Manager) head(ctx context.Context) (api.Row, versionRecord, error) {
+	var head versionRecord
 	rows, err := m.options.Tables.Read(ctx, platform.PurposeConfig, api.Ref{Table: tableHead, Key: headKey})
 	if err != nil {
 		return api.Row{}, head, err
@@ -206,7 +207,7 @@
 			return nil, err
 		}
 		for _, row := range page.Rows {
-			var entry headRow
+			var entry versionRecord
 			if err := json.Unmarshal(row.Value, &entry); err != nil {
 				return nil, api.NewError(api.KindInternal, "history row %s: %w", row.Key, err)
 			}
@@ -233,7 +234,7 @@
 	if rows.Rows[0].Version == 0 {
 		return api.ConfigVersion{}, api.NewError(api.KindNotFound, "no configuration version %d", number)
 	}
-	var entry headRow
+	var entry versionRecord
 	if err := json.Unmarshal(rows.Rows[0].Value, &entry); err != nil {
 		return api.ConfigVersion{}, api.NewError(api.KindInternal, "history row of %d: %w", number, err)
 	}
--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -21,7 +21,8 @@
 // arrival is a job together with properties that the scheduler cannot observe.
 type arrival struct {
 	kind *Kind
-	// submitAt is the time of the caller's first attempt to submit the job, from a zone.
+	// submitAt is the time at which the caller first tries to submit the job, zone the
+	// caller's zone.
 	submitAt time.Duration
 	zone     int
 	// rerouteDelay is the time after which callers of the zone are routed to another zone
@@ -30,7 +31,8 @@
 	job          *workload.Job
 	// work is the run time of each task on a worker of speed one.
 	work []time.Duration
-	// seed determines which runs fail; startedRuns counts the runs.
+	// seed determines which runs fail; startedRuns counts the starts, those of all members
+	// of a gang as one.
 	seed        uint64
 	startedRuns int
 	// poison reports whether every run fails because of the job itself.
@@ -39,7 +41,8 @@
 	crashing bool
 	// cancelAt is zero unless the caller cancels the job.
 	cancelAt time.Duration
-	// objective is the target completion time, value the value of completing within it.
+	// objective is the target for the time from submission to completion, value the value
+	// of completing within it.
 	objective time.Duration
 	value     float64
 }
--- a/internal/emulator/callers.go
+++ b/internal/emulator/callers.go
@@ -12,9 +12,9 @@
 	acceptLatency = 10 * time.Millisecond
 )
 
-// acceptedAt returns the time at which a job is accepted, and false if its caller gives
-// up first. A try succeeds if the store is up and reachable from the caller's zone, or
-// if the balancer already routes the caller to another zone.
+// acceptedAt returns the time at which a job is accepted, and false if its caller stops
+// trying first. A try succeeds if the store is up and, in addition, the caller's zone is
+// not partitioned or the balancer already routes the caller to another zone.
 func (sim *simulation) acceptedAt(a *arrival) (time.Duration, bool) {
 	for at := a.submitAt; at <= a.submitAt+callerTimeout; at += callerRetryPause {
 		if sim.day.storeDown(at) {
--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -38,8 +38,9 @@
 	return due
 }
 
-// crash ends an incarnation of a worker. Its runs are lost and no completion is ever
-// reported for them. The remaining members of a gang wait until they are stopped.
+// crash ends an incarnation of a worker. Its runs are lost without a completion, and so
+// are completions that no poll has returned yet. The remaining members of a gang wait
+// until they are stopped.
 func (sim *simulation) crash(w *worker) {
 	sim.tally.workerCrashes++
 	for _, r := range w.runs {
@@ -48,11 +49,11 @@
 			r.gang.removeMember(r)
 		}
 	}
-	w.runs, w.completions, w.completionNumber, w.leaseUntil = nil, nil, 0, 0
+	w.runs, w.completions, w.lastCompletionNumber, w.leaseUntilMS = nil, nil, 0, 0
 	w.restartAt = sim.now + downtime
 }
 
-// removeMember removes a run from its gang, which then makes no progress.
+// removeMember removes a run from its gang. The remaining members then make no progress.
 func (g *gang) removeMember(r *run) {
 	for i, m := range g.members {
 		if m.run == r {
@@ -62,8 +63,9 @@
 	}
 }
 
-// isDown reports whether a worker is down, and restarts it once its downtime is over.
-func (sim *simulation) isDown(w *worker) bool {
+// stillDown restarts a worker whose downtime is over, and reports whether the worker is
+// down after that.
+func (sim *simulation) stillDown(w *worker) bool {
 	if w.restartAt == 0 || sim.now < w.restartAt {
 		return w.restartAt > 0
 	}
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -17,8 +17,8 @@
 )
 
 // distribution is a log-normal distribution given by its mean and its coefficient of
-// variation, truncated at a maximum: sizes and run times are mostly small, with few
-// large values.
+// variation; larger samples are reduced to a maximum. Sizes and run times are mostly
+// small, with few large values.
 type distribution struct {
 	Mean      float64 `json:"mean"`
 	Variation float64 `json:"variation"`
@@ -87,6 +87,8 @@
 // Weights are the weights of a deployment's users for the parts of the value of a
 // simulation, and the penalty for wasted work.
 type Weights struct {
+	// Overall weighs the value of all jobs, the others that of the worst time windows and
+	// of the worst kind, zone and client account.
 	Overall float64 `json:"whole"`
 	Windows float64 `json:"windows"`
 	Kind    float64 `json:"kind"`
@@ -98,11 +100,12 @@
 
 // Deployment describes a fleet of workers and the kinds of jobs submitted to it.
 type Deployment struct {
-	Name           string             `json:"name"`
-	Zones          int                `json:"zones"`
-	RacksPerZone   int                `json:"racks_per_zone"`
-	WorkersPerRack int                `json:"workers_per_rack"`
-	Capacity       workload.Resources `json:"room"`
+	Name           string `json:"name"`
+	Zones          int    `json:"zones"`
+	RacksPerZone   int    `json:"racks_per_zone"`
+	WorkersPerRack int    `json:"workers_per_rack"`
+	// Capacity is the capacity of each worker.
+	Capacity workload.Resources `json:"room"`
 	// Speeds holds the speeds to choose from for each worker.
 	Speeds []float64 `json:"speeds"`
 	// Guaranteed holds the share of all accelerators guaranteed to each client account.
@@ -110,11 +113,15 @@
 	LongestLeaseMS int64     `json:"longest_lease_ms"`
 	StopMS         int64     `json:"stop_ms"`
 	ReclaimMS      int64     `json:"reclaim_ms"`
-	RemoteFactor   float64   `json:"remote_factor"`
-	CheckpointMS   int64     `json:"checkpoint_ms"`
-	RestoreMS      int64     `json:"restore_ms"`
-	Kinds          []Kind    `json:"kinds"`
-	Weights        Weights   `json:"weights"`
+	// RemoteFactor divides the speed of runs away from their data rack, and of gangs that
+	// need a single rack but run on several.
+	RemoteFactor float64 `json:"remote_factor"`
+	// CheckpointMS is the work between two checkpoints of a run, RestoreMS the additional
+	// work of a run that resumes from one.
+	CheckpointMS int64   `json:"checkpoint_ms"`
+	RestoreMS    int64   `json:"restore_ms"`
+	Kinds        []Kind  `json:"kinds"`
+	Weights      Weights `json:"weights"`
 
 	config *workload.Configuration
 	bounds workload.Bounds
--- a/internal/emulator/digest_test.go
+++ b/internal/emulator/digest_test.go
@@ -14,8 +14,8 @@
 )
 
 // digestFile holds the digests of the orders on some days. Refactoring must not change
-// it; after a change of scheduling decisions, regenerate it with UPDATE_DIGESTS=1 go
-// test.
+// it; after a change of scheduling decisions, regenerate it by running the test with
+// UPDATE_DIGESTS=1 in the environment.
 const digestFile = "testdata/digests.json"
 
 // digestOf hashes the time, kind, worker and task of every start and stop on a day.
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -2,9 +2,9 @@
 // in virtual time: callers, workers with leases, leader changes, zone partitions and
 // store outages. Deployments and days are read from files; further deployments are
 // drawn at random around those of the users. Within seconds, an experiment shows how a
-// change of a scheduling decision affects callers, and on which deployments. Not
-// modelled are processor time, the network between instances, and delayed reads of
-// rows.
+// change of a scheduling decision affects callers, and on which deployments. The
+// package does not model processor time, the network between instances, or delayed
+// reads of rows.
 //
 //	deployment.go  deployments and their files
 //	draw.go        randomly drawn deployments
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -38,8 +38,8 @@
 }
 
 func TestSameSeedGivesSameFigures(t *testing.T) {
-	d, p := loadDeployment(t, "klaverveld"), loadDay(t, "calm, with a burst of urgent jobs")
-	first, second := simulate(d, p, dispatch.Tuning{}, 7).figures(), simulate(d, p, dispatch.Tuning{}, 7).figures()
+	d, day := loadDeployment(t, "klaverveld"), loadDay(t, "calm, with a burst of urgent jobs")
+	first, second := simulate(d, day, dispatch.Tuning{}, 7).figures(), simulate(d, day, dispatch.Tuning{}, 7).figures()
 	assert.Assert(t, reflect.DeepEqual(first, second), "%v and %v", first, second)
 }
 
@@ -59,13 +59,13 @@
 // Guards against changes that reduce the value callers get on a heavy day, by class of
 // job. Each bound is a few percent below the mean of these simulations.
 func TestWhatCallersGetOnAHeavyDay(t *testing.T) {
-	d, p := loadDeployment(t, "klaverveld"), loadDay(t, "heavy, with a burst of urgent jobs")
+	d, day := loadDeployment(t, "klaverveld"), loadDay(t, "heavy, with a burst of urgent jobs")
 	minimum := map[string]float64{"urgent earned": 87, "large earned": 58, "small earned": 80}
 	const seeds = 3
 	means := make(map[string]float64)
 	results := make(chan []measure.Figure, seeds)
 	for n := range uint64(seeds) {
-		go func() { results <- simulate(d, p, dispatch.Tuning{}, 5+n).figures() }()
+		go func() { results <- simulate(d, day, dispatch.Tuning{}, 5+n).figures() }()
 	}
 	for range seeds {
 		for _, figure := range <-results {
@@ -80,11 +80,11 @@
 // No work may start in a drained zone under any leader: the second drain outlasts a
 // leader change.
 func TestNothingStartsInADrainedZone(t *testing.T) {
-	p := loadDay(t, "a zone is drained")
+	day := loadDay(t, "a zone is drained")
 	for _, name := range []string{"klaverveld", "estribo"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tally := simulate(loadDeployment(t, name), p, dispatch.Tuning{}, 5)
+			tally := simulate(loadDeployment(t, name), day, dispatch.Tuning{}, 5)
 			assert.Equal(t, tally.drainedStarts, 0)
 			assert.Assert(t, len(tally.startedAt) > 0)
 		})
@@ -93,18 +93,18 @@
 
 // Checks that drainedStarts counts the starts in a drained zone, and no others.
 func TestStartsInDrainedZonesAreCounted(t *testing.T) {
-	d, p := loadDeployment(t, "klaverveld"), loadDay(t, "a zone is drained")
+	d, day := loadDeployment(t, "klaverveld"), loadDay(t, "a zone is drained")
 	random := rand.New(rand.NewPCG(1, 1))
-	sim := newSimulation(d, p, dispatch.Tuning{}, random)
-	a := d.drawArrival(p, &d.Kinds[0], 0, random)
+	sim := newSimulation(d, day, dispatch.Tuning{}, random)
+	a := d.drawArrival(day, &d.Kinds[0], 0, random)
 	a.job.ID = "job"
 	sim.accept(a)
-	sim.now = seconds(p.Drains[0].From) + drainTolerance
+	sim.now = seconds(day.Drains[0].From) + drainTolerance
 	for n, w := range sim.workerList {
 		before := sim.tally.drainedStarts
 		sim.executeStart(w, workload.Order{Task: workload.TaskID{Job: "job"}, Attempt: int64(n)})
 		counted := sim.tally.drainedStarts - before
-		assert.Equal(t, counted == 1, w.zone == p.Drains[0].Zone, "worker of zone %d", w.zone)
+		assert.Equal(t, counted == 1, w.zone == day.Drains[0].Zone, "worker of zone %d", w.zone)
 	}
 }
 
@@ -129,15 +129,15 @@
 	assert.Assert(t, poisoned > 0)
 }
 
-// No job of this day crashes its workers. Counting crashes alone made healthy jobs fail
-// permanently; each seed is one for which this happened, on deployments where there was
-// such a seed.
+// No job of this day crashes its workers. When only crashes were counted, healthy jobs
+// failed permanently. Each seed below reproduced this on its deployment; for deployments
+// that are not listed no such seed was found.
 func TestNoHealthyJobFailsWhenPartitionedWorkersCrash(t *testing.T) {
-	p := loadDay(t, "workers crash behind cuts")
+	day := loadDay(t, "workers crash behind cuts")
 	for name, seed := range map[string]uint64{"klaverveld": 0, "estribo": 0, "lankapowder": 1} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tally := simulate(loadDeployment(t, name), p, dispatch.Tuning{}, seed)
+			tally := simulate(loadDeployment(t, name), day, dispatch.Tuning{}, seed)
 			assert.Assert(t, tally.workerCrashes > 0)
 			assert.Equal(t, tally.wronglyFailed, 0)
 		})
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -32,7 +32,8 @@
 	// Deployment is empty for the result over all deployments.
 	Deployment string
 	Variant    string
-	Plays      int
+	// Plays is the number of simulations of each of the two variants.
+	Plays int
 	// Base and Mean are the mean values of the base and the variant, Change is their
 	// difference and Interval half the width of its confidence interval.
 	Base, Mean, Change, Interval float64
@@ -89,7 +90,8 @@
 	return all
 }
 
-// normalQuantile scales a standard error to a confidence interval of 19 in 20.
+// normalQuantile times the standard error is half the width of a confidence interval of
+// 19 in 20.
 const normalQuantile = 1.96
 
 func compareValues(variant, deployment string, base, other []float64) Difference {
@@ -157,16 +159,16 @@
 	return rows, nil
 }
 
-// addFigures adds the contribution of one simulation to the mean.
-func addFigures(sum, figures []measure.Figure) []measure.Figure {
-	if sum == nil {
-		sum = make([]measure.Figure, len(figures))
-		for i := range sum {
-			sum[i] = measure.Figure{Name: figures[i].Name, Unit: figures[i].Unit}
+// addFigures adds the contribution of one of simulationsPerRow simulations to the mean.
+func addFigures(mean, figures []measure.Figure) []measure.Figure {
+	if mean == nil {
+		mean = make([]measure.Figure, len(figures))
+		for i := range mean {
+			mean[i] = measure.Figure{Name: figures[i].Name, Unit: figures[i].Unit}
 		}
 	}
-	for i := range sum {
-		sum[i].Value += figures[i].Value / simulationsPerRow
+	for i := range mean {
+		mean[i].Value += figures[i].Value / simulationsPerRow
 	}
-	return sum
+	return mean
 }
--- a/internal/emulator/leader.go
+++ b/internal/emulator/leader.go
@@ -30,8 +30,8 @@
 	core  *dispatch.Core
 	epoch int64
 	zone  int
-	// nextStart is the time at which the next leader starts; earlierOrdersUntil is the
-	// time until which its predecessor may have sent orders.
+	// nextStart is the earliest time at which the next leader can start;
+	// earlierOrdersUntil is the time until which its predecessor may have sent orders.
 	nextStart          time.Duration
 	earlierOrdersUntil time.Duration
 	// storeDownSince is the start of the current store outage, or zero.
@@ -43,9 +43,9 @@
 	l := &sim.leader
 	if l.core != nil {
 		switch {
-		case sim.popDue(&sim.handovers):
+		case sim.popDue(&sim.leaderHandovers):
 			sim.loseLeader(handoverDelay, sim.now)
-		case sim.popDue(&sim.crashes), sim.day.partitionAt(l.zone, sim.deployment.Zones, sim.now) != nil:
+		case sim.popDue(&sim.leaderCrashes), sim.day.partitionAt(l.zone, sim.deployment.Zones, sim.now) != nil:
 			sim.loseLeader(crashTakeoverDelay, sim.now-renewalAge+leaseDuration)
 		}
 	}
@@ -55,7 +55,8 @@
 	}
 }
 
-// popDue reports whether the first of the times has come, and removes it.
+// popDue reports whether the first of the times, in seconds, has been reached, and
+// removes it if so.
 func (sim *simulation) popDue(times *[]float64) bool {
 	if len(*times) == 0 || sim.now < seconds((*times)[0]) {
 		return false
@@ -99,7 +100,8 @@
 	sim.roundDue = true
 }
 
-// knownDrains returns the drained zones that a leader has received by now.
+// knownDrains returns the drained zones as of drainLatency ago, which is what a leader
+// has received by now.
 func (sim *simulation) knownDrains() []string {
 	return sim.day.drainedZones(sim.deployment.Zones, sim.now-drainLatency)
 }
@@ -111,7 +113,8 @@
 	return l.storeDownSince != 0 && sim.now-l.storeDownSince > leaseDuration-renewalAge
 }
 
-// startLeader starts a new leader from the stored state, in a zone that is not
+// startLeader starts a new leader from the stored state and the announced completions.
+// The first leader runs in the first zone, a later one in the next zone that is not
 // partitioned.
 func (sim *simulation) startLeader() {
 	l := &sim.leader
--- a/internal/emulator/player.go
+++ b/internal/emulator/player.go
@@ -23,7 +23,8 @@
 	// minStopShare is the minimum time of a stop as a share of its bound: 3,674 stops on
 	// the platform took 0.3 to 1.0 of it, uniformly distributed.
 	minStopShare = 0.3
-	// announceDelay is the time after which an unstored completion is announced.
+	// announceDelay is the time after which the end of a job that is not stored yet is
+	// announced.
 	announceDelay = 150 * time.Millisecond
 )
 
@@ -39,10 +40,11 @@
 
 // simulation is the state of one simulated day.
 type simulation struct {
-	deployment     *Deployment
-	day            *Day
-	tuning         dispatch.Tuning
-	leader         leader
+	deployment *Deployment
+	day        *Day
+	tuning     dispatch.Tuning
+	leader     leader
+	// now is the time since simulationStart.
 	now            time.Duration
 	workers        map[string]*worker
 	workerList     []*worker
@@ -52,11 +54,13 @@
 	roundDue       bool
 	lastRound      time.Duration
 	// accepted and cancelled are the stored jobs and cancellations, records the stored
-	// records; announced holds completions that were not stored in time.
+	// records; announced holds the records of ended jobs that were not stored in time.
 	accepted, cancelled []*arrival
 	records, announced  map[string]dispatch.Record
 	writeInFlight       bool
-	handovers, crashes  []float64
+	// leaderHandovers and leaderCrashes are the times of the remaining leader changes, in
+	// seconds.
+	leaderHandovers, leaderCrashes []float64
 	// reportedDrains are the drained zones last reported to the leader.
 	reportedDrains []string
 	random         *rand.Rand
@@ -65,7 +69,7 @@
 	trace func(at time.Duration, action dispatch.Action)
 }
 
-// event is a submission or a cancellation by a caller.
+// event is the acceptance of a job or its cancellation by the caller.
 type event struct {
 	at  time.Duration
 	job *arrival
@@ -112,18 +116,18 @@
 
 func newSimulation(d *Deployment, day *Day, tuning dispatch.Tuning, random *rand.Rand) *simulation {
 	sim := &simulation{
-		deployment: d,
-		day:        day,
-		tuning:     tuning,
-		workers:    make(map[string]*worker),
-		jobs:       make(map[string]*arrival),
-		gangs:      make(map[runKey]*gang),
-		records:    make(map[string]dispatch.Record),
-		announced:  make(map[string]dispatch.Record),
-		handovers:  day.LeaderHandovers,
-		crashes:    day.LeaderCrashes,
-		random:     random,
-		tally:      newTally(),
+		deployment:      d,
+		day:             day,
+		tuning:          tuning,
+		workers:         make(map[string]*worker),
+		jobs:            make(map[string]*arrival),
+		gangs:           make(map[runKey]*gang),
+		records:         make(map[string]dispatch.Record),
+		announced:       make(map[string]dispatch.Record),
+		leaderHandovers: day.LeaderHandovers,
+		leaderCrashes:   day.LeaderCrashes,
+		random:          random,
+		tally:           newTally(),
 	}
 	for i, listed := range d.listWorkers() {
 		w := &worker{Worker: listed, machine: listed.ID, zone: i / d.WorkersPerRack / d.RacksPerZone, speed: d.Speeds[random.IntN(len(d.Speeds))]}
@@ -218,6 +222,7 @@
 	routeReplaced
 )
 
+// routeTo returns the route to the incarnation of a worker that has an id.
 func (sim *simulation) routeTo(w *worker, id string) route {
 	if r := sim.routeToMachine(w); r == routeUnresponsive {
 		return r
@@ -231,7 +236,8 @@
 	return routeReplaced
 }
 
-// routeToMachine returns the route to a worker's machine, whether or not it is up.
+// routeToMachine returns the route to a worker's machine. It does not check whether the
+// worker itself is up.
 func (sim *simulation) routeToMachine(w *worker) route {
 	if f := w.activeFault(sim.now); f != nil && (f.Partitioned || f.PartitionedRestart) {
 		return routeUnresponsive
@@ -334,7 +340,7 @@
 	w.waitingPoll = nil
 }
 
-// sendReport answers a poll.
+// sendReport answers a poll. Completions that the poll acknowledges are dropped first.
 func (sim *simulation) sendReport(w *worker, action dispatch.Action) {
 	w.completions = slices.DeleteFunc(w.completions, func(e workload.Ended) bool { return e.Number <= action.Poll.Acknowledged })
 	report := workload.Report{ClockMS: sim.wallMS(), Running: w.runningTasks(), Ended: slices.Clone(w.completions)}
@@ -347,10 +353,10 @@
 		return // the order was resent
 	}
 	a := sim.jobs[order.Task.Job]
-	r := &run{key: key, job: a, startedAt: sim.now, resumedFrom: decodeCheckpoint(order.Checkpoint)}
-	r.done, r.checkpointed = r.resumedFrom, r.resumedFrom
-	if r.resumedFrom > 0 {
-		r.done -= milliseconds(sim.deployment.RestoreMS)
+	r := &run{key: key, job: a, startedAt: sim.now, resumedWork: decodeCheckpoint(order.Checkpoint)}
+	r.workDone, r.checkpointedWork = r.resumedWork, r.resumedWork
+	if r.resumedWork > 0 {
+		r.workDone -= milliseconds(sim.deployment.RestoreMS)
 	}
 	sim.tally.recordStart(a, sim.now)
 	if sim.drainedFor(w, drainTolerance) {
@@ -364,7 +370,8 @@
 	w.startRun(r, g)
 }
 
-// drainedFor reports whether a worker's zone has been drained for a duration.
+// drainedFor reports whether a worker's zone has been drained for a duration. Only the
+// start and the end of that period are checked.
 func (sim *simulation) drainedFor(w *worker, d time.Duration) bool {
 	for _, at := range []time.Duration{sim.now - d, sim.now} {
 		if !slices.Contains(sim.day.drainedZones(sim.deployment.Zones, at), w.Zone) {
@@ -374,7 +381,8 @@
 	return true
 }
 
-// gangOf returns the gang that a run belongs to, or nil.
+// gangOf returns the gang that the run of a start order belongs to, and creates it for
+// the first member. It returns nil if the job is not a gang.
 func (sim *simulation) gangOf(a *arrival, order workload.Order) *gang {
 	if !a.job.Steps[0].Gang {
 		return nil
@@ -386,14 +394,14 @@
 	return sim.gangs[key]
 }
 
-func (sim *simulation) executeStop(w *worker, order workload.Order, forOthers bool) {
+func (sim *simulation) executeStop(w *worker, order workload.Order, preemption bool) {
 	r := w.findRun(runKey{order.Task, order.Attempt})
 	if r == nil || r.stopAt > 0 {
 		return
 	}
 	share := minStopShare + (1-minStopShare)*sim.random.Float64()
 	r.stopAt = sim.now + time.Duration(share*float64(sim.deployment.bounds.StopTime))
-	if forOthers {
+	if preemption {
 		sim.tally.preempted++
 	}
 }
@@ -402,7 +410,8 @@
 const maxRecordsPerWrite = 50
 
 // writeRecords writes the records that the core has changed; the store answers at the
-// next tick. While it is down, completions are announced.
+// next tick. Jobs whose final record has not been stored for announceDelay, for instance
+// because the store is down, are announced.
 func (sim *simulation) writeRecords(core *dispatch.Core) {
 	for _, u := range core.EndedUnpersisted(announceDelay) {
 		sim.announceCompletion(u)
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -15,7 +15,7 @@
 	// acceleratorCores is the weight of an accelerator in cores.
 	acceleratorCores = 8
 	// windowLength is the length of the windows by which jobs are grouped;
-	// worstWindowCount is the number of worst windows that count.
+	// worstWindowCount is the number of worst windows whose ratios are averaged.
 	windowLength     = 2 * time.Second
 	worstWindowCount = 2
 	// drainTolerance is the time after the drain of a zone in which starts there are
@@ -57,7 +57,7 @@
 	}
 }
 
-// score is the value earned of the value possible.
+// score holds the earned and the possible value of a group of jobs.
 type score struct {
 	earned, possible float64
 }
@@ -105,8 +105,9 @@
 	}
 }
 
-// recordWaste counts the work of a run that did not complete, beyond its initial
-// progress. Runs of jobs that checkpoint are not counted.
+// recordWaste counts the work of a run that did not complete and, unless its gang has
+// already ended, of the other members of the gang. Work before the start of a run and
+// runs of jobs that checkpoint are not counted.
 func (t *tally) recordWaste(r *run) {
 	step := &r.job.job.Steps[0]
 	if step.Checkpoints {
@@ -114,13 +115,13 @@
 	}
 	need := step.Need
 	cores := float64(need.MilliCPU)/1000 + acceleratorCores*float64(need.Accelerators)
-	t.wastedWork += (r.done - r.resumedFrom).Seconds() * cores
+	t.wastedWork += (r.workDone - r.resumedWork).Seconds() * cores
 	if r.gang == nil || r.gang.ended {
 		return
 	}
 	for _, m := range r.gang.members {
 		if m.run != r {
-			t.wastedWork += (m.done - m.resumedFrom).Seconds() * cores
+			t.wastedWork += (m.workDone - m.resumedWork).Seconds() * cores
 		}
 	}
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -22,9 +22,10 @@
 	key       runKey
 	job       *arrival
 	startedAt time.Duration
-	// done is the work done so far, checkpointed the part of it in the last checkpoint,
-	// and resumedFrom the work done at the start of the run.
-	done, checkpointed, resumedFrom time.Duration
+	// workDone is the work done so far, checkpointedWork the part of it in the last
+	// checkpoint, and resumedWork the work in the checkpoint that the run resumed from.
+	// They are measured as run time on a worker of speed one.
+	workDone, checkpointedWork, resumedWork time.Duration
 	// stopAt is the time at which a requested stop takes effect, or zero.
 	stopAt time.Duration
 	// failAtShare is the share of its work after which the run fails because of the job
@@ -53,19 +54,21 @@
 	zone   int
 	speed  float64
 	faults []*workerFault
-	// leaseUntil is the time at which all runs end, in milliseconds since 1970.
-	leaseUntil int64
+	// leaseUntilMS is the time at which all runs end unless the lease is extended, in
+	// milliseconds since 1970.
+	leaseUntilMS int64
 	// runs are in the order of their starts.
-	runs             []*run
-	completions      []workload.Ended
-	completionNumber int64
+	runs                 []*run
+	completions          []workload.Ended
+	lastCompletionNumber int64
 	// waitingPoll is a long poll that waits for a completion until pollDeadline.
 	waitingPoll  *dispatch.Action
 	pollDeadline time.Duration
 	// machine identifies the worker across its incarnations; restarts counts them.
 	machine  string
 	restarts int
-	// restartedIn is the last fault in which the worker restarted during a partition.
+	// restartedIn is the last fault with PartitionedRestart that crashed the worker; each
+	// such fault crashes it once.
 	restartedIn *workerFault
 	// restartAt is the time of the next restart, or zero while the worker is up.
 	restartAt time.Duration
@@ -102,7 +105,7 @@
 }
 
 // extendLease extends the lease of all runs.
-func (w *worker) extendLease(untilMS int64) { w.leaseUntil = max(w.leaseUntil, untilMS) }
+func (w *worker) extendLease(untilMS int64) { w.leaseUntilMS = max(w.leaseUntilMS, untilMS) }
 
 // hasUnacknowledged reports whether there is a completion after the acknowledged
 // number.
@@ -112,10 +115,10 @@
 
 // advanceWorker moves the runs of a worker forward by one tick.
 func (sim *simulation) advanceWorker(w *worker) {
-	if sim.isDown(w) || sim.crashIfDue(w) {
+	if sim.stillDown(w) || sim.crashIfDue(w) {
 		return
 	}
-	leaseExpired := sim.wallMS() > w.leaseUntil
+	leaseExpired := sim.wallMS() > w.leaseUntilMS
 	for _, r := range slices.Clone(w.runs) {
 		if !slices.Contains(w.runs, r) {
 			continue // it ended with another member of its gang
@@ -142,17 +145,17 @@
 	case f != nil && f.FailsTasks && r.startedAt >= seconds(f.From) && sim.now-r.startedAt > failDelay:
 		return workload.EndFailed
 	}
-	r.done += time.Duration(float64(tick) * w.rate(r, sim.now, &sim.deployment.bounds))
-	if every := milliseconds(sim.deployment.CheckpointMS); r.done-r.checkpointed >= every {
-		r.checkpointed += every
+	r.workDone += time.Duration(float64(tick) * w.rate(r, sim.now, &sim.deployment.bounds))
+	if every := milliseconds(sim.deployment.CheckpointMS); r.workDone-r.checkpointedWork >= every {
+		r.checkpointedWork += every
 	}
 	totalWork := r.job.work[r.key.task.Index]
-	if r.failAtShare > 0 && r.done >= time.Duration(r.failAtShare*float64(totalWork)) {
+	if r.failAtShare > 0 && r.workDone >= time.Duration(r.failAtShare*float64(totalWork)) {
 		// The failure is not the scheduler's fault: extend the objective.
 		r.job.objective += time.Duration(r.job.kind.LatencyFactor * float64(sim.now-r.startedAt))
 		return workload.EndFailed
 	}
-	if r.done >= totalWork && r.gang.readyToEnd(r) {
+	if r.workDone >= totalWork && r.gang.readyToEnd(r) {
 		return workload.EndDone
 	}
 	return ""
@@ -164,7 +167,7 @@
 		return true
 	}
 	for _, m := range g.members {
-		if m.done < r.job.work[m.key.task.Index] {
+		if m.workDone < r.job.work[m.key.task.Index] {
 			return false
 		}
 	}
@@ -197,15 +200,15 @@
 		return
 	}
 	w.runs = slices.Delete(slices.Clone(w.runs), at, at+1)
-	w.completionNumber++
+	w.lastCompletionNumber++
 	checkpoint := ""
 	if r.job.job.Steps[0].Checkpoints && kind != workload.EndDone {
 		if kind == workload.EndStopped {
-			r.checkpointed = r.done
+			r.checkpointedWork = r.workDone
 		}
-		checkpoint = encodeCheckpoint(r.checkpointed)
+		checkpoint = encodeCheckpoint(r.checkpointedWork)
 	}
-	w.completions = append(w.completions, workload.Ended{Number: w.completionNumber, Task: r.key.task, Attempt: r.key.attempt, Kind: kind, Checkpoint: checkpoint})
+	w.completions = append(w.completions, workload.Ended{Number: w.lastCompletionNumber, Task: r.key.task, Attempt: r.key.attempt, Kind: kind, Checkpoint: checkpoint})
 	if g := r.gang; g != nil && !g.ended {
 		g.ended = true
 		rest := kind
@@ -222,17 +225,17 @@
 func (w *worker) runningTasks() []workload.Running {
 	var list []workload.Running
 	for _, r := range w.runs {
-		percent := int(100 * r.done / max(r.job.work[r.key.task.Index], 1))
+		percent := int(100 * r.workDone / max(r.job.work[r.key.task.Index], 1))
 		list = append(list, workload.Running{Task: r.key.task, Attempt: r.key.attempt, Percent: percent, Checkpoint: r.checkpoint()})
 	}
 	return list
 }
 
 func (r *run) checkpoint() string {
-	if !r.job.job.Steps[0].Checkpoints || r.checkpointed == 0 {
+	if !r.job.job.Steps[0].Checkpoints || r.checkpointedWork == 0 {
 		return ""
 	}
-	return encodeCheckpoint(r.checkpointed)
+	return encodeCheckpoint(r.checkpointedWork)
 }
 
 func encodeCheckpoint(work time.Duration) string {
@@ -242,7 +245,8 @@
 	return strconv.FormatInt(int64(work), 10)
 }
 
-// decodeCheckpoint returns the work that a checkpoint holds, or zero for an empty one.
+// decodeCheckpoint returns the work that a checkpoint holds, or zero for an empty or
+// invalid one.
 func decodeCheckpoint(checkpoint string) time.Duration {
 	work, err := strconv.ParseInt(checkpoint, 10, 64)
 	if err != nil {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// logBuilder writes log lines with timestamps in milliseconds.
+// logBuilder writes log lines; their times are given in milliseconds.
 type logBuilder struct{ strings.Builder }
 
 func (l *logBuilder) line(ms int, instance, text string) {
@@ -54,7 +54,7 @@
 			},
 			OutcomeOnTime, CauseStart, 20 * time.Millisecond,
 		},
-		"a job that was stored late lost its time to accepting": {
+		"a job that was stored late lost its time before it was accepted": {
 			func(l *logBuilder) {
 				l.submit(0, "j", "store_unavailable")
 				l.submit(1200, "j", "")
@@ -112,7 +112,7 @@
 			},
 			OutcomeLate, CauseStartIntent, time.Second,
 		},
-		"the time of an interrupted run is not the job's own": {
+		"the time of an interrupted run does not count as run time": {
 			func(l *logBuilder) {
 				l.submit(0, "j", "")
 				l.start(0, "j", 1)
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -35,13 +35,14 @@
 	Elapsed     time.Duration           `json:"took_ns"`
 	Objective   time.Duration           `json:"objective_ns"`
 	TimeByCause map[Cause]time.Duration `json:"spent_ns"`
-	// Cause is the cause, other than the job's own runs, that took most of its time.
+	// Cause is the cause, other than the job's own runs, that took most of its time; it is
+	// CauseRun if no other cause took any.
 	Cause Cause `json:"cause,omitempty"`
-	// RefusalReason is the error kind of the refusal of a refused job.
-	RefusalReason string `json:"why,omitempty"`
+	// RefusalKind is the error kind of the last refusal of a job that was never accepted.
+	RefusalKind string `json:"why,omitempty"`
 }
 
-// Report describes all jobs that the logs mention.
+// Report describes all jobs whose submission is in the logs.
 type Report struct {
 	Jobs []Job `json:"jobs"`
 	// From is the submission time of the first job.
@@ -71,8 +72,8 @@
 	return report
 }
 
-// Lost returns the jobs that were late, lost, refused or still open.
-func (r *Report) Lost() []Job {
+// NotOnTime returns the jobs that were late, lost, refused or still open.
+func (r *Report) NotOnTime() []Job {
 	return slices.DeleteFunc(slices.Clone(r.Jobs), func(j Job) bool {
 		return j.Outcome == OutcomeOnTime || j.Outcome == OutcomeCancelled || j.Outcome == OutcomeFailed
 	})
@@ -91,7 +92,7 @@
 		j.Outcome = OutcomeCancelled
 		return j
 	case h.acceptedAt.IsZero():
-		j.Outcome, j.RefusalReason, j.Cause = OutcomeRefused, h.refusalKind, CauseAccept
+		j.Outcome, j.RefusalKind, j.Cause = OutcomeRefused, h.refusalKind, CauseAccept
 		j.Elapsed, j.Objective = 0, 0
 		return j
 	case h.finalState == "failed":
@@ -199,9 +200,10 @@
 	return h.waitCauseAt(at)
 }
 
-// waitCauseAt returns the cause given by the first wait line after a moment or, if
-// there is none, by the last one since the job last ran. A wait line is written some
-// time after the wait began.
+// waitCauseAt returns the cause given by the last wait line at or before a moment, among
+// those since the job last ran. If there is none, the first wait line after the moment
+// and before the next run counts, because a wait line is written some time after the
+// wait began. Without any wait line, the cause is CauseStart.
 func (h *history) waitCauseAt(at time.Time) Cause {
 	next := at.Add(time.Hour)
 	since := h.acceptedAt
@@ -226,7 +228,7 @@
 }
 
 // mainCause returns the cause that took most of the time, other than the job's own
-// runs.
+// runs, or CauseRun if no other cause took any.
 func (j *Job) mainCause() Cause {
 	cause := CauseRun
 	longest := time.Duration(0)
@@ -264,7 +266,7 @@
 
 func (r *Report) summarize(group func(Job) (string, int)) []Summary {
 	var list []Summary
-	for _, j := range r.Lost() {
+	for _, j := range r.NotOnTime() {
 		name, order := group(j)
 		i := slices.IndexFunc(list, func(s Summary) bool { return s.Name == name })
 		if i < 0 {
--- a/internal/losses/timeline.go
+++ b/internal/losses/timeline.go
@@ -20,7 +20,8 @@
 	CauseLease Cause = "lease"
 	// CauseStartIntent is the wait until the job's start intent is stored.
 	CauseStartIntent Cause = "begin"
-	// CauseCapacity is the wait for capacity that is not being freed for the job.
+	// CauseCapacity is the wait for capacity that is not being freed for the job. It
+	// includes the wait for the placement advisor and for a queue that is not in force.
 	CauseCapacity Cause = "room"
 	// CausePreempt is the wait for other runs to be stopped.
 	CausePreempt Cause = "stop"
@@ -67,7 +68,8 @@
 // run is one run of a task.
 type run struct {
 	timeRange
-	// endKind is the kind of its completion; empty while it is running.
+	// endKind is the kind of its completion, or "not started" if the order to start it was
+	// not carried out; empty while it is running.
 	endKind string
 	// task and step identify what ran; all members of a gang end together.
 	task, step string
@@ -81,7 +83,8 @@
 	cause Cause
 }
 
-// history collects what the log lines contain about one job.
+// history collects what the log lines contain about one job. runs holds its runs by
+// runKey, runOrder in the order of their starts.
 type history struct {
 	id, queue, account      string
 	priority                string
@@ -100,7 +103,7 @@
 // buildHistories groups the lines by job, and finds the times without a leader.
 func buildHistories(lines []line) (jobs []*history, leaderGaps []timeRange) {
 	byID := make(map[string]*history)
-	lease := &leaseHistory{lastLine: make(map[string]time.Time)}
+	lease := &leaseHistory{lastLineAt: make(map[string]time.Time)}
 	for i := range lines {
 		l := &lines[i]
 		lease.apply(l)
@@ -199,9 +202,9 @@
 type leaseHistory struct {
 	leader          string
 	leaderlessSince time.Time
-	// lastLine is the time of the last line of each instance.
-	lastLine map[string]time.Time
-	gaps     []timeRange
+	// lastLineAt holds the time of the last line of each instance.
+	lastLineAt map[string]time.Time
+	gaps       []timeRange
 }
 
 // apply tracks the leader: an instance leads from its "leading" line until it lost the
@@ -219,11 +222,11 @@
 		}
 	case "lease won":
 		if h.leader != "" && h.leader != l.instance {
-			h.leaderlessSince = h.lastLine[h.leader]
+			h.leaderlessSince = h.lastLineAt[h.leader]
 		} else if h.leaderlessSince.IsZero() {
 			h.leaderlessSince = l.at
 		}
 		h.leader = ""
 	}
-	h.lastLine[l.instance] = l.at
+	h.lastLineAt[l.instance] = l.at
 }
--- a/internal/rules/check_test.go
+++ b/internal/rules/check_test.go
@@ -59,12 +59,12 @@
 		"an interval that extends one accelerator further is reachable": {
 			list(`{"max_accelerators":7}`, `{}`, `{"max_accelerators":8}`, `{}`, `{}`, `{}`), nil,
 		},
-		"a slack rule does not hide work without a deadline": {
+		"two slack rules also match work without a deadline": {
 			list(`{"slack_below_s":10}`, `{}`, `{"slack_at_least_s":10}`, `{}`, `{}`, `{}`),
 			[]string{`3:1 /2 can never decide: the rules "r1", "r2" above together match everything it matches`},
 		},
 		"an account list never hides the catch-all": {list(`{"accounts":["a","b"]}`, `{}`, `{}`, `{}`), nil},
-		"requests are decided by a rule for few accelerators": {
+		"a rule for no accelerators matches every request": {
 			list(`{"max_accelerators":0}`, `{}`, `{"work":"request"}`, `{}`, `{}`, `{}`),
 			[]string{`2:1 /1 can never decide: rule "r1" above matches everything it matches`},
 		},
@@ -95,7 +95,7 @@
 			list(`{"urgent":true,"max_accelerators":0}`, `{}`, `{}`, `{}`),
 			[]string{`1:22 /0/when matches nothing: no request and no job is like that`},
 		},
-		"refusing and admitting": {
+		"fields for admitted work together with refuse": {
 			list(`{"kinds":["k"]}`, `{"refuse":true,"priority":3,"spill":false}`, `{}`, `{"retry_after_s":5}`),
 			[]string{
 				`1:71 /0/then/priority priority has no meaning beside refuse`,
@@ -159,8 +159,8 @@
 	return when
 }
 
-// forEachSituation calls f for one situation of each kind that the random rules can
-// distinguish.
+// forEachSituation calls f for at least one situation of each group that the random rules
+// can distinguish.
 func forEachSituation(f func(Situation)) {
 	for _, kind := range []string{"a", "b", "other"} {
 		for _, slack := range []float64{-1, 0, 1, 2, 3} {
--- a/internal/rules/reach.go
+++ b/internal/rules/reach.go
@@ -7,7 +7,8 @@
 // hand-written lists stay far below it.
 const maxPieces = 2000
 
-// maxSubtractions bounds the time to check a whole list to a fraction of a second.
+// maxSubtractions bounds the subtractions of one box from another while a whole list is
+// checked, so that the check takes at most a fraction of a second.
 const maxSubtractions = 500_000
 
 // reachability determines which rules of a list can decide.
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -188,17 +188,17 @@
 		ok    bool
 	}{
 		{"work", when.Work == "" || when.Work == s.Work},
-		{"accounts", contains(when.Accounts, s.Account)},
-		{"kinds", contains(when.Kinds, s.Kind)},
-		{"availability_zones", contains(when.Zones, s.Zone)},
+		{"accounts", listMatches(when.Accounts, s.Account)},
+		{"kinds", listMatches(when.Kinds, s.Kind)},
+		{"availability_zones", listMatches(when.Zones, s.Zone)},
 		{"min_accelerators", when.MinAccelerators == nil || s.Accelerators >= *when.MinAccelerators},
 		{"max_accelerators", when.MaxAccelerators == nil || s.Accelerators <= *when.MaxAccelerators},
 		{"slack_below_s", when.SlackBelowS == nil || slack < *when.SlackBelowS},
 		{"slack_at_least_s", when.SlackAtLeastS == nil || slack >= *when.SlackAtLeastS},
-		{"idempotent", equals(when.Idempotent, s.Idempotent)},
-		{"keyed", equals(when.Keyed, s.Keyed)},
-		{"urgent", equals(when.Urgent, s.Urgent)},
-		{"platform_reachable", equals(when.PlatformReachable, s.PlatformReachable)},
+		{"idempotent", flagMatches(when.Idempotent, s.Idempotent)},
+		{"keyed", flagMatches(when.Keyed, s.Keyed)},
+		{"urgent", flagMatches(when.Urgent, s.Urgent)},
+		{"platform_reachable", flagMatches(when.PlatformReachable, s.PlatformReachable)},
 		{"load_at_least", when.LoadAtLeast == nil || s.Load >= *when.LoadAtLeast},
 		{"load_below", when.LoadBelow == nil || s.Load < *when.LoadBelow},
 	}
@@ -210,7 +210,8 @@
 	return ""
 }
 
-func contains(list []string, value string) bool {
+// listMatches reports whether a list contains a value. An empty list matches everything.
+func listMatches(list []string, value string) bool {
 	if len(list) == 0 {
 		return true
 	}
@@ -222,4 +223,5 @@
 	return false
 }
 
-func equals(want *bool, value bool) bool { return want == nil || *want == value }
+// flagMatches reports whether a value is the wanted one; nil matches both values.
+func flagMatches(want *bool, value bool) bool { return want == nil || *want == value }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -135,19 +135,19 @@
 // with a port, and ids must be unique.
 func (s *Settings) check(positions *strictjson.Positions) []api.Problem {
 	var problems []api.Problem
-	address := func(path, value string) {
+	checkAddress := func(path, value string) {
 		if _, err := netip.ParseAddrPort(value); err != nil {
 			problems = append(problems, positions.Problem(path, "is not an IP number and port: "+value))
 		}
 	}
-	address("/listen", s.Listen)
-	address("/peer_listen", s.PeerListen)
-	address("/platform", s.Platform)
+	checkAddress("/listen", s.Listen)
+	checkAddress("/peer_listen", s.PeerListen)
+	checkAddress("/platform", s.Platform)
 	seen := map[string]bool{s.Instance: true}
 	for i, peer := range s.Peers {
 		path := fmt.Sprintf("/peers/%d", i)
-		address(path+"/addr", peer.Addr)
-		address(path+"/peer_addr", peer.PeerAddr)
+		checkAddress(path+"/addr", peer.Addr)
+		checkAddress(path+"/peer_addr", peer.PeerAddr)
 		if seen[peer.Instance] {
 			problems = append(problems, positions.Problem(path+"/instance", "duplicate instance "+peer.Instance))
 		}
