--- a/cmd/corianderbank/main.go
+++ b/cmd/corianderbank/main.go
@@ -1,5 +1,5 @@
-// Command corianderbank runs an entry instance and provides the operators'
-// command line.
+// Command corianderbank runs an instance, for one availability zone or for a whole
+// deployment, and provides the operators' command line.
 package main
 
 import (
--- a/cmd/measure/experiment.go
+++ b/cmd/measure/experiment.go
@@ -16,25 +16,26 @@
 	"github.com/corianderbank/corianderbank/internal/measure"
 )
 
-// experiment simulates days of deployments with mechanisms disabled or constants
-// changed, and reports how each variant changes the value of the completed work.
+// experiment simulates days of deployments with mechanisms disabled, or with other
+// policies or constants, and reports how each variant changes the value of the
+// completed work.
 type experiment struct {
-	variantSpecs     []string
-	eachMechanism    bool
-	simulations      int
-	drawnDeployments int
-	seed             uint64
-	plotDir          string
-	deploymentFiles  []string
-	dayFiles         []string
+	variantSpecs    []string
+	eachMechanism   bool
+	simulations     int
+	drawnCount      int
+	seed            uint64
+	plotDir         string
+	deploymentFiles []string
+	dayFiles        []string
 }
 
 const (
 	// defaultSimulations is the number of seeds for each day and deployment.
 	defaultSimulations = 4
-	// defaultDrawn is the number of deployments that are drawn at random around
+	// defaultDrawnCount is the number of deployments that are drawn at random around
 	// the users' deployments.
-	defaultDrawn = 10
+	defaultDrawnCount = 10
 )
 
 func (e *experiment) registerFlags(command *kingpin.CmdClause) {
@@ -42,7 +43,7 @@
 		PlaceHolder("SPEC").StringsVar(&e.variantSpecs)
 	command.Flag("each", "Switch every mechanism off, one by one.").BoolVar(&e.eachMechanism)
 	command.Flag("plays", "Seeds for each day and deployment.").Default(fmt.Sprint(defaultSimulations)).IntVar(&e.simulations)
-	command.Flag("drawn", "Deployments drawn at random beside the users' own.").Default(fmt.Sprint(defaultDrawn)).IntVar(&e.drawnDeployments)
+	command.Flag("drawn", "Deployments drawn at random beside the users' own.").Default(fmt.Sprint(defaultDrawnCount)).IntVar(&e.drawnCount)
 	command.Flag("seed", "Seed of the drawn deployments and of every play.").Default(fmt.Sprint(defaultSeed)).Uint64Var(&e.seed)
 	command.Flag("out", "Directory of a plot; none is drawn without it.").StringVar(&e.plotDir)
 	command.Flag("deployment", "File of a further deployment; may be repeated.").PlaceHolder("FILE").ExistingFilesVar(&e.deploymentFiles)
@@ -92,11 +93,11 @@
 		Numbers: make(map[dispatch.Number]float64), Choices: make(map[dispatch.Choice]string),
 	}}
 	for _, part := range strings.Split(spec, ",") {
-		if name, off := strings.CutPrefix(part, "without:"); off {
+		if name, found := strings.CutPrefix(part, "without:"); found {
 			v.Tuning.Without = append(v.Tuning.Without, dispatch.Mechanism(name))
 			continue
 		}
-		if choice, policy, chosen := strings.Cut(part, ":"); chosen {
+		if choice, policy, found := strings.Cut(part, ":"); found {
 			v.Tuning.Choices[dispatch.Choice(choice)] = policy
 			continue
 		}
@@ -117,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	drawn, err := emulator.Drawn(userDeployments, e.drawnDeployments, e.seed)
+	drawn, err := emulator.Drawn(userDeployments, e.drawnCount, e.seed)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -39,15 +39,15 @@
 
 func main() {
 	app := kingpin.New("measure", "Measures the decisions under load.")
-	all := app.Command("all", "Play all patterns and write the table and the plots.").Default()
-	seed := all.Flag("seed", "Seed of every pattern.").Default(fmt.Sprint(defaultSeed)).Uint64()
-	dir := all.Flag("out", "Directory of the table and the plots.").Default("docs/measure").String()
+	allCommand := app.Command("all", "Play all patterns and write the table and the plots.").Default()
+	seed := allCommand.Flag("seed", "Seed of every pattern.").Default(fmt.Sprint(defaultSeed)).Uint64()
+	dir := allCommand.Flag("out", "Directory of the table and the plots.").Default("docs/measure").String()
 	var exp experiment
-	compare := app.Command("experiment", "Play days of deployments with mechanisms off, on paired seeds.")
-	exp.registerFlags(compare)
+	experimentCommand := app.Command("experiment", "Play days of deployments with mechanisms off, on paired seeds.")
+	exp.registerFlags(experimentCommand)
 	commands := map[string]func() error{
-		all.FullCommand():     func() error { return run(*seed, *dir) },
-		compare.FullCommand(): func() error { return exp.run(os.Stdout) },
+		allCommand.FullCommand():        func() error { return run(*seed, *dir) },
+		experimentCommand.FullCommand(): func() error { return exp.run(os.Stdout) },
 	}
 	if err := commands[kingpin.MustParse(app.Parse(os.Args[1:]))](); err != nil {
 		app.Fatalf("%v", err)
--- a/cmd/standin/drive.go
+++ b/cmd/standin/drive.go
@@ -93,7 +93,7 @@
 
 func waitForOK(ctx context.Context, url string) error {
 	client := resty.New()
-	return poll(ctx, url+" does not answer", func() bool {
+	return poll(ctx, url+" does not answer with status 200", func() bool {
 		response, err := client.R().SetContext(ctx).Get(url)
 		return err == nil && response.StatusCode() == http.StatusOK
 	})
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -25,7 +25,9 @@
 // share.
 type memberOptions struct {
 	listen, id, zone, platform, advertise string
-	gracePeriod                           time.Duration
+	// leaveGracePeriod is the time between announcing that the member leaves and
+	// stopping it.
+	leaveGracePeriod time.Duration
 }
 
 func (m *memberOptions) registerFlags(command *kingpin.CmdClause) {
@@ -34,7 +36,7 @@
 	command.Flag("zone", "Availability zone.").Required().StringVar(&m.zone)
 	command.Flag("platform", "IP number and port of the platform.").Required().StringVar(&m.platform)
 	command.Flag("advertise", "IP number and port to announce, if another than the one listened on.").StringVar(&m.advertise)
-	command.Flag("grace", "Time between saying that it leaves and stopping.").Default("0s").DurationVar(&m.gracePeriod)
+	command.Flag("grace", "Time between saying that it leaves and stopping.").Default("0s").DurationVar(&m.leaveGracePeriod)
 }
 
 func main() {
@@ -117,21 +119,21 @@
 	if addrToAnnounce == "" {
 		addrToAnnounce = addr.String()
 	}
-	entry := api.ListedInstance{ID: m.id, Role: role, Addr: addrToAnnounce, AvailabilityZone: m.zone, Incarnation: incarnation}
-	return standin.NewAnnouncer(m.platform, entry, logger)
+	listed := api.ListedInstance{ID: m.id, Role: role, Addr: addrToAnnounce, AvailabilityZone: m.zone, Incarnation: incarnation}
+	return standin.NewAnnouncer(m.platform, listed, logger)
 }
 
-// leaveFunc returns the function that a stop calls first. It announces that the
-// member leaves and waits for the grace period.
+// leaveFunc returns the function that is called first when the member stops. It
+// announces that the member leaves and waits for leaveGracePeriod.
 func (m *memberOptions) leaveFunc(leave func()) func() {
 	return func() {
 		leave()
-		time.Sleep(m.gracePeriod)
+		time.Sleep(m.leaveGracePeriod)
 	}
 }
 
-// announceWhile announces the member while serve runs. If ctx has ended when
-// serve returns, it removes the member from the instance list.
+// announceWhile announces the member until ctx ends, and runs serve. If ctx has
+// ended when serve returns, it removes the member from the instance list.
 func (m *memberOptions) announceWhile(ctx context.Context, announcer *standin.Announcer, serve func() error) error {
 	announcerDone := make(chan struct{})
 	go func() {
--- a/cmd/standin/settle.go
+++ b/cmd/standin/settle.go
@@ -98,8 +98,9 @@
 	})
 }
 
-// describeMissing describes the first instance or zone that does not have the
-// expected members yet. It returns an empty string if there is none.
+// describeMissing describes the first zone without a placer, the first instance with
+// too few members, or the first failed call, whichever comes first. It returns an
+// empty string if there is none.
 func describeMissing(ctx context.Context, client *resty.Client, fleet *drive.Fleet, wantAccelerators int) string {
 	for _, entry := range fleet.Entries {
 		response, err := client.R().SetContext(ctx).Get("http://" + entry + "/v1/status")
--- a/internal/measure/capacity/config.go
+++ b/internal/measure/capacity/config.go
@@ -14,16 +14,18 @@
 	"github.com/corianderbank/corianderbank/internal/strictjson"
 )
 
-// The dimensions of the measured documents, in which each account has guarantees
-// in every zone and two rules of its own, and the repetitions of each measurement.
 const (
+	// configZones is the number of zones of a measured document. Each account has a
+	// guarantee in every zone.
 	configZones     = 10
 	rulesPerAccount = 2
-	configRepeats   = 20
+	// configRepeats is the number of calls over which a duration is averaged.
+	configRepeats = 20
 )
 
-// ConfigAccounts measures the size of a configuration and the time to parse,
-// check, apply and evaluate it, for each number of client accounts.
+// ConfigAccounts measures, for each number of client accounts, the size of a
+// configuration, its memory use, and the time to parse, check and apply it and to
+// decide by its rules for a request that no account's rule matches.
 func ConfigAccounts(sizes []int) (Series, error) {
 	series := Series{
 		Title:    "configuration with guarantees in 10 zones and two rules an account",
@@ -40,8 +42,8 @@
 	return series, nil
 }
 
-func configPoint(size int) (Point, error) {
-	data, err := json.Marshal(newDocument(size))
+func configPoint(accounts int) (Point, error) {
+	data, err := json.Marshal(newDocument(accounts))
 	if err != nil {
 		return Point{}, err
 	}
@@ -61,7 +63,7 @@
 	unmatchedSituation := rules.Situation{Work: rules.WorkRequest, Account: "nobody", Kind: "none"}
 	decide := meanDuration(func() { set.Decide(unmatchedSituation) })
 	const perMS, perUS = float64(time.Millisecond), float64(time.Microsecond)
-	return Point{Size: float64(size), Values: []float64{
+	return Point{Size: float64(accounts), Values: []float64{
 		float64(len(data)) / 1024, float64(len(config.Pack(data))) / 1024, float64(parse) / perMS, float64(check) / perMS, float64(offer) / perMS, heapKB, float64(decide) / perUS,
 	}}, nil
 }
@@ -75,9 +77,9 @@
 	return time.Since(started) / configRepeats
 }
 
-func newDocument(size int) config.Document {
+func newDocument(accounts int) config.Document {
 	var document config.Document
-	for i := range size {
+	for i := range accounts {
 		name := fmt.Sprintf("account-%04d", i)
 		account := model.ClientAccount{Name: name, Guarantees: make(map[string][]model.GuaranteedShape)}
 		for z := range configZones {
--- a/internal/measure/capacity/path.go
+++ b/internal/measure/capacity/path.go
@@ -28,6 +28,7 @@
 }
 
 // PathResult holds the throughput and latencies that callers of a path measured.
+// Both include the calls without a successful answer.
 type PathResult struct {
 	Name        string
 	Concurrency int
@@ -43,8 +44,8 @@
 // requestTimeout bounds one call.
 const requestTimeout = 30 * time.Second
 
-// MeasurePath keeps the given number of calls in flight for the duration. Each
-// asks the backend server to work for the time work.
+// MeasurePath keeps as many calls in flight as concurrency states, for the given
+// duration. Each call asks the backend server to work for the duration work.
 func MeasurePath(path Path, concurrency int, duration, work time.Duration) PathResult {
 	client := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: concurrency, MaxConnsPerHost: concurrency}}
 	deadline := time.Now().Add(duration)
--- a/internal/measure/capacity/placer.go
+++ b/internal/measure/capacity/placer.go
@@ -48,7 +48,7 @@
 		Names:    []string{"core %", "heap MB", "bytes/s with workers", "calls/s to workers", "store calls/s"},
 	}
 	for _, size := range sizes {
-		point, err := placerPoint(size, duration)
+		point, err := workersPoint(size, duration)
 		if err != nil {
 			return series, err
 		}
@@ -110,12 +110,12 @@
 	return z
 }
 
-func placerPoint(size int, duration time.Duration) (Point, error) {
-	z := newSimulatedZone(size)
+func workersPoint(workers int, duration time.Duration) (Point, error) {
+	z := newSimulatedZone(workers)
 	heapBefore := heapMB()
 	zonePlacer, stop := z.startPlacer()
 	defer stop()
-	if err := z.submitGangs(zonePlacer, int(float64(size)*tasksPerWorker/tasksPerGang)); err != nil {
+	if err := z.submitGangs(zonePlacer, int(float64(workers)*tasksPerWorker/tasksPerGang)); err != nil {
 		return Point{}, err
 	}
 	time.Sleep(settleTime)
@@ -123,7 +123,7 @@
 	time.Sleep(duration)
 	seconds := duration.Seconds()
 	cpu := corePercent(usageBefore)
-	return Point{Size: float64(size), Values: []float64{
+	return Point{Size: float64(workers), Values: []float64{
 		cpu, heapMB() - heapBefore,
 		float64(z.wireBytes.Load()-bytesBefore) / seconds, float64(z.workerCalls.Load()-callsBefore) / seconds,
 		float64(z.storeCalls()-storeCallsBefore) / seconds,
@@ -134,7 +134,8 @@
 	return z.platform.Calls("commit") + z.platform.Calls("read") + z.platform.Calls("scan")
 }
 
-// startPlacer starts the zone's placer and waits for it to discover the workers.
+// startPlacer starts the zone's placer and gives it settleTime to discover the
+// workers.
 func (z *simulatedZone) startPlacer() (zonePlacer *placer.Placer, stop func()) {
 	zonePlacer = newPlacer(z, z.platform)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -200,7 +201,7 @@
 }
 
 // jsonRoundTrip encodes and decodes a message as a network call would, and adds
-// its size to wireBytes.
+// its encoded size to wireBytes.
 func jsonRoundTrip[T any](z *simulatedZone, message T) T {
 	var decoded T
 	data, err := json.Marshal(message)
--- a/internal/measure/gangload/baseline.go
+++ b/internal/measure/gangload/baseline.go
@@ -56,7 +56,7 @@
 }
 
 // freeAccelerators returns the number of free accelerators of each worker, in the
-// order of the workers.
+// order of the workers. It is 0 for a worker on which no new tasks may be placed.
 func freeAccelerators(s placement.Snapshot) []int {
 	free := make([]int, len(s.Workers))
 	used := make(map[string]int)
@@ -95,8 +95,10 @@
 	return nil
 }
 
-// findShadow returns the shadow time of a shape, at which it fits if every gang
-// ends as expected, and the accelerators of each worker that are then still free.
+// findShadow returns the shadow time of a shape, which is the earliest time at which
+// it fits if every gang ends as expected, and the accelerators of each worker that
+// remain free once it has been placed at that time. The shadow time of a shape that
+// never fits is 1000 hours ahead.
 func findShadow(s placement.Snapshot, free []int, plan placement.Plan, shape api.Shape) (time.Time, []int) {
 	type release struct {
 		at    time.Time
--- a/internal/measure/gangload/claims.go
+++ b/internal/measure/gangload/claims.go
@@ -8,7 +8,7 @@
 // job, only the account's urgent jobs, which are served first, and its jobs that
 // cannot be stopped count. A job that takes its account beyond the guarantee
 // revokes the claims of the waiting jobs.
-func (sim *simulation) updateClaims(job *jobState) {
+func (sim *simulation) updateClaims(job *simulatedJob) {
 	account := sim.findAccount(job.spec.Account)
 	guaranteed := account.GuaranteedAccelerators(zoneName)
 	if sim.requestedAccelerators(job.spec.Account, false) > guaranteed {
@@ -26,7 +26,7 @@
 	}
 }
 
-func fitsGuaranteedShape(job *jobState, account *model.ClientAccount) bool {
+func fitsGuaranteedShape(job *simulatedJob, account *model.ClientAccount) bool {
 	shape := account.Guarantees[zoneName][0]
 	return job.spec.Shape.Tasks <= shape.Tasks && job.spec.Shape.AcceleratorsPerTask <= shape.AcceleratorsPerTask
 }
@@ -45,7 +45,7 @@
 // stopped count.
 func (sim *simulation) requestedAccelerators(account string, urgentOnly bool) int {
 	total := 0
-	for _, jobs := range [][]*jobState{sim.queue, sim.active} {
+	for _, jobs := range [][]*simulatedJob{sim.queue, sim.active} {
 		for _, job := range jobs {
 			if job.spec.Account == account && (!urgentOnly || job.spec.Urgent || !job.spec.Stoppable()) {
 				total += job.spec.Shape.Accelerators()
--- a/internal/measure/gangload/figures.go
+++ b/internal/measure/gangload/figures.go
@@ -8,24 +8,26 @@
 	"github.com/corianderbank/corianderbank/internal/placement"
 )
 
-// sampleInterval is the time between two samples of the fragmentation. It changes
-// slowly, and sampling it at every event would cost as much as the decisions.
+// sampleInterval is the shortest time between two samples of the fragmentation. The
+// fragmentation changes slowly, and sampling it at every event would cost as much as
+// the decisions.
 const sampleInterval = 20 * time.Second
 
 // integrals holds integrals over virtual time, in accelerator-seconds.
 type integrals struct {
 	// free integrates the free accelerators, and fragmented the part of them that
-	// no requested shape can use.
+	// no waiting or guaranteed shape can use.
 	free, fragmented float64
 	// fragmentation is the latest sample of the fragmented share. The next sample is
 	// due at nextSampleAt.
 	fragmentation float64
 	nextSampleAt  time.Duration
-	// stranded integrates the free accelerators while a gang waits that needs no
-	// more than their total.
+	// stranded integrates the free accelerators while at least one waiting gang needs
+	// no more than their total.
 	stranded float64
-	// entitled and received are indexed by account: the part of its demand that its
-	// guarantee covers, and how much of that part it held.
+	// entitled and received are indexed by account. entitled integrates the part of
+	// the account's demand that its guarantee covers, and received the accelerators
+	// that it held of that part.
 	entitled, received []float64
 }
 
@@ -50,7 +52,7 @@
 	}
 	in.free += float64(free) * seconds
 	in.fragmented += float64(free) * seconds * in.fragmentation
-	if slices.ContainsFunc(sim.queue, func(job *jobState) bool { return job.spec.Shape.Accelerators() <= free }) {
+	if slices.ContainsFunc(sim.queue, func(job *simulatedJob) bool { return job.spec.Shape.Accelerators() <= free }) {
 		in.stranded += float64(free) * seconds
 	}
 	in.addShares(sim, seconds)
@@ -88,7 +90,7 @@
 // tally accumulates the outcomes of the jobs of a run.
 type tally struct {
 	completionTimes, slowdowns, claimWaits, urgentWaits []float64
-	deadlines, met, late                                int
+	deadlines, met, missed                              int
 	refusals, falseRefusals                             int
 	refusalTimes                                        []float64
 	unfinished                                          int
@@ -117,7 +119,7 @@
 
 // addStart records the time from submission to start of a job that claims its
 // guarantee, or simulationLimit if the job never started.
-func (t *tally) addStart(job *jobState) {
+func (t *tally) addStart(job *simulatedJob) {
 	if !job.claimsGuarantee || job.outcome == refused {
 		return
 	}
@@ -133,7 +135,7 @@
 
 // addCompletion records a job without a deadline. These are the same jobs under
 // every policy, because none of them is refused for lack of time.
-func (t *tally) addCompletion(job *jobState) {
+func (t *tally) addCompletion(job *simulatedJob) {
 	if job.outcome != done {
 		t.unfinished++
 		return
@@ -143,7 +145,7 @@
 	t.slowdowns = append(t.slowdowns, elapsed/job.runTime.Seconds())
 }
 
-func (t *tally) addDeadline(job *jobState) {
+func (t *tally) addDeadline(job *simulatedJob) {
 	t.deadlines++
 	switch {
 	case job.outcome == refused:
@@ -155,7 +157,7 @@
 	case job.outcome == done && !simulationStart.Add(job.endedAt).After(job.spec.Deadline):
 		t.met++
 	default:
-		t.late++
+		t.missed++
 	}
 }
 
@@ -176,7 +178,7 @@
 		{Name: "completion p99", Value: quantile(t.completionTimes, 0.99), Unit: "s"},
 		{Name: "slowdown p99", Value: quantile(t.slowdowns, 0.99), Unit: ""},
 		{Name: "deadlines met", Value: 100 * float64(t.met) / deadlines, Unit: "%"},
-		{Name: "deadlines missed", Value: 100 * float64(t.late) / deadlines, Unit: "%"},
+		{Name: "deadlines missed", Value: 100 * float64(t.missed) / deadlines, Unit: "%"},
 		{Name: "refused", Value: 100 * float64(t.refusals) / deadlines, Unit: "%"},
 		{Name: "refused needlessly", Value: 100 * float64(t.falseRefusals) / deadlines, Unit: "%"},
 		{Name: "refused after p50", Value: quantile(t.refusalTimes, 0.5), Unit: "s"},
--- a/internal/measure/gangload/gangs.go
+++ b/internal/measure/gangload/gangs.go
@@ -9,7 +9,7 @@
 )
 
 // start starts a gang and schedules its completion or its failure.
-func (sim *simulation) start(job *jobState, p placement.Placement) {
+func (sim *simulation) start(job *simulatedJob, p placement.Placement) {
 	sim.queue = removeJob(sim.queue, job)
 	sim.active = append(sim.active, job)
 	job.status = running
@@ -30,7 +30,7 @@
 }
 
 // failingWorker returns the worker on which a gang will fail, or an empty string.
-func (sim *simulation) failingWorker(job *jobState) string {
+func (sim *simulation) failingWorker(job *simulatedJob) string {
 	for _, p := range job.gang.Placements {
 		if sim.unhealthy[p.Worker] {
 			return p.Worker
@@ -44,7 +44,7 @@
 
 // scheduleForAttempt runs action at the time at if the job's current attempt has
 // not ended or been stopped by then.
-func (sim *simulation) scheduleForAttempt(job *jobState, at time.Duration, action func()) {
+func (sim *simulation) scheduleForAttempt(job *simulatedJob, at time.Duration, action func()) {
 	generation := job.generation
 	sim.schedule(at, func() {
 		if job.generation == generation {
@@ -53,7 +53,7 @@
 	})
 }
 
-func (sim *simulation) finish(job *jobState) {
+func (sim *simulation) finish(job *simulatedJob) {
 	sim.history.Observe(job.spec.Account, job.spec.Kind, job.spec.DeclaredRun, job.runTime)
 	for _, p := range job.gang.Placements {
 		sim.tracker.TaskSucceeded(p.Worker, job.spec.ID, sim.wallTime())
@@ -62,7 +62,7 @@
 }
 
 // fail handles a gang that failed on its own, on the given worker.
-func (sim *simulation) fail(job *jobState, worker string) {
+func (sim *simulation) fail(job *simulatedJob, worker string) {
 	job.failures++
 	abandon := job.failures >= maxFailures || !job.spec.Stoppable()
 	if sim.policy.UsesQuarantine() {
@@ -80,7 +80,7 @@
 }
 
 // reclaim stops a borrowing gang with the method that the plan chose.
-func (sim *simulation) reclaim(job *jobState, r placement.Reclaim) {
+func (sim *simulation) reclaim(job *simulatedJob, r placement.Reclaim) {
 	job.gang.State = model.GangStopping
 	job.status = stopping
 	job.generation++
@@ -121,9 +121,10 @@
 	}
 }
 
-// interruptGang stops a gang that lost a worker. If its job may be stopped, it is
-// requeued with the progress of its last periodic checkpoint; otherwise it is lost.
-func (sim *simulation) interruptGang(job *jobState) {
+// interruptGang stops a gang that lost a worker. If its job may be stopped, the job
+// is requeued with the progress of its last periodic checkpoint, if it has
+// checkpoints; otherwise the job is lost.
+func (sim *simulation) interruptGang(job *simulatedJob) {
 	if !job.spec.Stoppable() {
 		sim.endJob(job, lost)
 		return
--- a/internal/measure/gangload/pattern.go
+++ b/internal/measure/gangload/pattern.go
@@ -14,13 +14,13 @@
 // horizon is the period in which jobs arrive. After it, the remaining jobs run.
 const horizon = 12 * time.Hour
 
-// arrival is one job with its properties that are unknown to the policies.
+// arrival is one job, including the properties that are unknown to the policies.
 type arrival struct {
 	spec model.Job
 	at   time.Duration
 	// runTime is the actual run time, as opposed to the declared one.
 	runTime time.Duration
-	// cancelAt is zero unless the caller cancels.
+	// cancelAt is the time at which the caller cancels the job, or zero.
 	cancelAt time.Duration
 	// alwaysFails is set for jobs that fail on every worker.
 	alwaysFails bool
@@ -54,8 +54,8 @@
 	weights []float64
 	// drawWork draws a shape and an actual run time.
 	drawWork func(*rand.Rand) (api.Shape, time.Duration)
-	// wrongDeclarations makes the declared run times wrong by a factor for each
-	// account and kind of work.
+	// wrongDeclarations makes the declared run times wrong by a factor that depends
+	// on the account and the kind of work.
 	wrongDeclarations bool
 	// alwaysFailingShare is the proportion of jobs that fail on every worker.
 	alwaysFailingShare float64
@@ -186,10 +186,10 @@
 // addJob adds a job with random properties.
 func (g *generator) addJob(at time.Duration, shape api.Shape, runTime time.Duration, account int) {
 	kind := g.random.IntN(3)
-	trait := g.random.Float64()
+	draw := g.random.Float64()
 	spec := model.Job{
 		Account: g.deployment.Accounts[account].Name, Kind: fmt.Sprintf("kind-%d", kind), Shape: shape,
-		Idempotent: trait < 0.9, Checkpointable: trait < 0.6, Urgent: g.random.Float64() < 0.1,
+		Idempotent: draw < 0.9, Checkpointable: draw < 0.6, Urgent: g.random.Float64() < 0.1,
 		SubmittedAt: simulationStart.Add(at), MayBorrow: true,
 		DeclaredRun: time.Duration(float64(runTime) / g.drawRunTimeRatio(account, kind)),
 	}
@@ -202,7 +202,8 @@
 }
 
 // drawRunTimeRatio draws the ratio of actual to declared run time. With wrong
-// declarations, each account and kind has its own factor from 0.1 to 10.
+// declarations, it is multiplied by a factor from 0.1 to 10 that is fixed for each
+// account and kind.
 func (g *generator) drawRunTimeRatio(account, kind int) float64 {
 	noise := math.Exp(0.2 * g.random.NormFloat64())
 	if !g.wrongDeclarations {
--- a/internal/measure/gangload/play.go
+++ b/internal/measure/gangload/play.go
@@ -49,7 +49,7 @@
 	ended
 )
 
-// outcome is the way in which a job ended.
+// outcome is the result with which a job ended.
 type outcome int
 
 const (
@@ -61,8 +61,8 @@
 	lost
 )
 
-// jobState is one job in the simulation.
-type jobState struct {
+// simulatedJob is one job in the simulation.
+type simulatedJob struct {
 	*arrival
 	status   jobStatus
 	outcome  outcome
@@ -76,8 +76,8 @@
 	// updateClaims.
 	claimsGuarantee     bool
 	firstStart, endedAt time.Duration
-	// feasible is set for refused jobs that would have met their deadline if they
-	// had been started at once.
+	// feasible is set for refused jobs that could have been started at once on free
+	// accelerators and would then have met their deadline.
 	feasible bool
 }
 
@@ -91,10 +91,10 @@
 	seq         int
 	workers     []model.Worker
 	unhealthy   map[string]bool
-	jobs        map[string]*jobState
-	jobList     []*jobState
-	queue       []*jobState
-	active      []*jobState
+	jobs        map[string]*simulatedJob
+	jobList     []*simulatedJob
+	queue       []*simulatedJob
+	active      []*simulatedJob
 	keptRegions []placement.Kept
 	history     *estimate.History
 	tracker     *quarantine.Tracker
@@ -106,11 +106,11 @@
 	generated := generate(p, d, seed)
 	sim := &simulation{
 		deployment: d, policy: policy, random: rand.New(rand.NewPCG(seed, 11)),
-		workers: slices.Clone(d.Workers), unhealthy: make(map[string]bool), jobs: make(map[string]*jobState),
+		workers: slices.Clone(d.Workers), unhealthy: make(map[string]bool), jobs: make(map[string]*simulatedJob),
 		history: estimate.NewHistory(), tracker: quarantine.NewTracker(), integrals: newIntegrals(d),
 	}
 	for i := range generated.arrivals {
-		job := &jobState{arrival: &generated.arrivals[i]}
+		job := &simulatedJob{arrival: &generated.arrivals[i]}
 		sim.jobs[job.spec.ID] = job
 		sim.jobList = append(sim.jobList, job)
 		sim.schedule(job.at, func() { sim.submit(job) })
@@ -127,8 +127,9 @@
 	return sim
 }
 
-// runEvents handles events in order of time. It makes a decision after all events
-// of the same time have been handled.
+// runEvents handles events in order of time, until none is left or simulationLimit
+// is reached. It makes a decision after all events of the same time have been
+// handled.
 func (sim *simulation) runEvents() {
 	for len(sim.events) > 0 && sim.now < simulationLimit {
 		at := sim.events[0].at
@@ -156,7 +157,7 @@
 	}
 }
 
-func (sim *simulation) submit(job *jobState) {
+func (sim *simulation) submit(job *simulatedJob) {
 	if refusal := sim.policy.Admit(sim.snapshotWithoutQueue(), job.spec); refusal != nil {
 		sim.refuse(job)
 		return
@@ -166,7 +167,7 @@
 	sim.updateClaims(job)
 }
 
-func (sim *simulation) refuse(job *jobState) {
+func (sim *simulation) refuse(job *simulatedJob) {
 	if !job.spec.Deadline.IsZero() {
 		inTime := sim.wallTime().Add(startDelay + job.runTime - job.progress).Before(job.spec.Deadline)
 		job.feasible = inTime && placeFirstFit(sim.workers, freeAccelerators(sim.snapshotWithoutQueue()), job.spec.Shape) != nil
@@ -174,21 +175,21 @@
 	sim.endJob(job, refused)
 }
 
-func (sim *simulation) cancel(job *jobState) {
+func (sim *simulation) cancel(job *simulatedJob) {
 	if job.status != ended {
 		sim.endJob(job, cancelled)
 	}
 }
 
 // endJob ends a job and removes it from the queue and from its workers.
-func (sim *simulation) endJob(job *jobState, result outcome) {
+func (sim *simulation) endJob(job *simulatedJob, result outcome) {
 	sim.queue = removeJob(sim.queue, job)
 	sim.active = removeJob(sim.active, job)
 	job.status, job.outcome, job.endedAt = ended, result, sim.now
 	job.generation++
 }
 
-func removeJob(jobs []*jobState, job *jobState) []*jobState {
+func removeJob(jobs []*simulatedJob, job *simulatedJob) []*simulatedJob {
 	if i := slices.Index(jobs, job); i >= 0 {
 		return slices.Delete(jobs, i, i+1)
 	}
@@ -196,13 +197,13 @@
 }
 
 // requeue returns a stopped job to the queue, which is ordered by arrival.
-func (sim *simulation) requeue(job *jobState) {
+func (sim *simulation) requeue(job *simulatedJob) {
 	sim.active = removeJob(sim.active, job)
 	job.status = waiting
 	job.generation++
 	job.spec.Progress = job.progress
 	job.spec.Attempt++
-	i, _ := slices.BinarySearchFunc(sim.queue, job, func(a, b *jobState) int { return int(a.at - b.at) })
+	i, _ := slices.BinarySearchFunc(sim.queue, job, func(a, b *simulatedJob) int { return int(a.at - b.at) })
 	sim.queue = slices.Insert(sim.queue, i, job)
 }
 
--- a/internal/measure/gangload/policy.go
+++ b/internal/measure/gangload/policy.go
@@ -27,7 +27,8 @@
 	Ablation bool
 }
 
-// The names of the policies to which the targets refer.
+// The names of the product and the baselines. The performance targets compare these
+// policies.
 const (
 	PolicyProduct      = "corianderbank"
 	PolicyFirstFit     = "first come first served, first fit"
--- a/internal/measure/plot.go
+++ b/internal/measure/plot.go
@@ -15,7 +15,7 @@
 const (
 	plotWidth  = 28 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
-	// groupWidth is the width of all bars of a category.
+	// groupWidth is the width of the bars of a category, plus the width of one bar.
 	groupWidth = 2 * vg.Centimeter
 )
 
@@ -36,8 +36,8 @@
 }
 
 // NewBarChart returns a chart of one figure of the rows of a part and a
-// deployment for the given policies. The categories are the patterns, in the
-// order of the rows.
+// deployment for the given policies. The categories are the patterns of the first
+// policy, in the order of the rows.
 func NewBarChart(rows []Row, part, deployment, figure string, policies []string) BarChart {
 	chart := BarChart{Title: part + ", " + deployment + ": " + figure, Policies: policies, Values: make([][]float64, len(policies))}
 	for i, policy := range policies {
--- a/internal/measure/report.go
+++ b/internal/measure/report.go
@@ -51,8 +51,8 @@
 	text.WriteString("\n")
 }
 
-// FormatValue formats a value with two decimals, and with fewer if its magnitude
-// is 10 or more.
+// FormatValue formats a value with two decimals, with one if its magnitude is 10 or
+// more, and with none if it is 100 or more or if the value is 0.
 func FormatValue(value float64) string {
 	switch {
 	case value == 0:
--- a/internal/measure/requestload/path.go
+++ b/internal/measure/requestload/path.go
@@ -86,7 +86,8 @@
 	return r.kind.priority
 }
 
-// admit checks a request, claims its key if it has one, and queues it.
+// admit queues a request, after claiming its key if it has one. It ignores a request
+// that has been answered.
 func (sim *simulation) admit(e *entry, r *request) {
 	if r.outcome.kind != "" {
 		return
@@ -99,8 +100,8 @@
 }
 
 // claimKey coalesces the arrivals of a key. Only the first one is queued, unless
-// coalescing is disabled: then every arrival is queued and waits on a slot of its
-// own.
+// coalescing is disabled: then every arrival is queued and holds a slot of its own
+// while it waits for the first one.
 func (sim *simulation) claimKey(e *entry, r *request) {
 	state, known := sim.keys[r.key]
 	switch {
@@ -132,8 +133,8 @@
 	sim.dispatchQueued(e)
 }
 
-// rescueZone returns the zone that takes a request which would be refused here, or
-// an empty string.
+// rescueZone returns the zone to which to forward a request that would otherwise be
+// refused, or an empty string.
 func (sim *simulation) rescueZone(r *request) string {
 	if sim.policy.noSpill || r.forwarded {
 		return ""
@@ -161,8 +162,8 @@
 	}
 }
 
-// dispatchQueued dispatches queued requests while there are free slots, as the
-// product's dispatcher does.
+// dispatchQueued refuses the expired requests in the queue and dispatches the others
+// while there are free slots, as the product's dispatcher does.
 func (sim *simulation) dispatchQueued(e *entry) {
 	now := sim.wallTime()
 	for _, refusal := range e.queue.Expire(now) {
--- a/internal/measure/requestload/requestload.go
+++ b/internal/measure/requestload/requestload.go
@@ -21,9 +21,9 @@
 	var cases []runCase
 	for _, p := range patterns {
 		for _, d := range deployments {
-			for _, candidate := range policies {
-				if len(candidate.patterns) == 0 || slices.Contains(candidate.patterns, p.name) {
-					cases = append(cases, runCase{p, d, candidate})
+			for _, pol := range policies {
+				if len(pol.patterns) == 0 || slices.Contains(pol.patterns, p.name) {
+					cases = append(cases, runCase{p, d, pol})
 				}
 			}
 		}
--- a/internal/measure/requestload/requestload_test.go
+++ b/internal/measure/requestload/requestload_test.go
@@ -11,7 +11,6 @@
 
 const seed = 1
 
-// caseKey identifies a case.
 type caseKey struct{ pattern, deployment, policy string }
 
 // simulatedFigures returns the figures of every case that the tests use. The cases
@@ -28,7 +27,7 @@
 		wanted[caseKey{p.name, deployments[0].name, productPolicy}] = true
 	}
 	for _, benefit := range decisionBenefits {
-		wanted[caseKey{benefit.pattern, benefit.deployment, benefit.disabled}] = true
+		wanted[caseKey{benefit.pattern, benefit.deployment, benefit.alternative}] = true
 		wanted[caseKey{benefit.pattern, benefit.deployment, productPolicy}] = true
 	}
 	var cases []runCase
@@ -95,9 +94,10 @@
 }
 
 // decisionBenefits lists for each decision a pattern and the figure that the decision
-// improves in it. The field disabled is the policy without the decision.
+// improves in it. The field alternative is the policy without the decision, or with
+// another decision in its place.
 var decisionBenefits = map[string]struct {
-	pattern, deployment, disabled, figure string
+	pattern, deployment, alternative, figure string
 	// lowerIsBetter is set if a lower figure is better.
 	lowerIsBetter bool
 }{
@@ -115,13 +115,13 @@
 	"coalesced requests do not occupy slots":                   {fewHotKeys, "klaverveld", "without coalescing", figureP50, true},
 }
 
-// TestDisablingDecisionWorsensItsFigure compares the product with the product
-// without each decision.
+// TestDisablingDecisionWorsensItsFigure compares the product with each alternative of
+// decisionBenefits.
 func TestDisablingDecisionWorsensItsFigure(t *testing.T) {
 	for name, c := range decisionBenefits {
 		t.Run(name, func(t *testing.T) {
 			with := figuresFor(t, c.pattern, c.deployment, productPolicy)[c.figure]
-			without := figuresFor(t, c.pattern, c.deployment, c.disabled)[c.figure]
+			without := figuresFor(t, c.pattern, c.deployment, c.alternative)[c.figure]
 			better := with > without
 			if c.lowerIsBetter {
 				better = with < without
--- a/internal/measure/requestload/sharing.go
+++ b/internal/measure/requestload/sharing.go
@@ -10,8 +10,9 @@
 // sharingState is the state of an entry instance for the sharing of slots.
 type sharingState struct {
 	lastDemandAt time.Duration
-	lastWaiting  int
-	need         slots.Need
+	// waitingAtLastDemand is the number of requests that waited at lastDemandAt.
+	waitingAtLastDemand int
+	need                slots.Need
 	// publishedDemand is the demand for each server that the peers have received
 	// from the instance. It is used for sharing without an owner.
 	publishedDemand map[string]int
@@ -63,20 +64,21 @@
 	return (e.queue.Waiting() + servers - 1) / servers
 }
 
-// updateShares sends the demand of the instance when it is due, as the product's
-// dispatcher does.
+// updateShares sends the demand of the instance if it is due, as the product's
+// dispatcher does. It also updates the members and the slot counts that package slots
+// uses; shareByDemand does not need them.
 func (sim *simulation) updateShares(e *entry) {
 	if sim.policy.sharing == shareFixed {
 		sim.refreshMembers(e)
 		return
 	}
 	since := sim.now - e.sharing.lastDemandAt
-	changed := (e.queue.Waiting() > 0) != (e.sharing.lastWaiting > 0)
+	changed := (e.queue.Waiting() > 0) != (e.sharing.waitingAtLastDemand > 0)
 	if since < slots.DemandInterval && (!changed || since < slots.DemandMinInterval) {
 		sim.refreshMembers(e)
 		return
 	}
-	e.sharing.lastDemandAt, e.sharing.lastWaiting = sim.now, e.queue.Waiting()
+	e.sharing.lastDemandAt, e.sharing.waitingAtLastDemand = sim.now, e.queue.Waiting()
 	if sim.policy.sharing == shareByDemand {
 		sim.publishDemand(e)
 		return
--- a/internal/measure/requestload/workload.go
+++ b/internal/measure/requestload/workload.go
@@ -146,7 +146,7 @@
 	key string
 }
 
-// The names of the patterns to which some policies are restricted.
+// The names of the patterns that policies or tests refer to.
 const (
 	oneBigAccount  = "one account with most of the load"
 	fewHotKeys     = "few hot keys"
@@ -164,8 +164,8 @@
 
 var patterns = []pattern{
 	{name: "burst of small", load: 0.5, modify: burstOfSmall},
-	{name: oneBigAccount, load: 0.6, modify: oneLargeAccount},
-	{name: fewHotKeys, load: 0.6, modify: hotKeys},
+	{name: oneBigAccount, load: 0.6, modify: addLargeAccountRequests},
+	{name: fewHotKeys, load: 0.6, modify: addHotKeyRequests},
 	{name: slowServer, load: 0.7, fault: fault{slowFactor: 10}},
 	{name: failingServers, load: 0.85, fault: fault{failingCount: 6}},
 	{name: newServers, load: 0.8, fault: fault{addedCount: 4}},
@@ -250,9 +250,9 @@
 	return arrivals
 }
 
-// oneLargeAccount adds two requests for each arrival. All of them are of the last
-// account, which has weight 1, and of the kind with the highest priority.
-func oneLargeAccount(d deployment, random *rand.Rand, arrivals []arrival) []arrival {
+// addLargeAccountRequests adds two requests for each arrival. All of them are of the
+// last account, which has weight 1, and of the kind with the highest priority.
+func addLargeAccountRequests(d deployment, random *rand.Rand, arrivals []arrival) []arrival {
 	last := d.accounts[len(d.accounts)-1].name
 	for _, a := range slices.Clone(arrivals) {
 		for range 2 {
@@ -265,9 +265,9 @@
 	return arrivals
 }
 
-// hotKeys adds a keyed request for each arrival. At any time the added requests
-// share three keys, which change every 250 ms.
-func hotKeys(d deployment, random *rand.Rand, arrivals []arrival) []arrival {
+// addHotKeyRequests adds a keyed request for each arrival. At any time the added
+// requests share three keys, which change every 250 ms.
+func addHotKeyRequests(d deployment, random *rand.Rand, arrivals []arrival) []arrival {
 	hot := d.kinds[len(d.kinds)-1]
 	hot.meanService = 150 * time.Millisecond
 	const period = 250 * time.Millisecond
@@ -281,8 +281,8 @@
 	return arrivals
 }
 
-// longAmongShort turns one in forty requests into one that takes 25 times as long
-// as the mean, and drops 40% of the requests to keep the load.
+// longAmongShort drops 40% of the requests, to keep the load, and turns one in forty
+// of the others into a request that takes 25 times as long as the mean.
 func longAmongShort(d deployment, random *rand.Rand, arrivals []arrival) []arrival {
 	mean := time.Duration(25 * d.meanServiceSeconds() * float64(time.Second))
 	long := kind{name: "long", meanService: mean, deadline: 6 * time.Second, idempotent: true}
--- a/internal/measure/requestload/world.go
+++ b/internal/measure/requestload/world.go
@@ -114,9 +114,9 @@
 	outcomeUnknown = "unknown"
 )
 
-func newSimulation(d deployment, p pattern, candidate policy, seed uint64) *simulation {
+func newSimulation(d deployment, p pattern, pol policy, seed uint64) *simulation {
 	sim := &simulation{
-		deployment: d, pattern: p, policy: candidate, random: rand.New(rand.NewPCG(seed, 11)), keys: make(map[string]*keyState),
+		deployment: d, pattern: p, policy: pol, random: rand.New(rand.NewPCG(seed, 11)), keys: make(map[string]*keyState),
 	}
 	sim.now = -warmUpTime
 	for z := range d.instances {
