--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,6 @@
-# make demo: builds, starts everything as separate processes, sends work, stops.
-# make test: everything CI runs.
+# make demo: builds the programs, starts every component as a separate process,
+# sends work and stops.
+# make test: runs everything that CI runs.
 .PHONY: demo up test build fmt generate measure soak bench
 
 GO ?= go
--- a/api/backend.go
+++ b/api/backend.go
@@ -2,10 +2,12 @@
 
 import "encoding/json"
 
-// HeaderRequestID carries the request's id to a backend server and back.
+// HeaderRequestID is the header that carries the request id to a backend server
+// and back.
 const HeaderRequestID = "X-Request-Id"
 
-// HeaderLeaving is set to "true" by a backend server that is about to stop.
+// HeaderLeaving is the header that a backend server sets to "true" when it is
+// about to stop.
 const HeaderLeaving = "X-Backend-Leaving"
 
 // Execute is the body of POST /v1/execute on a backend server.
@@ -16,13 +18,13 @@
 	Payload json.RawMessage `json:"payload,omitempty"`
 }
 
-// ExecuteAnswer is a backend server's answer. It counts only when whole and
-// when ID is the request's own.
+// ExecuteAnswer is a backend server's answer to POST /v1/execute. It is accepted
+// only if it is complete and ID is the id of the request.
 type ExecuteAnswer struct {
 	ID string `json:"id"`
-	// NotRun says that the backend server did not and will not run the request.
+	// NotRun reports that the backend server did not and will not run the request.
 	NotRun bool `json:"not_run,omitempty"`
-	// Failed says that the request ran and failed.
+	// Failed reports that the request ran and failed.
 	Failed  bool            `json:"failed,omitempty"`
 	Message string          `json:"message,omitempty"`
 	Payload json.RawMessage `json:"payload,omitempty"`
--- a/api/error.go
+++ b/api/error.go
@@ -11,12 +11,12 @@
 
 type retryAfterKey struct{}
 
-// NewError makes an error of the given kind. The message is for people.
+// NewError returns an error of the given kind with a human-readable message.
 func NewError(kind Kind, format string, args ...any) error {
 	return merry.Wrap(fmt.Errorf(format, args...), merry.WithValue(kindKey{}, kind), merry.NoCaptureStack())
 }
 
-// WithRetryAfter attaches the time to come back to err.
+// WithRetryAfter returns err with a retry delay attached.
 func WithRetryAfter(err error, after time.Duration) error {
 	return merry.Wrap(err, merry.WithValue(retryAfterKey{}, after), merry.NoCaptureStack())
 }
@@ -34,14 +34,15 @@
 	return err != nil && KindOf(err) == kind
 }
 
-// RetryAfterOf returns the time to come back that was attached to err. Zero is at once.
+// RetryAfterOf returns the retry delay attached to err and reports whether there
+// is one. An attached delay of zero allows an immediate retry.
 func RetryAfterOf(err error) (after time.Duration, attached bool) {
 	after, attached = merry.Value(err, retryAfterKey{}).(time.Duration)
 	return after, attached
 }
 
-// RetryAfterS returns the time to come back for err, in seconds: the attached
-// one, else the default of its kind.
+// RetryAfterS returns the retry delay for err in seconds: the attached one, or
+// else the default of its kind.
 func RetryAfterS(err error) float64 {
 	if after, ok := RetryAfterOf(err); ok {
 		return after.Seconds()
@@ -49,16 +50,17 @@
 	return AnswerFor(KindOf(err)).RetryAfterS
 }
 
-// ErrorBody is the JSON form of an error between corianderbank, the platform
+// ErrorBody is the JSON form of an error sent between corianderbank, the platform
 // and the workers.
 type ErrorBody struct {
 	// Kind is the error kind.
 	Kind Kind `json:"error_kind"`
-	// Message is for people.
+	// Message is a human-readable explanation.
 	Message string `json:"message"`
-	// RetryAfterS is the time to come back, in seconds; zero means never.
+	// RetryAfterS is the retry delay in seconds; zero means that the same call
+	// should not be retried.
 	RetryAfterS float64 `json:"retry_after_s"`
-	// Epoch is the highest epoch seen, set with KindStaleEpoch.
+	// Epoch is the highest epoch seen, set for KindStaleEpoch.
 	Epoch int64 `json:"epoch,omitempty"`
 }
 
--- a/api/kind.go
+++ b/api/kind.go
@@ -1,27 +1,28 @@
-// Package api holds the messages that cross a process boundary: between
-// callers, operators and an entry instance, and between an entry instance and
-// the platform, the backend servers and the workers. It also holds the closed
-// list of error kinds with the answer that belongs to each.
+// Package api defines the messages exchanged between processes: between callers
+// or operators and an entry instance, and between an entry instance and the
+// platform, the backend servers and the workers. It also defines the closed list
+// of error kinds and the answer to each.
 package api
 
 import "net/http"
 
-// Outcome says how a piece of work ended, or that it has not ended yet.
+// Outcome is the result of a request or job, or OutcomeAccepted before a job has
+// a result.
 type Outcome string
 
-// The outcomes. Done, NotRun and Unknown are final.
+// The outcomes. OutcomeDone, OutcomeNotRun and OutcomeUnknown are final.
 const (
-	// OutcomeDone means the whole answer is in the message.
+	// OutcomeDone means that the body contains the complete answer.
 	OutcomeDone Outcome = "done"
-	// OutcomeNotRun means the work did not run and will not run.
+	// OutcomeNotRun means that the work did not run and will not run.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown means the work may have run.
+	// OutcomeUnknown means that the work may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeAccepted means a job is under way; it is followed by its id.
+	// OutcomeAccepted means that a job is in progress; callers follow it by its id.
 	OutcomeAccepted Outcome = "accepted"
 )
 
-// Kind names a cause of an answer other than a plain success.
+// Kind identifies the cause of an answer other than a plain success.
 type Kind string
 
 // The error kinds. The list is closed: Answers has exactly one row for each.
@@ -64,18 +65,18 @@
 
 // Answer is the fixed part of the answer to one error kind.
 type Answer struct {
-	// Kind is the error kind the row belongs to.
+	// Kind is the error kind that the row describes.
 	Kind Kind
 	// Status is the HTTP status code.
 	Status int
-	// RetryAfterS is the default time to come back, in seconds. Zero means
-	// that the same call cannot succeed later.
+	// RetryAfterS is the default retry delay in seconds. Zero means that the
+	// same call cannot succeed later.
 	RetryAfterS float64
-	// Doc says, in one sentence, what happened and what the caller can do.
+	// Doc is one sentence on what happened and what the caller can do.
 	Doc string
 }
 
-// Answers lists every error kind in the order of docs/API.md.
+// Answers lists every error kind, in the order of the table in docs/API.md.
 var Answers = []Answer{
 	{KindMalformedBody, http.StatusBadRequest, 0, "The body is not valid JSON or has the wrong types."},
 	{KindBodyTooLarge, http.StatusRequestEntityTooLarge, 0, "The body is larger than the limit in the settings."},
@@ -123,8 +124,8 @@
 	return index
 }
 
-// AnswerFor returns the row of the table for kind. An undeclared kind gets the
-// row of KindInternal.
+// AnswerFor returns the row of Answers for kind, or the row of KindInternal if
+// kind is not declared.
 func AnswerFor(kind Kind) Answer {
 	answer, ok := answerByKind[kind]
 	if !ok {
@@ -133,8 +134,8 @@
 	return answer
 }
 
-// DefaultRetryAfterS returns the time to come back of a kind, in seconds; zero
-// where there is no error.
+// DefaultRetryAfterS returns the default retry delay of a kind in seconds, or
+// zero for the empty kind, which stands for no error.
 func DefaultRetryAfterS(kind Kind) float64 {
 	if kind == "" {
 		return 0
--- a/api/operator.go
+++ b/api/operator.go
@@ -7,9 +7,10 @@
 
 // ConfigApply is the body of POST /v1/config.
 type ConfigApply struct {
-	// Expect is the version that the operator edited; another head is a conflict.
+	// Expect is the version that the operator edited. If it is not the head, the
+	// call fails with KindConfigConflict.
 	Expect int64 `json:"expect"`
-	// Document is the whole configuration.
+	// Document is the complete configuration.
 	Document json.RawMessage `json:"document"`
 }
 
@@ -30,7 +31,7 @@
 	Message string `json:"message"`
 }
 
-// OperatorError is the body of a refused operator call.
+// OperatorError is the body of the answer to a refused operator call.
 type OperatorError struct {
 	ErrorBody
 	// Problems lists every error found, for KindConfigInvalid.
@@ -39,7 +40,7 @@
 	Version int64 `json:"version,omitempty"`
 }
 
-// InstanceStatus is one instance as GET /v1/status shows it.
+// InstanceStatus describes one instance in a Status or ConfigStatus.
 type InstanceStatus struct {
 	ID               string  `json:"id"`
 	AvailabilityZone string  `json:"availability_zone"`
@@ -52,7 +53,8 @@
 	LastSeenS        float64 `json:"last_seen_s"`
 }
 
-// AccountStatus is one client account in one availability zone.
+// AccountStatus describes the accelerators of one client account in one
+// availability zone.
 type AccountStatus struct {
 	Account          string `json:"account"`
 	AvailabilityZone string `json:"availability_zone"`
@@ -61,13 +63,13 @@
 	Used       int `json:"used"`
 	Borrowed   int `json:"borrowed"`
 	Lent       int `json:"lent"`
-	// Waiting counts the accelerators that waiting jobs ask for.
+	// Waiting counts the accelerators that waiting jobs request.
 	Waiting int `json:"waiting"`
-	// AtRisk says why the guarantee cannot be given at the moment.
+	// AtRisk is the reason why the guarantee cannot currently be met, if any.
 	AtRisk string `json:"at_risk,omitempty"`
 }
 
-// ZoneStatus is one availability zone as its placer sees it.
+// ZoneStatus describes one availability zone as known to its placer.
 type ZoneStatus struct {
 	AvailabilityZone string  `json:"availability_zone"`
 	Placer           string  `json:"placer"`
@@ -97,11 +99,12 @@
 	Versions []ConfigVersion `json:"versions"`
 }
 
-// ConfigStatus is the body of GET /v1/config/status: who has which version.
+// ConfigStatus is the body of GET /v1/config/status: the configuration version of
+// each instance.
 type ConfigStatus struct {
 	// Head is the highest version that the answering instance knows.
 	Head int64 `json:"head"`
-	// Everywhere says that every listed instance has Head in force.
+	// Everywhere reports whether every listed instance has Head in force.
 	Everywhere bool             `json:"everywhere"`
 	Instances  []InstanceStatus `json:"instances"`
 }
--- a/api/platform.go
+++ b/api/platform.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Ref names one row of the platform's table service.
+// Ref identifies one row of the platform's table service.
 type Ref struct {
 	Table string `json:"table"`
 	Key   string `json:"key"`
 }
 
-// Row is one row with its version. Version 0 means that there is no such row.
+// Row is one row with its version. Version 0 means that the row does not exist.
 type Row struct {
 	Ref
 	Version int64 `json:"version"`
@@ -20,21 +20,22 @@
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Op is one conditional write of a transaction.
+// Op is one conditional operation of a transaction.
 type Op struct {
 	Ref
-	// IfVersion must equal the row's version; 0 means the row must not exist.
+	// IfVersion must equal the row's version; 0 means that the row must not exist.
 	IfVersion int64           `json:"if_version"`
 	Value     json.RawMessage `json:"value,omitempty"`
-	// Delete removes the row in place of writing it.
+	// Delete removes the row instead of writing it.
 	Delete bool `json:"delete,omitempty"`
 	// Check only compares the version and writes nothing.
 	Check bool `json:"check,omitempty"`
 }
 
-// Tx is the body of POST /v1/tables/commit: all of its operations or none.
+// Tx is the body of POST /v1/tables/commit. Either all of its operations take
+// effect or none does.
 type Tx struct {
-	// WriteID is unique for the transaction; a repeated id is not applied twice.
+	// WriteID is unique to the transaction; a repeated id is not applied twice.
 	WriteID string `json:"write_id"`
 	Ops     []Op   `json:"ops"`
 }
@@ -42,9 +43,9 @@
 // TxAnswer is the answer to POST /v1/tables/commit.
 type TxAnswer struct {
 	Done bool `json:"done"`
-	// Conflicts lists the present rows whose version differed.
+	// Conflicts lists the rows whose version differed, in their current state.
 	Conflicts []Row `json:"conflicts,omitempty"`
-	// Now is the store's clock.
+	// Now is the time by the store's clock.
 	Now time.Time `json:"now"`
 }
 
@@ -57,7 +58,7 @@
 type ScanQuery struct {
 	Table  string `json:"table"`
 	Prefix string `json:"prefix"`
-	// After is the last key of the page before.
+	// After is the last key of the previous page.
 	After string `json:"after,omitempty"`
 	Limit int    `json:"limit"`
 }
@@ -65,13 +66,13 @@
 // Rows is the answer to a read or a scan.
 type Rows struct {
 	Rows []Row `json:"rows"`
-	// More says that another page follows.
+	// More reports whether another page follows.
 	More bool `json:"more,omitempty"`
-	// Now is the store's clock.
+	// Now is the time by the store's clock.
 	Now time.Time `json:"now"`
 }
 
-// Role is what a listed instance does.
+// Role is the function of an instance in the platform's instance list.
 type Role string
 
 // The roles of the platform's instance list.
@@ -88,13 +89,14 @@
 	Addr             string `json:"addr"`
 	PeerAddr         string `json:"peer_addr,omitempty"`
 	AvailabilityZone string `json:"availability_zone"`
-	// Incarnation rises each time the instance comes back under the same id.
+	// Incarnation increases each time the instance returns under the same id.
 	Incarnation int64 `json:"incarnation"`
-	// Leaving says that the instance is about to stop.
+	// Leaving reports that the instance is about to stop.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// InstanceList is the answer to GET /v1/instances. It lags.
+// InstanceList is the answer to GET /v1/instances. It lags behind the actual
+// state.
 type InstanceList struct {
 	Instances []ListedInstance `json:"instances"`
 	AsOf      time.Time        `json:"as_of"`
--- a/api/worker.go
+++ b/api/worker.go
@@ -5,35 +5,38 @@
 	"time"
 )
 
-// GangRef names one attempt of a gang towards a worker, under the epoch of the
-// placer that speaks. A worker refuses an epoch below the highest it has seen.
+// GangRef identifies one attempt of a gang in a message between a placer and a
+// worker. Epoch is the epoch of the calling placer; a worker refuses an epoch
+// below the highest it has seen.
 type GangRef struct {
 	Epoch   int64  `json:"epoch"`
 	Gang    string `json:"gang"`
 	Attempt int    `json:"attempt"`
 }
 
-// Reserve is the body of POST /v1/reserve on a worker. Repeating it is harmless.
+// Reserve is the body of POST /v1/reserve on a worker. The call is idempotent.
 type Reserve struct {
 	GangRef
 	Account      string `json:"account"`
 	Accelerators int    `json:"accelerators"`
 	Tasks        int    `json:"tasks"`
-	// TTLMS is the life of the reservation unless started, in milliseconds.
+	// TTLMS is the time after which the reservation expires unless it is started,
+	// in milliseconds.
 	TTLMS int64 `json:"ttl_ms"`
 }
 
-// Start is the body of POST /v1/start: it commits a reservation.
+// Start is the body of POST /v1/start, which commits a reservation.
 type Start struct {
 	GangRef
-	// LeaseMS is the life of the running tasks unless renewed.
+	// LeaseMS is the time after which the lease of the running tasks expires
+	// unless it is renewed, in milliseconds.
 	LeaseMS int64 `json:"lease_ms"`
 	// Checkpoint names the checkpoint to resume from, if any.
 	Checkpoint string          `json:"checkpoint,omitempty"`
 	Payload    json.RawMessage `json:"payload,omitempty"`
 }
 
-// Renew is the body of POST /v1/renew: it extends the leases of the listed
+// Renew is the body of POST /v1/renew, which extends the leases of the listed
 // gangs. The answer is a WorkerReport.
 type Renew struct {
 	Epoch   int64     `json:"epoch"`
@@ -41,8 +44,8 @@
 	Gangs   []GangRef `json:"gangs"`
 }
 
-// Release is the body of POST /v1/release: it gives up a reservation, or
-// acknowledges the end of its tasks. A released attempt never starts.
+// Release is the body of POST /v1/release, which cancels a reservation or
+// acknowledges that its tasks have ended. A released attempt never starts.
 type Release struct {
 	GangRef
 }
@@ -50,7 +53,7 @@
 // Stop is the body of POST /v1/stop, /v1/checkpoint and /v1/throttle.
 type Stop struct {
 	GangRef
-	// WithinMS is the time the worker has for it, in milliseconds.
+	// WithinMS is the time limit for the operation, in milliseconds.
 	WithinMS int64 `json:"within_ms"`
 }
 
@@ -70,12 +73,12 @@
 	TaskDone     TaskState = "done"
 	TaskFailed   TaskState = "failed"
 	TaskStopped  TaskState = "stopped"
-	// TaskLapsed means the lease ran out and the worker stopped the tasks.
+	// TaskLapsed means that the lease expired and the worker stopped the tasks.
 	TaskLapsed TaskState = "lapsed"
 )
 
-// ReservationReport is one reservation as the worker sees it. Ended ones stay
-// until they are released.
+// ReservationReport describes one reservation as known to the worker. A
+// reservation that has ended remains in the report until it is released.
 type ReservationReport struct {
 	GangRef
 	Account      string    `json:"account"`
@@ -85,7 +88,7 @@
 	Throttled    bool      `json:"throttled,omitempty"`
 	Checkpoint   string    `json:"checkpoint,omitempty"`
 	Message      string    `json:"message,omitempty"`
-	// RanS is the time the tasks have run, in seconds.
+	// RanS is the time for which the tasks have run, in seconds.
 	RanS float64 `json:"ran_s"`
 }
 
@@ -100,6 +103,6 @@
 	// HighestEpoch is the highest epoch the worker has seen.
 	HighestEpoch int64               `json:"highest_epoch"`
 	Reservations []ReservationReport `json:"reservations"`
-	// UsageAsOf is the time of the usage figures, which lag.
+	// UsageAsOf is the time to which the usage figures apply; they lag behind.
 	UsageAsOf time.Time `json:"usage_as_of"`
 }
--- a/charts/charts.go
+++ b/charts/charts.go
@@ -1,4 +1,4 @@
-// Package charts embeds the state charts. Package chart interprets them.
+// Package charts embeds the state charts, which package chart interprets.
 package charts
 
 import "embed"
--- a/scripts/check-generated.sh
+++ b/scripts/check-generated.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Compares the committed generated code with what its source gives. Where protoc
-# is not installed, it checks that source and output were committed together.
+# Compares the committed generated code with the output of protoc. If protoc is
+# not installed, it only checks by digest that source and output were committed
+# together.
 set -euo pipefail
 digest=$(sha256sum api/peer/peer.proto | cut -d' ' -f1)
 recorded=$(cat api/peer/peer.proto.sha256)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Starts a platform, and in each of two availability zones two entry instances,
-# two backend servers and six workers, all as separate processes on loopback;
-# loads accounts and rules; sends examples/demo.json; checks the answers; stops
-# everything. Exits non-zero on any fault. Needs bin/ from "make build". With the
-# argument "stay" it sends nothing and keeps everything running until interrupted.
+# Starts a platform, and two entry instances, two backend servers and six workers
+# in each of two availability zones, all as separate processes on loopback. Loads
+# the client accounts and rules, sends the work in examples/demo.json, checks the
+# answers and stops everything. Exits non-zero on any failure. Requires bin/ from
+# "make build". With the argument "stay" it sends nothing and keeps everything
+# running until interrupted.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -19,7 +20,8 @@
 logs=$(mktemp -d)
 pids=()
 
-# stop_all stops the latest started process first, and the platform last.
+# stop_all stops the processes in reverse order of their start, and the platform
+# last.
 stop_all() {
   local i
   for ((i = ${#pids[@]} - 1; i > 0; i--)); do kill -TERM "${pids[i]}" 2>/dev/null || true; done
@@ -40,7 +42,7 @@
     echo "demo failed with exit code $code; logs are in $logs" >&2
     for file in "$logs"/entry-*.log; do
       [ -e "$file" ] || continue
-      echo "== end of $(basename "$file")" >&2
+      echo "== last lines of $(basename "$file")" >&2
       grep -v "step=route" "$file" | tail -n 5 >&2
     done
   fi
@@ -49,7 +51,8 @@
 trap finish EXIT
 trap 'exit 130' INT TERM
 
-# start NAME COMMAND...: runs a process in the background, its log in $logs.
+# start NAME COMMAND... runs a process in the background and writes its log to
+# $logs/NAME.log.
 start() {
   local name=$1
   shift
@@ -64,7 +67,7 @@
 start platform bin/standin platform --listen "$platform"
 bin/standin wait "$platform"
 
-# One settings file for each entry instance; each knows the others as peers.
+# Each entry instance has its own settings file, which lists the others as peers.
 entry_addr() { echo "127.0.0.1:${ports[$((1 + $1 * 2))]}"; }
 peer_addr() { echo "127.0.0.1:${ports[$((2 + $1 * 2))]}"; }
 entry_zone() { echo "${zones[$(($1 / entries_per_zone))]}"; }
@@ -98,8 +101,8 @@
   addresses+=("$(entry_addr "$i")")
 done
 
-# Backend servers and workers take any free port and announce it; their address
-# is the one they log.
+# Backend servers and workers listen on any free port and announce it. Their
+# addresses are read from their logs.
 members=()
 for zone in "${zones[@]}"; do
   for ((i = 0; i < backends_per_zone; i++)); do
--- a/scripts/measure-path.sh
+++ b/scripts/measure-path.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Measures a request's path: calls of a backend server made directly, and the
-# same through one entry instance, as separate processes on loopback; then the
-# entry instance's memory idle and loaded, and its processor time a request.
-# Needs bin/ from "make build" and bin/capacity.
+# Measures the request path: calls made directly to a backend server, and the
+# same calls through one entry instance, as separate processes on loopback. Also
+# measures the entry instance's memory when idle and after the load, and its
+# processor time per request. Requires bin/ from "make build" and bin/capacity.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/test-invariants.sh
+++ b/scripts/test-invariants.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs test/invariants twice: on all threads, and then under the race detector
-# on one thread, with a process for each test. Arguments go to both.
+# Runs test/invariants twice: on all threads, and under the race detector on one
+# thread with a separate process for each test. Arguments are passed to both runs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -10,7 +10,8 @@
 trap 'rm -f "$binary"' EXIT
 go test -race -c -o "$binary" ./test/invariants
 cd test/invariants
-# The tests that play most histories first: they bound the time of the whole.
+# The tests that run the most histories start first, because they determine the
+# total time.
 tests=$("$binary" -test.list . | awk '/^Test(PlannedStop|Leaving)/ {print 0, $0; next} {print 1, $0}' | sort -k1,1n -s | cut -d' ' -f2)
 one() {
   local binary=$1 name=$2 output
