--- a/internal/deployment/worker_relay.go
+++ b/internal/deployment/worker_relay.go
@@ -29,7 +29,7 @@
 	maxAnswersPerMessage = 256
 )
 
-var errRelayFull = errors.New("too many relayed calls are in flight or queued")
+var errRelayFull = errors.New("too many calls for others under way")
 
 // relayCalls makes calls to workers for the leader. It returns at once; the answers are
 // sent in separate messages.
@@ -56,7 +56,7 @@
 	case opPoll:
 		return reportToProto(call.GetId(), direct.Poll(ctx, pollFromProto(call)))
 	}
-	return newWorkerAnswer(call.GetId(), workload.VerdictUnsent, 0, errors.New("unknown call to a worker"))
+	return newWorkerAnswer(call.GetId(), workload.VerdictUnsent, 0, errors.New("no such call"))
 }
 
 // sendAnswers sends the answers of workers to the leader. If that fails, the calls of
