--- a/internal/cli/stored.go
+++ b/internal/cli/stored.go
@@ -64,10 +64,10 @@
 	slices.SortStableFunc(queues, func(a, b workload.Queue) int { return cmp.Compare(a.Priority, b.Priority) })
 	for i := range queues {
 		q := &queues[i]
-		grace := time.Duration(q.GraceMS) * time.Millisecond
+		grace := time.Duration(q.GracePeriodMS) * time.Millisecond
 		result.Queues = append(result.Queues, storedQueue{
 			Name: q.Name, Address: q.Host + q.Prefix, Pool: q.Pool, Priority: q.Priority, Attempts: q.Attempts,
-			Objective: fmt.Sprintf("%g times its work and %v", q.Stretch, grace), Public: q.Public, Advisor: q.Advice != nil,
+			Objective: fmt.Sprintf("%g times its work and %v", q.LatencyFactor, grace), Public: q.Public, Advisor: q.Advice != nil,
 		})
 		result.Problems = append(result.Problems, problemsOf(q)...)
 	}
--- a/internal/cli/stored_test.go
+++ b/internal/cli/stored_test.go
@@ -32,8 +32,8 @@
 		return &workload.Configuration{
 			Version: 7,
 			Queues: []workload.Queue{
-				{Name: "batch", Host: "h", Prefix: "/b/", Pool: "p", Priority: 2, Attempts: 3, Stretch: 3, GraceMS: 3000},
-				{Name: "urgent", Host: "h", Prefix: "/u/", Priority: 0, Attempts: 0, Stretch: 1.5, GraceMS: 250, Public: true},
+				{Name: "batch", Host: "h", Prefix: "/b/", Pool: "p", Priority: 2, Attempts: 3, LatencyFactor: 3, GracePeriodMS: 3000},
+				{Name: "urgent", Host: "h", Prefix: "/u/", Priority: 0, Attempts: 0, LatencyFactor: 1.5, GracePeriodMS: 250, Public: true},
 			},
 			Accounts: []workload.Account{
 				{Name: "acme", Keys: []string{"k1", "k2"}, Guaranteed: workload.Resources{Accelerators: 72}},
--- a/internal/deployment/accept.go
+++ b/internal/deployment/accept.go
@@ -108,7 +108,7 @@
 	metrics.GetOrCreateHistogram(`corianderbank_deployment_accept_seconds{error_kind="` + kindName(err) + `"}`).UpdateDuration(start)
 	q := caller.Queue
 	i.logger.Info("submit", zap.String("job", job.ID), zap.String("queue", job.Queue), zap.String("client_account", job.Account),
-		zap.Int("priority", q.Priority), zap.Float64("stretch", q.Stretch), zap.Int64("grace_ms", q.GraceMS), zap.Int64("took_ms", time.Since(start).Milliseconds()),
+		zap.Int("priority", q.Priority), zap.Float64("stretch", q.LatencyFactor), zap.Int64("grace_ms", q.GracePeriodMS), zap.Int64("took_ms", time.Since(start).Milliseconds()),
 		zap.Int64("config_version", i.configVersion()), zap.String("error_kind", kindName(err)), zap.Error(err))
 	metrics.GetOrCreateCounter(`corianderbank_deployment_submits_total{error_kind="` + kindName(err) + `"}`).Inc()
 	return err
--- a/internal/deployment/cut_test.go
+++ b/internal/deployment/cut_test.go
@@ -44,9 +44,9 @@
 }
 
 // Write implements workload.Store.
-func (s *unresponsiveStore) Write(ctx context.Context, _ workload.Write) (workload.Written, error) {
+func (s *unresponsiveStore) Write(ctx context.Context, _ workload.Write) (workload.WriteResult, error) {
 	s.written <- struct{}{}
-	return workload.Written{}, s.block(ctx)
+	return workload.WriteResult{}, s.block(ctx)
 }
 
 // Read implements workload.Store.
--- a/internal/deployment/doc.go
+++ b/internal/deployment/doc.go
@@ -23,7 +23,7 @@
 //	candidate.go     the conditions for taking it; succession.go: the ranking by size
 //	leader.go        the loop of the leader
 //	takeover.go      the leader's steps before the first decision
-//	orders.go        the leader's orders, polls and questions to the advisor
+//	orders.go        the leader's orders, polls and requests to the advisor
 //	records.go       the leader's writes; announce.go: completions that are not stored yet
 //	begins.go        whether the leader stores start intents
 //	worker_reach.go  the leader's calls to workers, directly or through a hub
--- a/internal/deployment/fake_test.go
+++ b/internal/deployment/fake_test.go
@@ -32,11 +32,11 @@
 }
 
 // Write implements workload.Store.
-func (s *memoryStore) Write(_ context.Context, write workload.Write) (workload.Written, error) {
+func (s *memoryStore) Write(_ context.Context, write workload.Write) (workload.WriteResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.beforeCall(); err != nil {
-		return workload.Written{}, err
+		return workload.WriteResult{}, err
 	}
 	var current []workload.Row
 	conflict := false
@@ -48,7 +48,7 @@
 		}
 	}
 	if conflict {
-		return workload.Written{Conflict: true, Rows: current}, nil
+		return workload.WriteResult{Conflict: true, Rows: current}, nil
 	}
 	s.ver++
 	for _, row := range write.Put {
@@ -58,7 +58,7 @@
 	for _, key := range write.Remove {
 		delete(s.rows, key)
 	}
-	return workload.Written{Version: s.ver}, nil
+	return workload.WriteResult{Version: s.ver}, nil
 }
 
 // Read implements workload.Store.
--- a/internal/deployment/instance.go
+++ b/internal/deployment/instance.go
@@ -149,7 +149,7 @@
 		i.store.hedgeDelay = routeTimeout
 	}
 	i.store.onAnswer = i.markReconnected
-	retention := 2 * s.bounds().LongestLease
+	retention := 2 * s.bounds().MaxLease
 	i.workers = newRoster(o.Decoder, retention, o.Logger)
 	i.drains = newDrains(o.Decoder, o.Logger)
 	i.lease = &lease{
--- a/internal/deployment/orders.go
+++ b/internal/deployment/orders.go
@@ -13,7 +13,7 @@
 	"github.com/corianderbank/corianderbank/internal/workload"
 )
 
-// This file executes the actions of the core: orders and polls to workers, questions to
+// This file executes the actions of the core: orders and polls to workers, requests to
 // the placement advisor, and the log lines about them.
 
 var (
@@ -48,16 +48,16 @@
 }
 
 // askAdvisor asks the placement advisor and passes its answer to the core.
-func (c *leader) askAdvisor(question workload.Question) {
-	ctx, cancel := context.WithTimeout(c.ctx, question.Within)
+func (c *leader) askAdvisor(request workload.AdviceRequest) {
+	ctx, cancel := context.WithTimeout(c.ctx, request.Timeout)
 	defer cancel()
-	advice := workload.Counsel{Err: errNoAdvisor}
+	advice := workload.AdviceResponse{Err: errNoAdvisor}
 	if advisor := c.instance.options.Advisor; advisor != nil {
-		advice = advisor.Advise(ctx, question)
+		advice = advisor.Advise(ctx, request)
 	}
-	c.logger.Info("advice", zap.String("job", question.Step.Job), zap.Int("occurrence", question.Step.Occurrence),
-		zap.Int("step", question.Step.Step), zap.Int("asked", len(question.Workers)), zap.Int("allowed", len(advice.Allowed)), zap.Error(advice.Err))
-	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.Advised(question, advice, now, wallMS) })
+	c.logger.Info("advice", zap.String("job", request.Step.Job), zap.Int("occurrence", request.Step.Occurrence),
+		zap.Int("step", request.Step.Step), zap.Int("asked", len(request.Workers)), zap.Int("allowed", len(advice.Allowed)), zap.Error(advice.Err))
+	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.Advised(request, advice, now, wallMS) })
 }
 
 func (c *leader) logOrder(kind string, action dispatch.Action, more ...zap.Field) {
@@ -91,19 +91,19 @@
 // sendOrder sends an order if the lease is still valid at that moment, and passes the
 // answer to the core.
 func (c *leader) sendOrder(
-	kind string, action dispatch.Action, send func(context.Context, workload.Order) workload.Receipt,
-	answered func(*dispatch.Core, workload.Order, workload.Receipt, time.Time, int64),
+	kind string, action dispatch.Action, send func(context.Context, workload.Order) workload.OrderResult,
+	answered func(*dispatch.Core, workload.Order, workload.OrderResult, time.Time, int64),
 ) {
 	defer c.inFlight.Add(-1)
-	receipt := workload.Receipt{Verdict: workload.VerdictUnsent, Err: errLeaseOver}
+	result := workload.OrderResult{Verdict: workload.VerdictUnsent, Err: errLeaseOver}
 	sent := time.Now()
 	if c.grant.valid() {
-		receipt = send(c.ctx, action.Order)
+		result = send(c.ctx, action.Order)
 	}
-	metricOrder(kind, receipt.Verdict).UpdateDuration(sent)
-	c.logFailedOrder(kind, action, receipt)
+	metricOrder(kind, result.Verdict).UpdateDuration(sent)
+	c.logFailedOrder(kind, action, result)
 	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
-		answered(core, action.Order, receipt, now, wallMS)
+		answered(core, action.Order, result, now, wallMS)
 	})
 }
 
@@ -112,8 +112,8 @@
 	if action.Poll.UntilMS == 0 || c.grant.valid() {
 		report = c.instance.routedWorkers.Poll(c.ctx, action.Poll)
 	}
-	if report.Unread > 0 && c.unreadableReports.shouldLog(action.Poll.Worker, c.grant.epoch) {
-		c.logger.Error("worker lists what cannot be read", zap.String("worker", action.Poll.Worker), zap.Int("rows", report.Unread))
+	if report.Unparsed > 0 && c.unreadableReports.shouldLog(action.Poll.Worker, c.grant.epoch) {
+		c.logger.Error("worker lists what cannot be read", zap.String("worker", action.Poll.Worker), zap.Int("rows", report.Unparsed))
 	}
 	for _, e := range report.Ended {
 		if e.Number > action.Poll.Acknowledged {
@@ -128,10 +128,10 @@
 	return metrics.GetOrCreateHistogram(`corianderbank_deployment_order_seconds{order="` + kind + `",verdict="` + verdict.String() + `"}`)
 }
 
-func (c *leader) logFailedOrder(kind string, action dispatch.Action, receipt workload.Receipt) {
-	if receipt.Verdict == workload.VerdictDone {
+func (c *leader) logFailedOrder(kind string, action dispatch.Action, result workload.OrderResult) {
+	if result.Verdict == workload.VerdictDone {
 		return
 	}
 	c.logger.Warn("order not carried out", orderFields(kind, action.Order,
-		zap.Stringer("verdict", receipt.Verdict), zap.Error(receipt.Err))...)
+		zap.Stringer("verdict", result.Verdict), zap.Error(result.Err))...)
 }
--- a/internal/deployment/orders_test.go
+++ b/internal/deployment/orders_test.go
@@ -17,14 +17,14 @@
 type waitingWorkers struct{ started chan struct{} }
 
 // Start implements workload.Workers.
-func (w *waitingWorkers) Start(context.Context, workload.Order) workload.Receipt {
+func (w *waitingWorkers) Start(context.Context, workload.Order) workload.OrderResult {
 	w.started <- struct{}{}
-	return workload.Receipt{}
+	return workload.OrderResult{}
 }
 
 // Stop implements workload.Workers.
-func (w *waitingWorkers) Stop(context.Context, workload.Order) workload.Receipt {
-	return workload.Receipt{}
+func (w *waitingWorkers) Stop(context.Context, workload.Order) workload.OrderResult {
+	return workload.OrderResult{}
 }
 
 // Poll implements workload.Workers.
--- a/internal/deployment/reach.go
+++ b/internal/deployment/reach.go
@@ -317,8 +317,8 @@
 }
 
 // Write implements workload.Store.
-func (r *routedStore) Write(ctx context.Context, write workload.Write) (workload.Written, error) {
-	return tryRoutes(ctx, r, "write", r.limits(), func(ctx context.Context, store workload.Store) (workload.Written, error) {
+func (r *routedStore) Write(ctx context.Context, write workload.Write) (workload.WriteResult, error) {
+	return tryRoutes(ctx, r, "write", r.limits(), func(ctx context.Context, store workload.Store) (workload.WriteResult, error) {
 		return store.Write(ctx, write)
 	})
 }
--- a/internal/deployment/records.go
+++ b/internal/deployment/records.go
@@ -23,7 +23,7 @@
 	// removeExpiredInterval is the interval at which the rows of jobs that ended long
 	// ago are removed.
 	removeExpiredInterval = 5 * time.Second
-	// retentionFactor is the multiple of StatusKept for which job states are kept.
+	// retentionFactor is the multiple of StatusRetention for which job states are kept.
 	retentionFactor = 2
 )
 
@@ -183,7 +183,7 @@
 		return
 	}
 	c.expiredRemovedAt = now
-	retention := retentionFactor * c.instance.liveSettings.Load().bounds().StatusKept
+	retention := retentionFactor * c.instance.liveSettings.Load().bounds().StatusRetention
 	ids := c.instance.replica.expired(time.Now().Add(-retention).UnixMilli(), maxRecordsPerWrite/2)
 	if len(ids) == 0 {
 		return
--- a/internal/deployment/relay.go
+++ b/internal/deployment/relay.go
@@ -39,7 +39,7 @@
 	var err error
 	switch call.GetOp() {
 	case opWrite:
-		var written workload.Written
+		var written workload.WriteResult
 		written, err = store.Write(ctx, workload.Write{
 			Part: call.GetPart(), Expect: rowsFromProto(call.GetExpect()), Put: rowsFromProto(call.GetPut()), Remove: call.GetRemove(),
 		})
@@ -96,14 +96,14 @@
 }
 
 // Write implements workload.Store.
-func (s *relayStore) Write(ctx context.Context, write workload.Write) (workload.Written, error) {
+func (s *relayStore) Write(ctx context.Context, write workload.Write) (workload.WriteResult, error) {
 	answer, err := s.call(ctx, &peerpb.StoreCall{
 		Op: opWrite, Part: write.Part, Expect: rowsToProto(write.Expect), Put: rowsToProto(write.Put), Remove: write.Remove,
 	})
 	if err != nil {
-		return workload.Written{}, err
+		return workload.WriteResult{}, err
 	}
-	return workload.Written{Version: answer.GetVersion(), Conflict: answer.GetConflict(), Rows: rowsFromProto(answer.GetRows())}, nil
+	return workload.WriteResult{Version: answer.GetVersion(), Conflict: answer.GetConflict(), Rows: rowsFromProto(answer.GetRows())}, nil
 }
 
 // Read implements workload.Store.
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -138,7 +138,7 @@
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	b := s.Bounds
 	return workload.Bounds{
-		LongestLease: ms(b.LongestLeaseMS), StopTime: ms(b.StopMS), Reclaim: ms(b.ReclaimMS),
-		StatusKept: time.Duration(b.StatusKeptS * float64(time.Second)), RemoteFactor: b.RemoteFactor,
+		MaxLease: ms(b.LongestLeaseMS), MaxStopTime: ms(b.StopMS), MaxReclaimTime: ms(b.ReclaimMS),
+		StatusRetention: time.Duration(b.StatusKeptS * float64(time.Second)), RemoteFactor: b.RemoteFactor,
 	}
 }
--- a/internal/deployment/worker_reach.go
+++ b/internal/deployment/worker_reach.go
@@ -160,18 +160,18 @@
 }
 
 // Start implements workload.Workers.
-func (r *routedWorkers) Start(ctx context.Context, o workload.Order) workload.Receipt {
+func (r *routedWorkers) Start(ctx context.Context, o workload.Order) workload.OrderResult {
 	return r.order(ctx, opStart, o, r.direct.Start)
 }
 
 // Stop implements workload.Workers.
-func (r *routedWorkers) Stop(ctx context.Context, o workload.Order) workload.Receipt {
+func (r *routedWorkers) Stop(ctx context.Context, o workload.Order) workload.OrderResult {
 	return r.order(ctx, opStop, o, r.direct.Stop)
 }
 
 func (r *routedWorkers) order(
-	ctx context.Context, op string, o workload.Order, direct func(context.Context, workload.Order) workload.Receipt,
-) workload.Receipt {
+	ctx context.Context, op string, o workload.Order, direct func(context.Context, workload.Order) workload.OrderResult,
+) workload.OrderResult {
 	hub := r.hubFor(o.Worker, o.Zone)
 	if hub == "" {
 		return direct(ctx, o)
@@ -181,9 +181,9 @@
 	case errors.Is(err, errNotRelayed):
 		return direct(ctx, o)
 	case err != nil:
-		return workload.Receipt{Verdict: workload.VerdictUnknown, Err: err}
+		return workload.OrderResult{Verdict: workload.VerdictUnknown, Err: err}
 	}
-	return receiptFromProto(answer)
+	return orderResultFromProto(answer)
 }
 
 // Poll implements workload.Workers.
--- a/internal/deployment/worker_reach_test.go
+++ b/internal/deployment/worker_reach_test.go
@@ -25,27 +25,29 @@
 	latency time.Duration
 }
 
-func (w *countingWorkers) call() workload.Receipt {
+func (w *countingWorkers) call() workload.OrderResult {
 	time.Sleep(w.latency)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls++
-	return workload.Receipt{Verdict: w.verdict, ClockMS: 7}
+	return workload.OrderResult{Verdict: w.verdict, ClockMS: 7}
 }
 
 // Start implements workload.Workers.
-func (w *countingWorkers) Start(context.Context, workload.Order) workload.Receipt { return w.call() }
+func (w *countingWorkers) Start(context.Context, workload.Order) workload.OrderResult {
+	return w.call()
+}
 
 // Stop implements workload.Workers.
-func (w *countingWorkers) Stop(context.Context, workload.Order) workload.Receipt { return w.call() }
+func (w *countingWorkers) Stop(context.Context, workload.Order) workload.OrderResult { return w.call() }
 
 // Poll implements workload.Workers.
 func (w *countingWorkers) Poll(_ context.Context, p workload.Poll) workload.Report {
 	r := w.call()
 	return workload.Report{
-		Verdict: r.Verdict, ClockMS: r.ClockMS, Unread: 1,
+		Verdict: r.Verdict, ClockMS: r.ClockMS, Unparsed: 1,
 		Running: []workload.Running{{Task: workload.TaskID{Job: p.Worker, Occurrence: 1, Step: 2, Index: 3}, Attempt: 4, Checkpoint: "c", Percent: 5}},
-		Ended:   []workload.Ended{{Number: 6, Task: workload.TaskID{Job: p.Worker}, Attempt: 7, Kind: workload.EndDone, Checkpoint: "d"}},
+		Ended:   []workload.Completion{{Number: 6, Task: workload.TaskID{Job: p.Worker}, Attempt: 7, Kind: workload.CompletionDone, Checkpoint: "d"}},
 	}
 }
 
@@ -226,7 +228,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newRelayNet(nil, &countingWorkers{}, 1, 1_000_000)
 		n.dropsAnswers["hub-1"], n.dropsAnswers["hub-2"] = true, true
-		done := make(chan workload.Receipt, 1)
+		done := make(chan workload.OrderResult, 1)
 		go func() { done <- n.leader.Start(t.Context(), workload.Order{Worker: "w1", Zone: "zone"}) }()
 		synctest.Wait()
 		n.leader.receiveAnswers("elsewhere", []*peerpb.WorkerAnswer{{Id: 1, Verdict: workload.VerdictDone.String()}})
--- a/internal/deployment/worker_relay.go
+++ b/internal/deployment/worker_relay.go
@@ -50,9 +50,9 @@
 	direct := i.options.Workers
 	switch call.GetOp() {
 	case opStart:
-		return receiptToProto(call.GetId(), direct.Start(ctx, orderFromProto(call)))
+		return orderResultToProto(call.GetId(), direct.Start(ctx, orderFromProto(call)))
 	case opStop:
-		return receiptToProto(call.GetId(), direct.Stop(ctx, orderFromProto(call)))
+		return orderResultToProto(call.GetId(), direct.Stop(ctx, orderFromProto(call)))
 	case opPoll:
 		return reportToProto(call.GetId(), direct.Poll(ctx, pollFromProto(call)))
 	}
@@ -138,17 +138,17 @@
 	return answer
 }
 
-func receiptToProto(id uint64, r workload.Receipt) *peerpb.WorkerAnswer {
+func orderResultToProto(id uint64, r workload.OrderResult) *peerpb.WorkerAnswer {
 	return newWorkerAnswer(id, r.Verdict, r.ClockMS, r.Err)
 }
 
-func receiptFromProto(answer *peerpb.WorkerAnswer) workload.Receipt {
-	return workload.Receipt{Verdict: workload.ParseVerdict(answer.GetVerdict()), ClockMS: answer.GetClockMs(), Err: messageError(answer)}
+func orderResultFromProto(answer *peerpb.WorkerAnswer) workload.OrderResult {
+	return workload.OrderResult{Verdict: workload.ParseVerdict(answer.GetVerdict()), ClockMS: answer.GetClockMs(), Err: messageError(answer)}
 }
 
 func reportToProto(id uint64, r workload.Report) *peerpb.WorkerAnswer {
 	answer := newWorkerAnswer(id, r.Verdict, r.ClockMS, r.Err)
-	answer.Unread = int32(r.Unread)
+	answer.Unread = int32(r.Unparsed)
 	for _, running := range r.Running {
 		answer.Running = append(answer.Running, &peerpb.RunningTask{
 			Task: taskToProto(running.Task), Attempt: running.Attempt, Checkpoint: running.Checkpoint, Percent: int32(running.Percent),
@@ -164,7 +164,7 @@
 
 func reportFromProto(answer *peerpb.WorkerAnswer) workload.Report {
 	r := workload.Report{
-		Verdict: workload.ParseVerdict(answer.GetVerdict()), ClockMS: answer.GetClockMs(), Unread: int(answer.GetUnread()), Err: messageError(answer),
+		Verdict: workload.ParseVerdict(answer.GetVerdict()), ClockMS: answer.GetClockMs(), Unparsed: int(answer.GetUnread()), Err: messageError(answer),
 	}
 	for _, running := range answer.GetRunning() {
 		r.Running = append(r.Running, workload.Running{
@@ -172,8 +172,8 @@
 		})
 	}
 	for _, e := range answer.GetEnded() {
-		r.Ended = append(r.Ended, workload.Ended{
-			Number: e.GetNumber(), Task: taskFromProto(e.GetTask()), Attempt: e.GetAttempt(), Kind: workload.EndKind(e.GetKind()), Checkpoint: e.GetCheckpoint(),
+		r.Ended = append(r.Ended, workload.Completion{
+			Number: e.GetNumber(), Task: taskFromProto(e.GetTask()), Attempt: e.GetAttempt(), Kind: workload.CompletionKind(e.GetKind()), Checkpoint: e.GetCheckpoint(),
 		})
 	}
 	return r
--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -15,7 +15,7 @@
 	// refused holds the workers that may not run the step.
 	refused  map[string]bool
 	inFlight bool
-	// retryAt is the earliest time at which a failed question may be repeated.
+	// retryAt is the earliest time at which a failed request may be repeated.
 	retryAt time.Time
 }
 
@@ -25,24 +25,24 @@
 }
 
 const (
-	// maxConcurrentQuestions bounds the questions in flight: the advisor answers one at a time
+	// maxConcurrentAdviceRequests bounds the requests in flight: the advisor answers one at a time
 	// and rejects requests beyond a queue of 32.
-	maxConcurrentQuestions = 4
-	// candidateFactor is the number of workers in a question per waiting task: some are refused,
+	maxConcurrentAdviceRequests = 4
+	// candidateFactor is the number of workers in a request per waiting task: some are refused,
 	// and some are full by the time the answer arrives.
 	candidateFactor = 3
-	// maxQuestionWorkers is the maximum number of workers in one question.
-	maxQuestionWorkers = 100
-	// minQuestionWorkers is the minimum number of workers in one question.
-	minQuestionWorkers = 12
+	// maxAdviceRequestWorkers is the maximum number of workers in one request.
+	maxAdviceRequestWorkers = 100
+	// minAdviceRequestWorkers is the minimum number of workers in one request.
+	minAdviceRequestWorkers = 12
 	// minTicketValidity is the remaining validity that a ticket needs for a start to be sent
 	// with it.
 	minTicketValidity = 400 * time.Millisecond
-	// questionTimeout is added to the advisor's declared decision time, for questions that wait
+	// adviceRequestTimeout is added to the advisor's declared decision time, for requests that wait
 	// in its queue.
-	questionTimeout = 2 * time.Second
-	// questionRetryPause is the pause after an unanswered question.
-	questionRetryPause = 500 * time.Millisecond
+	adviceRequestTimeout = 2 * time.Second
+	// adviceRequestRetryPause is the pause after an unanswered request.
+	adviceRequestRetryPause = 500 * time.Millisecond
 )
 
 // workersWithTicket returns the workers that the step holds a valid ticket for, and requests
@@ -71,42 +71,42 @@
 // askAdvisor requests tickets for the workers with the most free capacity.
 func (c *Core) askAdvisor(u *pendingStep, workers []*workerCapacity) {
 	a := &u.step.advice
-	if a.inFlight || c.advisorCalls >= maxConcurrentQuestions || len(workers) == 0 || c.now.Before(a.retryAt) {
+	if a.inFlight || c.advisorCalls >= maxConcurrentAdviceRequests || len(workers) == 0 || c.now.Before(a.retryAt) {
 		return
 	}
 	slices.SortStableFunc(workers, func(x, y *workerCapacity) int {
 		return cmp.Compare(c.slots(u, y, y.free), c.slots(u, x, x.free))
 	})
-	n := min(max(candidateFactor*len(u.tasks), minQuestionWorkers), maxQuestionWorkers, len(workers))
-	question := workload.Question{Step: u.tasks[0].id()}
+	n := min(max(candidateFactor*len(u.tasks), minAdviceRequestWorkers), maxAdviceRequestWorkers, len(workers))
+	request := workload.AdviceRequest{Step: u.tasks[0].id()}
 	for _, r := range workers[:n] {
-		question.Workers = append(question.Workers, r.ID)
+		request.Workers = append(request.Workers, r.ID)
 	}
 	decisionTime := u.queue.Advice.DecisionMS + u.queue.Advice.PerItemMS*int64(n)
-	question.Within = questionTimeout + time.Duration(decisionTime)*time.Millisecond
+	request.Timeout = adviceRequestTimeout + time.Duration(decisionTime)*time.Millisecond
 	a.inFlight = true
 	c.advisorCalls++
-	c.actions = append(c.actions, Action{Kind: ActAsk, Ask: question})
+	c.actions = append(c.actions, Action{Kind: ActAsk, Ask: request})
 }
 
 // Advised processes the advisor's answer.
-func (c *Core) Advised(question workload.Question, answer workload.Counsel, now time.Time, wallMS int64) {
+func (c *Core) Advised(request workload.AdviceRequest, answer workload.AdviceResponse, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	c.advisorCalls--
-	t := c.task(question.Step)
+	t := c.task(request.Step)
 	if t == nil {
 		return
 	}
 	a := &t.step.advice
 	a.inFlight = false
 	if answer.Err != nil {
-		a.retryAt = now.Add(questionRetryPause)
+		a.retryAt = now.Add(adviceRequestRetryPause)
 		return
 	}
 	if a.tickets == nil {
 		a.tickets, a.refused = make(map[string]ticket), make(map[string]bool)
 	}
-	for _, w := range question.Workers {
+	for _, w := range request.Workers {
 		a.refused[w] = true
 	}
 	for _, allowed := range answer.Allowed {
--- a/internal/dispatch/advice_test.go
+++ b/internal/dispatch/advice_test.go
@@ -10,24 +10,24 @@
 )
 
 // newAdvisedBench returns a bench whose batch queue has an advisor that allows the given
-// workers, and the number of questions it was asked.
+// workers, and the number of requests it received.
 func newAdvisedBench(t *testing.T, allowed ...string) (*bench, *int) {
 	b := newBench(t, 4, false)
 	config := testConfig()
-	config.Queues[1].Advice = &workload.Advice{DecisionMS: 10, PerItemMS: 1, ValidityMS: 1000}
+	config.Queues[1].Advice = &workload.AdvisorTiming{DecisionMS: 10, PerItemMS: 1, ValidityMS: 1000}
 	b.core.Configure(config)
 	questions := 0
-	b.advise = func(q workload.Question) workload.Counsel {
+	b.advise = func(q workload.AdviceRequest) workload.AdviceResponse {
 		questions++
-		counsel := workload.Counsel{ValidFor: time.Second}
+		response := workload.AdviceResponse{ValidFor: time.Second}
 		for _, named := range q.Workers {
 			for _, w := range allowed {
 				if named == w {
-					counsel.Allowed = append(counsel.Allowed, workload.Ticket{Worker: w, Ticket: "t-" + w})
+					response.Allowed = append(response.Allowed, workload.Ticket{Worker: w, Ticket: "t-" + w})
 				}
 			}
 		}
-		return counsel
+		return response
 	}
 	return b, &questions
 }
@@ -47,7 +47,7 @@
 	b.advance(300 * time.Millisecond)
 	first := *questions
 	b.advance(1500 * time.Millisecond) // the second task waits, and the ticket expires
-	b.endAll(workload.EndDone)
+	b.endAll(workload.CompletionDone)
 	b.advance(500 * time.Millisecond)
 	assert.Equal(t, b.runningOf("job"), 1, "the second task runs on the one allowed worker")
 	assert.Assert(t, *questions > first, "the ticket had expired")
@@ -56,9 +56,9 @@
 
 func TestUnansweredAdvisorIsAskedAgainAfterAPause(t *testing.T) {
 	b, questions := newAdvisedBench(t)
-	b.advise = func(workload.Question) workload.Counsel {
+	b.advise = func(workload.AdviceRequest) workload.AdviceResponse {
 		*questions++
-		return workload.Counsel{Err: workload.ErrNotDone}
+		return workload.AdviceResponse{Err: workload.ErrNotDone}
 	}
 	b.add(singleJob("job", "batch", "other", 1, 1))
 	b.advance(2 * time.Second)
--- a/internal/dispatch/begins_test.go
+++ b/internal/dispatch/begins_test.go
@@ -94,7 +94,7 @@
 			b.core.AddJob(job, Record{Began: c.started}, false, b.now, b.wallMS)
 			b.advance(500 * time.Millisecond)
 			assert.Equal(t, b.starts, c.starts)
-			b.advance(testBounds.LongestLease + 2*time.Second)
+			b.advance(testBounds.MaxLease + 2*time.Second)
 			assert.Equal(t, b.starts, 1)
 		})
 	}
--- a/internal/dispatch/choices.go
+++ b/internal/dispatch/choices.go
@@ -144,7 +144,7 @@
 func (c *Core) scarcestIsCPU(pool string) bool {
 	var all, free workload.Resources
 	for _, r := range c.pools[pool] {
-		all, free = all.Add(r.Room), free.Add(r.free)
+		all, free = all.Add(r.Capacity), free.Add(r.free)
 	}
 	return all.MilliCPU > 0 && all.Accelerators > 0 &&
 		float64(free.MilliCPU)/float64(all.MilliCPU) < float64(free.Accelerators)/float64(all.Accelerators)
@@ -159,9 +159,9 @@
 // imbalance returns the difference, in thousandths, between the shares of processors and of
 // accelerators that a worker has left after a task.
 func imbalance(u *pendingStep, r *workerCapacity) int64 {
-	left := r.free.Sub(u.step.spec.Counted())
-	cpu := 1000 * left.MilliCPU / max(r.Room.MilliCPU, 1)
-	accelerators := 1000 * left.Accelerators / max(r.Room.Accelerators, 1)
+	left := r.free.Sub(u.step.spec.CountedResources())
+	cpu := 1000 * left.MilliCPU / max(r.Capacity.MilliCPU, 1)
+	accelerators := 1000 * left.Accelerators / max(r.Capacity.Accelerators, 1)
 	return max(cpu-accelerators, accelerators-cpu)
 }
 
--- a/internal/dispatch/choices_test.go
+++ b/internal/dispatch/choices_test.go
@@ -49,7 +49,7 @@
 					assert.Equal(t, b.runningOf(fmt.Sprint("urgent-", n)), 3)
 				}
 				for range 12 {
-					b.endAll(workload.EndDone)
+					b.endAll(workload.CompletionDone)
 					b.advance(time.Second)
 				}
 				for n := range 4 {
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -87,7 +87,7 @@
 // still ending.
 func (c *Core) applyRestartClaims(pools map[string][]*workerCapacity) {
 	for _, s := range c.restarting {
-		need := s.spec.Counted()
+		need := s.spec.CountedResources()
 		for _, r := range pools[c.config.Queue(s.job.Queue).Pool] {
 			for _, place := range s.claim.places {
 				if place.worker != r.worker {
@@ -128,7 +128,7 @@
 	var list []*workerCapacity
 	for _, place := range u.step.claim.places {
 		r := byWorker[place.worker]
-		if r == nil || !r.freeSoon.Holds(u.step.spec.Counted().Times(place.slots)) || len(c.eligible(u, []*workerCapacity{r})) == 0 {
+		if r == nil || !r.freeSoon.Contains(u.step.spec.CountedResources().Times(place.slots)) || len(c.eligible(u, []*workerCapacity{r})) == 0 {
 			return nil
 		}
 		for range place.slots {
@@ -144,7 +144,7 @@
 // releaseClaim makes a step's claimed capacity available again so that the step itself can be
 // placed.
 func (u *pendingStep) releaseClaim() {
-	need := u.step.spec.Counted()
+	need := u.step.spec.CountedResources()
 	for _, r := range u.claimedCapacity {
 		r.freeSoon, r.free = r.freeSoon.Add(need), r.free.Add(need)
 	}
@@ -157,7 +157,7 @@
 		needed[r] = needed[r].Add(need)
 	}
 	for r, sum := range needed {
-		if !r.free.Holds(sum) {
+		if !r.free.Contains(sum) {
 			return false
 		}
 	}
--- a/internal/dispatch/claim_test.go
+++ b/internal/dispatch/claim_test.go
@@ -16,7 +16,7 @@
 	b.add(singleJob("batch", "batch", "other", 8*workers, 1))
 	b.advance(time.Second)
 	assert.Equal(t, b.running(), 8*workers)
-	b.stopTakes = testBounds.StopTime
+	b.stopTakes = testBounds.MaxStopTime
 	return b
 }
 
@@ -34,9 +34,9 @@
 	// Two more arrive, due before the first, while its victims are being stopped.
 	b.add(urgentGang("second", 1, time.Second))
 	b.add(urgentGang("third", 1, time.Second))
-	b.advance(testBounds.StopTime)
+	b.advance(testBounds.MaxStopTime)
 	assert.Equal(t, b.runningOf("first"), 3)
-	b.advance(testBounds.StopTime)
+	b.advance(testBounds.MaxStopTime)
 	assert.Equal(t, b.runningOf("second")+b.runningOf("third"), 2)
 	assert.Equal(t, b.stops, 40, "every preemption leads to a start")
 }
@@ -67,13 +67,13 @@
 
 	first, second := b.workers["w00"], b.workers["w01"]
 	for key := range first.running {
-		b.endRun(first, key.task, key.attempt, workload.EndFailed)
+		b.endRun(first, key.task, key.attempt, workload.CompletionFailed)
 	}
 	b.unresponsive["w01"] = true // its member's completion arrives later
 	b.advance(100 * time.Millisecond)
 	b.unresponsive["w01"] = false
 	for key := range second.running {
-		b.endRun(second, key.task, key.attempt, workload.EndBroken)
+		b.endRun(second, key.task, key.attempt, workload.CompletionInterrupted)
 	}
 	b.advance(time.Second)
 	assert.Equal(t, b.runningOf("urgent"), 2)
@@ -87,7 +87,7 @@
 	b.advance(500 * time.Millisecond)
 	for _, w := range b.workers {
 		for key := range w.running {
-			b.endRun(w, key.task, key.attempt, workload.EndFailed)
+			b.endRun(w, key.task, key.attempt, workload.CompletionFailed)
 		}
 	}
 	b.core.Cancel("other", b.now, b.wallMS)
@@ -96,10 +96,10 @@
 	b.advance(500 * time.Millisecond)
 	s := b.core.jobs["urgent"].steps[0]
 	for key := range b.workers["w00"].running {
-		b.endRun(b.workers["w00"], key.task, key.attempt, workload.EndFailed)
+		b.endRun(b.workers["w00"], key.task, key.attempt, workload.CompletionFailed)
 	}
 	for key := range b.workers["w01"].running {
-		b.endRun(b.workers["w01"], key.task, key.attempt, workload.EndBroken)
+		b.endRun(b.workers["w01"], key.task, key.attempt, workload.CompletionInterrupted)
 	}
 	b.core.tick(b.now, b.wallMS)
 	for _, id := range []string{"w00", "w01"} {
--- a/internal/dispatch/completions.go
+++ b/internal/dispatch/completions.go
@@ -7,7 +7,7 @@
 )
 
 // receiveCompletions processes the completions that a worker lists, in their order.
-func (c *Core) receiveCompletions(w *worker, list []workload.Ended) {
+func (c *Core) receiveCompletions(w *worker, list []workload.Completion) {
 	for _, e := range list {
 		if e.Number <= w.lastCompletion {
 			continue
@@ -45,7 +45,7 @@
 }
 
 // applyCompletion applies one completion to its run, task and job.
-func (c *Core) applyCompletion(w *worker, e workload.Ended) {
+func (c *Core) applyCompletion(w *worker, e workload.Completion) {
 	t := c.task(e.Task)
 	if t == nil {
 		return
@@ -55,9 +55,9 @@
 		c.saveCheckpoint(t, e.Checkpoint)
 	}
 	switch e.Kind {
-	case workload.EndDone:
+	case workload.CompletionDone:
 		c.taskCompleted(t, r)
-	case workload.EndFailed:
+	case workload.CompletionFailed:
 		c.recordFailure(t, e.Attempt)
 	}
 	switch {
@@ -80,12 +80,12 @@
 }
 
 // runEnded removes a run that has ended.
-func (c *Core) runEnded(r *run, kind workload.EndKind) {
-	if r.checkpoint != "" && kind != workload.EndDone {
+func (c *Core) runEnded(r *run, kind workload.CompletionKind) {
+	if r.checkpoint != "" && kind != workload.CompletionDone {
 		c.saveCheckpoint(r.task, r.checkpoint)
 	}
-	if kind != workload.EndDone {
-		if kind == workload.EndFailed {
+	if kind != workload.CompletionDone {
+		if kind == workload.CompletionFailed {
 			c.claimForRestart(r)
 		}
 		c.interruptGang(r, "a member ended "+string(kind))
@@ -96,7 +96,7 @@
 // taskCompleted marks a task as done; one completed member completes the whole gang.
 func (c *Core) taskCompleted(t *task, r *run) {
 	s := t.step
-	if s.spec.Lasting || s.job.record.Final != "" {
+	if s.spec.LongRunning || s.job.record.Final != "" {
 		return
 	}
 	if r != nil && !t.done {
@@ -150,7 +150,7 @@
 func (c *Core) recordFailure(t *task, attempt int64) {
 	s := t.step
 	j := s.job
-	if s.spec.Lasting || t.done || j.record.Final != "" {
+	if s.spec.LongRunning || t.done || j.record.Final != "" {
 		return
 	}
 	if !j.record.addFailed(t.recordKey(), attempt) {
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -14,7 +14,7 @@
 	ActStart ActionKind = iota
 	ActStop
 	ActPoll
-	// ActAsk sends a question to the placement advisor.
+	// ActAsk sends a request to the placement advisor.
 	ActAsk
 	// ActReason is only logged: the reason why a step waits.
 	ActReason
@@ -29,7 +29,7 @@
 	Kind  ActionKind
 	Order workload.Order
 	Poll  workload.Poll
-	Ask   workload.Question
+	Ask   workload.AdviceRequest
 	// Sequence is the event sequence at which a poll was sent. Its answer is reliable only for runs
 	// whose last order had been answered by then.
 	Sequence uint64
@@ -151,7 +151,7 @@
 	// waiting counts the steps that waited in the last round, by priority.
 	waiting   map[int]int
 	estimates estimates
-	// advisorCalls counts the questions to the advisor in flight.
+	// advisorCalls counts the requests to the advisor in flight.
 	advisorCalls int
 	// watching is set while polls must not extend leases.
 	watching bool
@@ -185,7 +185,7 @@
 	}
 	if !earlierOrdersUntil.IsZero() {
 		c.earlierOrdersUntil = earlierOrdersUntil
-		c.definitelyStoppedAt = earlierOrdersUntil.Add(maxElapsed(bounds.LongestLease) + bounds.StopTime)
+		c.definitelyStoppedAt = earlierOrdersUntil.Add(maxElapsed(bounds.MaxLease) + bounds.MaxStopTime)
 	}
 	return c
 }
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -38,7 +38,7 @@
 	// stopTakes is how long a run continues after its stop was answered.
 	stopTakes time.Duration
 	// advise is the placement advisor.
-	advise  func(workload.Question) workload.Counsel
+	advise  func(workload.AdviceRequest) workload.AdviceResponse
 	tickets map[string]bool
 	// reasons are the logged reasons of waiting steps.
 	reasons []string
@@ -49,7 +49,7 @@
 type fakeWorker struct {
 	capacity workload.Resources
 	running  map[runKey]*fakeRun
-	ended    []workload.Ended
+	ended    []workload.Completion
 	number   int64
 	closed   map[workload.TaskID]int64
 	// leaseUntilMS is the time, on the worker's clock, until which its runs may continue.
@@ -65,8 +65,8 @@
 }
 
 var testBounds = workload.Bounds{
-	LongestLease: 6 * time.Second, StopTime: 200 * time.Millisecond, Reclaim: 2700 * time.Millisecond,
-	StatusKept: 2 * time.Minute, RemoteFactor: 3,
+	MaxLease: 6 * time.Second, MaxStopTime: 200 * time.Millisecond, MaxReclaimTime: 2700 * time.Millisecond,
+	StatusRetention: 2 * time.Minute, RemoteFactor: 3,
 }
 
 var testStart = time.Unix(1_000_000, 0)
@@ -92,8 +92,8 @@
 	config := &workload.Configuration{
 		Version: 1,
 		Queues: []workload.Queue{
-			{Name: "urgent", Pool: "pool", Priority: 0, Attempts: 2, Stretch: 1.5, GraceMS: 250},
-			{Name: "batch", Pool: "pool", Priority: 2, Attempts: 2, Stretch: 3, GraceMS: 3000},
+			{Name: "urgent", Pool: "pool", Priority: 0, Attempts: 2, LatencyFactor: 1.5, GracePeriodMS: 250},
+			{Name: "batch", Pool: "pool", Priority: 2, Attempts: 2, LatencyFactor: 3, GracePeriodMS: 3000},
 		},
 		Accounts: []workload.Account{{Name: "acme", Guaranteed: workload.Resources{Accelerators: 16}}, {Name: "other"}},
 	}
@@ -117,7 +117,7 @@
 		timeLeft, leaving := b.leavesIn[id]
 		rack := "r" + id[1:len(id)-1]
 		list = append(list, workload.Worker{
-			ID: id, Addr: id[1:], Pool: "pool", Zone: b.zones[rack], Rack: rack, Room: w.capacity, Leaving: leaving, LeavesInMS: timeLeft.Milliseconds(),
+			ID: id, Addr: id[1:], Pool: "pool", Zone: b.zones[rack], Rack: rack, Capacity: w.capacity, Leaving: leaving, LeavesInMS: timeLeft.Milliseconds(),
 		})
 	}
 	b.core.Listed(list, b.now, b.wallMS)
@@ -161,11 +161,11 @@
 	}
 	w := b.workers[id]
 	if b.replaced[id] {
-		b.answerWith(a, workload.VerdictGone)
+		b.answerWith(a, workload.VerdictOtherIncarnation)
 		return
 	}
 	if b.refusing[id] {
-		b.answerWith(a, workload.VerdictClosed)
+		b.answerWith(a, workload.VerdictConnectionRefused)
 		return
 	}
 	if w == nil || b.unresponsive[id] || a.Kind == ActStop && b.dropStops != nil && b.dropStops() {
@@ -184,10 +184,10 @@
 		if r := w.running[runKey{a.Order.Task, a.Order.Attempt}]; r != nil && b.stopTakes > 0 {
 			r.stopAt = b.now.Add(b.stopTakes)
 		} else {
-			b.endRun(w, a.Order.Task, a.Order.Attempt, workload.EndStopped)
+			b.endRun(w, a.Order.Task, a.Order.Attempt, workload.CompletionStopped)
 		}
 		w.closed[a.Order.Task] = max(w.closed[a.Order.Task], a.Order.Attempt)
-		b.core.StopAnswered(a.Order, workload.Receipt{ClockMS: b.workerClock()}, b.now, b.wallMS)
+		b.core.StopAnswered(a.Order, workload.OrderResult{ClockMS: b.workerClock()}, b.now, b.wallMS)
 	case ActPoll:
 		b.core.PollAnswered(a, b.report(w, a.Poll), b.now, b.wallMS)
 	}
@@ -196,38 +196,38 @@
 func (b *bench) answerWith(a Action, verdict workload.Verdict) {
 	switch a.Kind {
 	case ActStart:
-		b.core.StartAnswered(a.Order, workload.Receipt{Verdict: verdict}, b.now, b.wallMS)
+		b.core.StartAnswered(a.Order, workload.OrderResult{Verdict: verdict}, b.now, b.wallMS)
 	case ActStop:
-		b.core.StopAnswered(a.Order, workload.Receipt{Verdict: verdict}, b.now, b.wallMS)
+		b.core.StopAnswered(a.Order, workload.OrderResult{Verdict: verdict}, b.now, b.wallMS)
 	case ActPoll:
 		b.core.PollAnswered(a, workload.Report{Verdict: verdict}, b.now, b.wallMS)
 	}
 }
 
 // startRun starts a run; it fails the test if the worker lacks the capacity.
-func (b *bench) startRun(w *fakeWorker, o workload.Order) workload.Receipt {
+func (b *bench) startRun(w *fakeWorker, o workload.Order) workload.OrderResult {
 	if o.Attempt <= w.closed[o.Task] {
-		return workload.Receipt{Verdict: workload.VerdictOld, ClockMS: b.workerClock()}
+		return workload.OrderResult{Verdict: workload.VerdictOld, ClockMS: b.workerClock()}
 	}
 	w.leaseUntilMS = max(w.leaseUntilMS, o.UntilMS)
-	need := b.core.task(o.Task).step.spec.Counted()
+	need := b.core.task(o.Task).step.spec.CountedResources()
 	w.running[runKey{o.Task, o.Attempt}] = &fakeRun{need: need, startedAt: b.now, checkpoint: o.Checkpoint}
 	var used workload.Resources
 	for _, r := range w.running {
 		used = used.Add(r.need)
 	}
-	assert.Assert(b.t, w.capacity.Holds(used), "%s exceeds its capacity: %+v", o.Worker, used)
-	return workload.Receipt{ClockMS: b.workerClock()}
+	assert.Assert(b.t, w.capacity.Contains(used), "%s exceeds its capacity: %+v", o.Worker, used)
+	return workload.OrderResult{ClockMS: b.workerClock()}
 }
 
-func (b *bench) endRun(w *fakeWorker, task workload.TaskID, attempt int64, kind workload.EndKind) {
+func (b *bench) endRun(w *fakeWorker, task workload.TaskID, attempt int64, kind workload.CompletionKind) {
 	key := runKey{task, attempt}
 	if w.running[key] == nil {
 		return
 	}
 	delete(w.running, key)
 	w.number++
-	w.ended = append(w.ended, workload.Ended{Number: w.number, Task: task, Attempt: attempt, Kind: kind})
+	w.ended = append(w.ended, workload.Completion{Number: w.number, Task: task, Attempt: attempt, Kind: kind})
 }
 
 func (b *bench) report(w *fakeWorker, poll workload.Poll) workload.Report {
@@ -248,7 +248,7 @@
 }
 
 // endAll ends all runs on all workers.
-func (b *bench) endAll(kind workload.EndKind) {
+func (b *bench) endAll(kind workload.CompletionKind) {
 	for _, w := range b.workers {
 		for key := range w.running {
 			b.endRun(w, key.task, key.attempt, kind)
@@ -270,7 +270,7 @@
 	for _, w := range b.workers {
 		for key, r := range w.running {
 			if !r.stopAt.IsZero() && !b.now.Before(r.stopAt) {
-				b.endRun(w, key.task, key.attempt, workload.EndStopped)
+				b.endRun(w, key.task, key.attempt, workload.CompletionStopped)
 			}
 		}
 	}
@@ -321,7 +321,7 @@
 	b.add(gangJob("b", "batch", "other", 2, 8))
 	b.advance(200 * time.Millisecond)
 	assert.Equal(t, b.running(), 3, "no member of the second gang may start")
-	b.endAll(workload.EndDone)
+	b.endAll(workload.CompletionDone)
 	b.advance(2 * time.Second)
 	assert.Equal(t, b.finalState("a"), FinalCompleted)
 	assert.Equal(t, b.running(), 2)
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -206,7 +206,7 @@
 // settleUnresponsive counts a worker as crashed once it has not responded for longer than the
 // longest lease since its runs were lost: nothing more will be learned about it in time.
 func (c *Core) settleUnresponsive(w *worker) {
-	if len(w.lostAttempts) > 0 && c.now.Sub(w.lostAttempts[0].lostAt) > maxElapsed(c.bounds.LongestLease) {
+	if len(w.lostAttempts) > 0 && c.now.Sub(w.lostAttempts[0].lostAt) > maxElapsed(c.bounds.MaxLease) {
 		c.settleLostAttempts(w, true)
 	}
 }
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -75,7 +75,7 @@
 			}
 			if a.Kind == ActStart && c.dropAnswer != nil && c.dropAnswer(a.Order) {
 				c.startRun(c.workers[a.Order.Worker], a.Order)
-				c.core.StartAnswered(a.Order, workload.Receipt{Verdict: workload.VerdictUnknown}, c.now, c.wallMS)
+				c.core.StartAnswered(a.Order, workload.OrderResult{Verdict: workload.VerdictUnknown}, c.now, c.wallMS)
 				continue
 			}
 			c.execute(a)
@@ -117,7 +117,7 @@
 				c.crashesOf[key.task]++
 				c.crash(id)
 			case c.now.Sub(r.startedAt) >= c.runTime && c.gangIsComplete(key):
-				c.endRun(w, key.task, key.attempt, workload.EndDone)
+				c.endRun(w, key.task, key.attempt, workload.CompletionDone)
 			}
 		}
 	}
@@ -332,7 +332,7 @@
 		ran   time.Duration
 	}{
 		"another incarnation answers":            {func(b *crashBench) { b.crash("w00") }, LossReplaced, 3 * time.Second},
-		"unresponsive for longer than its lease": {func(b *crashBench) { b.unresponsive["w00"] = true }, LossUnresponsive, testBounds.LongestLease},
+		"unresponsive for longer than its lease": {func(b *crashBench) { b.unresponsive["w00"] = true }, LossUnresponsive, testBounds.MaxLease},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newCrashBench(t, 1, noTask)
@@ -356,10 +356,10 @@
 	for name, meanwhile := range map[string]func(c *crashBench, key runKey, host *fakeWorker){
 		"it runs": func(*crashBench, runKey, *fakeWorker) {},
 		"it ended": func(c *crashBench, key runKey, host *fakeWorker) {
-			c.endRun(host, key.task, key.attempt, workload.EndDone)
+			c.endRun(host, key.task, key.attempt, workload.CompletionDone)
 		},
 		"its lease expired": func(c *crashBench, key runKey, host *fakeWorker) {
-			c.endRun(host, key.task, key.attempt, workload.EndLapsed)
+			c.endRun(host, key.task, key.attempt, workload.CompletionExpired)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -397,11 +397,11 @@
 		}
 	}
 	assert.Equal(t, len(starts), 3)
-	gone := workload.Receipt{Verdict: workload.VerdictGone}
+	gone := workload.OrderResult{Verdict: workload.VerdictOtherIncarnation}
 	poll := Action{Kind: ActPoll, Poll: workload.Poll{Worker: "w00"}}
 	for _, a := range starts {
 		b.core.StartAnswered(a.Order, gone, b.now, b.wallMS)
-		b.core.PollAnswered(poll, workload.Report{Verdict: workload.VerdictGone}, b.now, b.wallMS)
+		b.core.PollAnswered(poll, workload.Report{Verdict: workload.VerdictOtherIncarnation}, b.now, b.wallMS)
 	}
 	assert.Equal(t, len(b.core.jobs["job"].record.Crashed), 0)
 	assert.Equal(t, b.core.jobs["job"].runs, 0)
--- a/internal/dispatch/drain_test.go
+++ b/internal/dispatch/drain_test.go
@@ -77,7 +77,7 @@
 	b.advance(8 * time.Second)
 	assert.Equal(t, b.stops, 0)
 	assert.Equal(t, b.runningIn("zone-1"), 10, "its leases are extended")
-	b.endAll(workload.EndDone)
+	b.endAll(workload.CompletionDone)
 	b.advance(time.Second)
 	assert.Equal(t, b.finalState("wide"), FinalCompleted)
 }
@@ -91,7 +91,7 @@
 			zone := b.zones["r"+b.hostOf("gang")[1:2]]
 			before := b.startsIn(zone)
 			b.drain(zone)
-			b.endAll(workload.EndFailed)
+			b.endAll(workload.CompletionFailed)
 			b.advance(2 * time.Second)
 			assert.Equal(t, b.runningOf("gang"), 10)
 			assert.Equal(t, b.startsIn(zone), before)
@@ -155,10 +155,10 @@
 	b.add(singleJob("many", "batch", "other", 60, 8))
 	for range 3 {
 		b.drain("zone-2")
-		b.endAll(workload.EndDone)
+		b.endAll(workload.CompletionDone)
 		b.advance(300 * time.Millisecond)
 		before := b.startsIn("zone-2")
-		b.endAll(workload.EndDone)
+		b.endAll(workload.CompletionDone)
 		b.advance(300 * time.Millisecond)
 		assert.Equal(t, b.startsIn("zone-2"), before)
 		b.drain()
--- a/internal/dispatch/estimate_test.go
+++ b/internal/dispatch/estimate_test.go
@@ -52,7 +52,7 @@
 		past.Steps[0].EstimateMS = []int64{1000, 9000}[n%2]
 		b.add(past)
 		b.advance(3 * time.Second)
-		b.endAll(workload.EndDone)
+		b.endAll(workload.CompletionDone)
 		b.advance(200 * time.Millisecond)
 	}
 	for _, rack := range []string{"r0", "r1"} {
@@ -62,7 +62,7 @@
 	}
 	b.advance(time.Second)
 	gang := gangJob("gang", "batch", "other", 4, 8)
-	gang.Steps[0].OneRack, gang.Steps[0].EstimateMS = true, 60_000
+	gang.Steps[0].RackSensitive, gang.Steps[0].EstimateMS = true, 60_000
 	b.add(gang)
 	b.advance(8 * time.Second)
 	assert.Equal(t, b.runningOf("gang"), 4, "three workers are free on each rack")
--- a/internal/dispatch/evacuate.go
+++ b/internal/dispatch/evacuate.go
@@ -33,15 +33,15 @@
 // progress and is therefore stopped only if it will clearly not finish here.
 func (c *Core) shouldEvacuate(r *run, timeLeft time.Duration) bool {
 	s := r.task.step.spec
-	lastChance := timeLeft <= c.bounds.StopTime+evacuationMargin
-	if s.Lasting {
+	lastChance := timeLeft <= c.bounds.MaxStopTime+evacuationMargin
+	if s.LongRunning {
 		return lastChance
 	}
 	remaining := c.estimates.remaining(r, c.now)
 	if s.Checkpoints {
-		return remaining > timeLeft || lastChance && remaining > timeLeft-c.bounds.StopTime
+		return remaining > timeLeft || lastChance && remaining > timeLeft-c.bounds.MaxStopTime
 	}
-	return remaining > overrunFactor*timeLeft+c.bounds.StopTime
+	return remaining > overrunFactor*timeLeft+c.bounds.MaxStopTime
 }
 
 // overrunFactor is the multiple of the time left on the worker that the expected remaining time of
--- a/internal/dispatch/fit.go
+++ b/internal/dispatch/fit.go
@@ -12,7 +12,7 @@
 	var list []*workerCapacity
 	spec := u.step.spec
 	for _, r := range workers {
-		if r.Has(spec.Label) && r.Room.Holds(spec.Counted()) && !r.wouldInterfere(spec) && !c.isFailing(r.worker) && !r.flapping {
+		if r.HasLabel(spec.Label) && r.Capacity.Contains(spec.CountedResources()) && !r.wouldInterfere(spec) && !c.isFailing(r.worker) && !r.flapping {
 			list = append(list, r)
 		}
 	}
@@ -34,7 +34,7 @@
 	for i, r := range workers {
 		counts[i] = c.slots(u, r, capacityOf(r))
 	}
-	if u.step.spec.OneRack {
+	if u.step.spec.RackSensitive {
 		if rack, ok := c.bestRack(u, workers, counts, n); ok {
 			return c.pick(u, workers, counts, n, func(r *workerCapacity) bool { return r.Rack == rack })
 		}
@@ -62,7 +62,7 @@
 	if maxPerWorker := u.step.spec.MaxPerWorker; maxPerWorker > 0 {
 		limit = min(limit, int64(maxPerWorker-c.runsOf(u.step, r.worker)))
 	}
-	return max(free.Fits(u.step.spec.Counted(), limit), 0)
+	return max(free.CountFitting(u.step.spec.CountedResources(), limit), 0)
 }
 
 func (c *Core) runsOf(s *step, w *worker) int {
@@ -134,7 +134,7 @@
 // packing guaranteed work leaves workers that can be freed completely.
 func compareFullness(u *pendingStep, a, b *workerCapacity) int {
 	if u.rank.class == 0 {
-		left := func(r *workerCapacity) int64 { return r.Room.Accelerators - r.guaranteedUse.Accelerators }
+		left := func(r *workerCapacity) int64 { return r.Capacity.Accelerators - r.guaranteedUse.Accelerators }
 		if c := cmp.Compare(left(a), left(b)); c != 0 {
 			return c
 		}
--- a/internal/dispatch/headroom.go
+++ b/internal/dispatch/headroom.go
@@ -44,7 +44,7 @@
 // not in a queue of the highest priority, and loses its work if preempted.
 func (c *Core) mustAvoidHeadroom(u *pendingStep) bool {
 	s := u.step.spec
-	return u.queue.Priority != 0 && !s.Lasting && !s.Checkpoints
+	return u.queue.Priority != 0 && !s.LongRunning && !s.Checkpoints
 }
 
 // excludeHeadroom returns the workers without those that are kept for urgent work. Only workers
@@ -59,7 +59,7 @@
 		kept := maxKept > 0 && wanted > 0 && r.urgentOnly
 		if kept {
 			maxKept--
-			wanted -= float64(r.Room.Accelerators)
+			wanted -= float64(r.Capacity.Accelerators)
 		}
 		return kept
 	})
@@ -70,7 +70,7 @@
 func loadOf(workers []*workerCapacity) float64 {
 	var all, free workload.Resources
 	for _, r := range workers {
-		all, free = all.Add(r.Room), free.Add(r.freeSoon)
+		all, free = all.Add(r.Capacity), free.Add(r.freeSoon)
 	}
 	load := 0.0
 	if all.Accelerators > 0 {
--- a/internal/dispatch/headroom_test.go
+++ b/internal/dispatch/headroom_test.go
@@ -26,7 +26,7 @@
 			_ = id
 			for key, r := range w.running {
 				if b.now.Sub(r.startedAt) > 2900*time.Millisecond {
-					b.endRun(w, key.task, key.attempt, workload.EndDone)
+					b.endRun(w, key.task, key.attempt, workload.CompletionDone)
 				}
 			}
 		}
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -24,11 +24,11 @@
 	failingHoldOff = 5 * time.Second
 )
 
-func (h *health) recordCompletion(e workload.Ended, now time.Time) {
+func (h *health) recordCompletion(e workload.Completion, now time.Time) {
 	switch e.Kind {
-	case workload.EndDone:
+	case workload.CompletionDone:
 		h.failedJobs = nil
-	case workload.EndFailed:
+	case workload.CompletionFailed:
 		h.lastFailed = now
 		if !slices.Contains(h.failedJobs, e.Task.Job) {
 			h.failedJobs = append(h.failedJobs, e.Task.Job)
--- a/internal/dispatch/infeasible.go
+++ b/internal/dispatch/infeasible.go
@@ -15,7 +15,7 @@
 type shape struct {
 	pool, label, dataRack string
 	need                  workload.Resources
-	gang, oneRack         bool
+	gang, rackSensitive   bool
 	serving, noHeadroom   bool
 	class                 int
 }
@@ -38,11 +38,11 @@
 	if s.MaxPerWorker > 0 || u.queue.Advice != nil || u.rank.class == 0 || u.rank.urgent() {
 		return shape{}, false
 	}
-	if (s.OneRack || s.DataRack != "") && !c.lightLoadSince[u.queue.Pool].IsZero() {
+	if (s.RackSensitive || s.DataRack != "") && !c.lightLoadSince[u.queue.Pool].IsZero() {
 		return shape{}, false
 	}
 	return shape{
-		pool: u.queue.Pool, label: s.Label, dataRack: s.DataRack, need: s.Counted(), gang: s.Gang, oneRack: s.OneRack,
+		pool: u.queue.Pool, label: s.Label, dataRack: s.DataRack, need: s.CountedResources(), gang: s.Gang, rackSensitive: s.RackSensitive,
 		serving: s.TargetMS > 0, noHeadroom: c.mustAvoidHeadroom(u), class: u.rank.class,
 	}, true
 }
--- a/internal/dispatch/leases.go
+++ b/internal/dispatch/leases.go
@@ -48,14 +48,14 @@
 	c.settleCrashes()
 	c.endUnsyncedWait()
 	for _, w := range slices.Clone(c.fleet) {
-		if w.misses > 0 && len(w.runs)+len(w.unknownRuns) > 0 && w.definitelyExpired(c.now, c.bounds.StopTime) {
+		if w.misses > 0 && len(w.runs)+len(w.unknownRuns) > 0 && w.definitelyExpired(c.now, c.bounds.MaxStopTime) {
 			c.endLostRuns(w, LossUnresponsive)
 		}
 		c.settleUnresponsive(w)
 		if w.synced && !w.unlistedSince.IsZero() && len(w.runs)+len(w.unknownRuns) == 0 {
 			c.unstore(w)
 		}
-		if !w.unlistedSince.IsZero() && len(w.runs)+len(w.unknownRuns) == 0 && c.now.Sub(w.unlistedSince) > maxElapsed(c.bounds.LongestLease) &&
+		if !w.unlistedSince.IsZero() && len(w.runs)+len(w.unknownRuns) == 0 && c.now.Sub(w.unlistedSince) > maxElapsed(c.bounds.MaxLease) &&
 			(w.synced || !c.now.Before(c.definitelyStoppedAt)) {
 			c.recordLostUnsynced(w)
 			c.unstore(w)
@@ -73,7 +73,7 @@
 	for _, r := range lost {
 		c.reportLostRun(r, cause, len(lost)-1)
 		c.recordLostAttempt(r, cause)
-		c.runEnded(r, workload.EndLapsed)
+		c.runEnded(r, workload.CompletionExpired)
 	}
 }
 
--- a/internal/dispatch/leaving_test.go
+++ b/internal/dispatch/leaving_test.go
@@ -14,7 +14,7 @@
 	for _, w := range b.workers {
 		for key := range w.running {
 			if b.workerClock() > w.leaseUntilMS {
-				b.endRun(w, key.task, key.attempt, workload.EndLapsed)
+				b.endRun(w, key.task, key.attempt, workload.CompletionExpired)
 			}
 		}
 	}
@@ -28,7 +28,7 @@
 	b.advance(time.Second)
 	host = b.hostOf("gang")
 	b.announceLeaving(host, time.Minute)
-	b.advance(testBounds.LongestLease)
+	b.advance(testBounds.MaxLease)
 	b.unlisted[host], b.refusing[host] = true, true
 	b.listWorkers()
 	return b, host
@@ -48,7 +48,7 @@
 
 func TestWhatRanOnALeavingWorkerThatIsGoneRunsElsewhereSoon(t *testing.T) {
 	b, _ := newPartitionedLeavingWorker(t)
-	b.advance(maxElapsed(leavingWorkerLease) + testBounds.StopTime + 200*time.Millisecond)
+	b.advance(maxElapsed(leavingWorkerLease) + testBounds.MaxStopTime + 200*time.Millisecond)
 	assert.Equal(t, b.starts, 2)
 }
 
@@ -58,7 +58,7 @@
 	b.advance(time.Second)
 	host := b.hostOf("gang")
 	b.announceLeaving(host, time.Minute)
-	b.advance(testBounds.LongestLease)
+	b.advance(testBounds.MaxLease)
 	b.unresponsive[host] = true
 	b.advance(longPollWait + pollRetryPause) // one lost poll and the pause after it
 	b.endExpiredRuns()
--- a/internal/dispatch/order.go
+++ b/internal/dispatch/order.go
@@ -157,7 +157,7 @@
 
 func (c *Core) rankStep(u *pendingStep) {
 	j := u.step.job
-	objective := time.Duration(u.queue.Stretch*float64(c.criticalPath(j))) + time.Duration(u.queue.GraceMS)*time.Millisecond
+	objective := time.Duration(u.queue.LatencyFactor*float64(c.criticalPath(j))) + time.Duration(u.queue.GracePeriodMS)*time.Millisecond
 	earliestStart := c.earliestStart(u.step)
 	u.dueBy = earliestStart.Add(objective)
 	u.worthlessAfter = earliestStart.Add(lateFactor * objective)
@@ -166,7 +166,7 @@
 		u.rank.class = 0
 	}
 	switch completion := c.now.Add(u.duration); {
-	case u.step.spec.Lasting:
+	case u.step.spec.LongRunning:
 	case completion.After(u.worthlessAfter):
 		u.rank.timeliness = worthless
 	case completion.After(u.dueBy):
@@ -178,10 +178,10 @@
 // accepted or the occurrence became due.
 func (c *Core) earliestStart(s *step) time.Time {
 	j := s.job
-	if j.Times == 0 {
+	if j.Repeats == 0 {
 		return j.acceptedAt
 	}
-	due := j.FirstMS + int64(s.occurrence)*j.EveryMS
+	due := j.FirstDueMS + int64(s.occurrence)*j.IntervalMS
 	return c.now.Add(time.Duration(due-c.wallMS) * time.Millisecond)
 }
 
@@ -205,7 +205,7 @@
 // ready reports whether a step may start: it is due and its preceding steps are done.
 func (c *Core) ready(s *step) bool {
 	j := s.job
-	if j.Times > 0 && c.earliestStart(s).After(c.now) {
+	if j.Repeats > 0 && c.earliestStart(s).After(c.now) {
 		return false
 	}
 	first := s.occurrence * len(j.Steps)
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -49,7 +49,7 @@
 // start orders a run of a task.
 func (c *Core) start(t *task, w *worker, attempt int64, g *gang, reason string) {
 	r := &run{
-		task: t, worker: w, attempt: attempt, state: runChart.Initial, gang: g, need: t.step.spec.Counted(), since: c.now,
+		task: t, worker: w, attempt: attempt, state: runChart.Initial, gang: g, need: t.step.spec.CountedResources(), since: c.now,
 		checkpoint: t.step.job.record.Checkpoints[t.recordKey()],
 	}
 	r.attemptRecorded = t.consumeReservedAttempt(attempt)
@@ -141,27 +141,27 @@
 // answerTarget returns the worker and the run that an answer refers to, and samples the
 // worker's clock. Both are nil if the worker has been removed; only the run is nil if the run
 // has been removed.
-func (c *Core) answerTarget(order workload.Order, receipt workload.Receipt, now time.Time, wallMS int64) (*worker, *run) {
+func (c *Core) answerTarget(order workload.Order, result workload.OrderResult, now time.Time, wallMS int64) (*worker, *run) {
 	c.tick(now, wallMS)
 	w := c.workers[order.Worker]
 	if w == nil {
 		return nil, nil
 	}
-	w.sampleClock(receipt.ClockMS, now)
+	w.sampleClock(result.ClockMS, now)
 	return w, w.runs[runKey{order.Task, order.Attempt}]
 }
 
 // StartAnswered processes the answer to a start.
-func (c *Core) StartAnswered(order workload.Order, receipt workload.Receipt, now time.Time, wallMS int64) {
-	w, r := c.answerTarget(order, receipt, now, wallMS)
+func (c *Core) StartAnswered(order workload.Order, result workload.OrderResult, now time.Time, wallMS int64) {
+	w, r := c.answerTarget(order, result, now, wallMS)
 	if r == nil && w != nil {
-		c.settleLostStart(w, runKey{order.Task, order.Attempt}, receipt.Verdict)
+		c.settleLostStart(w, runKey{order.Task, order.Attempt}, result.Verdict)
 	}
 	if r == nil {
 		return
 	}
 	c.startCallEnded(r)
-	switch receipt.Verdict {
+	switch result.Verdict {
 	case workload.VerdictDone:
 		c.resends.earn()
 		r.transition(runStarted)
@@ -177,18 +177,18 @@
 		c.markUnclear(r, "start unanswered")
 	case workload.VerdictFenced:
 		c.fenced = true
-	case workload.VerdictGone:
+	case workload.VerdictOtherIncarnation:
 		c.settleRejectedStart(r, "start not sent: its worker was replaced")
 		c.workerReplaced(w)
 	case workload.VerdictNoTicket:
 		delete(r.task.step.advice.tickets, w.ID)
-		c.settleRejectedStart(r, "start rejected: "+receipt.Verdict.String())
-	case workload.VerdictUnsent, workload.VerdictClosed:
+		c.settleRejectedStart(r, "start rejected: "+result.Verdict.String())
+	case workload.VerdictUnsent, workload.VerdictConnectionRefused:
 		c.recordMiss(w)
-		c.settleRejectedStart(r, "start not sent: "+receipt.Verdict.String())
+		c.settleRejectedStart(r, "start not sent: "+result.Verdict.String())
 	default:
 		w.recordRefusal(now)
-		c.settleRejectedStart(r, "start rejected: "+receipt.Verdict.String())
+		c.settleRejectedStart(r, "start rejected: "+result.Verdict.String())
 	}
 }
 
@@ -218,12 +218,12 @@
 }
 
 // StopAnswered processes the answer to a stop.
-func (c *Core) StopAnswered(order workload.Order, receipt workload.Receipt, now time.Time, wallMS int64) {
-	w, r := c.answerTarget(order, receipt, now, wallMS)
+func (c *Core) StopAnswered(order workload.Order, result workload.OrderResult, now time.Time, wallMS int64) {
+	w, r := c.answerTarget(order, result, now, wallMS)
 	if w == nil {
 		return
 	}
-	switch receipt.Verdict {
+	switch result.Verdict {
 	case workload.VerdictDone, workload.VerdictOld:
 		c.resends.earn()
 		if r != nil {
@@ -233,7 +233,7 @@
 		}
 	case workload.VerdictFenced:
 		c.fenced = true
-	case workload.VerdictGone:
+	case workload.VerdictOtherIncarnation:
 		c.workerReplaced(w)
 	default:
 		c.recordMiss(w)
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -93,7 +93,7 @@
 		c.startOrStore(u, places)
 		return true
 	}
-	if allFree(u.claimedCapacity, u.step.spec.Counted()) {
+	if allFree(u.claimedCapacity, u.step.spec.CountedResources()) {
 		c.startOrStore(u, u.claimedCapacity)
 		return true
 	}
@@ -152,7 +152,7 @@
 		if g == nil {
 			attempt = c.nextAttemptOf(u.tasks[i : i+1])
 		}
-		need := u.step.spec.Counted()
+		need := u.step.spec.CountedResources()
 		r.free = r.free.Sub(need)
 		r.freeSoon = r.freeSoon.Sub(need)
 		if u.step.job.guaranteed {
--- a/internal/dispatch/place_test.go
+++ b/internal/dispatch/place_test.go
@@ -53,7 +53,7 @@
 			b.advance(time.Second)
 			assert.Equal(t, b.running(), 18)
 			urgent := gangJob("urgent", "urgent", account, 2, 8)
-			urgent.Steps[0].OneRack = true
+			urgent.Steps[0].RackSensitive = true
 			// One worker is free in each rack: the gang would fit across both.
 			b.add(urgent)
 			b.advance(time.Second)
@@ -83,7 +83,7 @@
 	b.advance(time.Second)
 	b.add(gangJob("first", "urgent", "acme", 1, 8))
 	b.add(singleJob("second", "urgent", "acme", 8, 1))
-	b.advance(testBounds.Reclaim)
+	b.advance(testBounds.MaxReclaimTime)
 	assert.Equal(t, b.runningOf("first"), 1)
 	assert.Equal(t, b.runningOf("second"), 8)
 	assert.Equal(t, b.runningOf("filler"), 16, "only the necessary runs are stopped")
@@ -98,7 +98,7 @@
 	b.add(gangJob("urgent", "urgent", "other", 1, 8)) // 4.75 s for 3 s of work
 	b.advance(400 * time.Millisecond)
 	assert.Equal(t, b.stops, 0)
-	b.endAll(workload.EndDone)
+	b.endAll(workload.CompletionDone)
 	b.advance(1500 * time.Millisecond)
 	assert.Equal(t, b.runningOf("urgent"), 1)
 	assert.Equal(t, b.stops, 0)
@@ -118,7 +118,7 @@
 func TestServingTasksShareNoWorkerWithBatchTasks(t *testing.T) {
 	b := newBench(t, 3, false)
 	serving := singleJob("serving", "batch", "other", 2, 1)
-	serving.Steps[0].TargetMS, serving.Steps[0].Lasting = 50, true
+	serving.Steps[0].TargetMS, serving.Steps[0].LongRunning = 50, true
 	b.add(serving)
 	b.advance(200 * time.Millisecond)
 	b.add(singleJob("filler", "batch", "other", 24, 1))
@@ -130,9 +130,9 @@
 func TestLongRunningTaskRestartsAfterAnyEnd(t *testing.T) {
 	b := newBench(t, 1, false)
 	job := singleJob("lasting", "batch", "other", 1, 1)
-	job.Steps[0].Lasting = true
+	job.Steps[0].LongRunning = true
 	b.add(job)
-	for _, kind := range []workload.EndKind{workload.EndDone, workload.EndFailed, workload.EndFailed, workload.EndFailed, workload.EndLapsed} {
+	for _, kind := range []workload.CompletionKind{workload.CompletionDone, workload.CompletionFailed, workload.CompletionFailed, workload.CompletionFailed, workload.CompletionExpired} {
 		b.advance(500 * time.Millisecond)
 		assert.Equal(t, b.runningOf("lasting"), 1)
 		b.endAll(kind)
@@ -148,7 +148,7 @@
 func TestOccurrencesStartWhenDueAndMayOverlap(t *testing.T) {
 	b := newBench(t, 4, false)
 	job := singleJob("timed", "batch", "other", 1, 1)
-	job.Times, job.FirstMS, job.EveryMS = 3, b.wallMS+1000, 1000
+	job.Repeats, job.FirstDueMS, job.IntervalMS = 3, b.wallMS+1000, 1000
 	b.add(job)
 	b.advance(900 * time.Millisecond)
 	assert.Equal(t, b.starts, 0)
@@ -156,7 +156,7 @@
 	assert.Equal(t, b.runningOf("timed"), 2)
 	b.advance(time.Second)
 	assert.Equal(t, b.runningOf("timed"), 3)
-	b.endAll(workload.EndDone)
+	b.endAll(workload.CompletionDone)
 	b.advance(2 * time.Second)
 	assert.Equal(t, b.finalState("timed"), FinalCompleted)
 }
@@ -166,7 +166,7 @@
 	b.add(singleJob("sick", "batch", "other", 1, 1))
 	for range 2 {
 		b.advance(400 * time.Millisecond)
-		b.endAll(workload.EndFailed)
+		b.endAll(workload.CompletionFailed)
 	}
 	b.advance(400 * time.Millisecond)
 	assert.Equal(t, b.finalState("sick"), FinalFailed)
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -166,9 +166,9 @@
 // leaseFor returns by how much a poll extends the lease of the runs on a worker.
 func (c *Core) leaseFor(w *worker) time.Duration {
 	if w.Leaving {
-		return min(leavingWorkerLease, c.bounds.LongestLease)
+		return min(leavingWorkerLease, c.bounds.MaxLease)
 	}
-	return c.bounds.LongestLease
+	return c.bounds.MaxLease
 }
 
 // PollAnswered processes a worker's answer to a poll that was sent as the given action.
@@ -189,7 +189,7 @@
 	case workload.VerdictFenced:
 		c.fenced = true
 		return
-	case workload.VerdictGone:
+	case workload.VerdictOtherIncarnation:
 		c.workerReplaced(w)
 		return
 	default:
@@ -200,12 +200,12 @@
 	if !w.synced {
 		// Earlier epochs may have granted the longest lease until this moment; from now on the
 		// worker rejects them.
-		w.extendLease(w.clockMS + c.bounds.LongestLease.Milliseconds())
+		w.extendLease(w.clockMS + c.bounds.MaxLease.Milliseconds())
 	}
 	c.settleLostAttempts(w, false)
 	w.misses, w.nextPollAt, w.synced = 0, time.Time{}, true
 	w.acknowledged = max(w.acknowledged, sent.Poll.Acknowledged)
-	if report.Unread > 0 {
+	if report.Unparsed > 0 {
 		c.pollBeforeWork(w) // its free capacity is unknown
 	}
 	c.receiveCompletions(w, report.Ended)
@@ -243,7 +243,7 @@
 		case !r.stopping():
 			c.markUnclear(r, "the worker no longer lists it")
 		case r.state == stRunStopped:
-			c.runEnded(r, workload.EndStopped)
+			c.runEnded(r, workload.CompletionStopped)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 	if j == nil || running.Task.Step < 0 || running.Task.Step >= len(j.Steps) {
 		c.pollBeforeWork(w)
 	} else {
-		need = j.Steps[running.Task.Step].Counted()
+		need = j.Steps[running.Task.Step].CountedResources()
 	}
 	if w.unknownRuns == nil {
 		w.unknownRuns = make(map[runKey]workload.Resources)
@@ -316,7 +316,7 @@
 		return nil
 	}
 	r := &run{
-		task: t, worker: w, attempt: running.Attempt, state: stRunRunning, need: t.step.spec.Counted(),
+		task: t, worker: w, attempt: running.Attempt, state: stRunRunning, need: t.step.spec.CountedResources(),
 		since: c.now, settledAfter: c.sequence, percent: running.Percent, initialPercent: running.Percent,
 	}
 	if t.step.spec.Gang {
--- a/internal/dispatch/rack.go
+++ b/internal/dispatch/rack.go
@@ -32,12 +32,12 @@
 // long as its start is still in time.
 func (c *Core) mayRunOffRack(u *pendingStep, workers []*workerCapacity) bool {
 	s := u.step.spec
-	if !s.OneRack && s.DataRack == "" || !c.enabled(MechRackWait) || !c.rackWillFit(u, workers) {
+	if !s.RackSensitive && s.DataRack == "" || !c.enabled(MechRackWait) || !c.rackWillFit(u, workers) {
 		return true
 	}
 	waited := c.now.Sub(u.step.readySince)
 	if u.rank.class == 0 {
-		return waited > c.bounds.Reclaim-c.bounds.StopTime-reclaimMargin
+		return waited > c.bounds.MaxReclaimTime-c.bounds.MaxStopTime-reclaimMargin
 	}
 	since := c.lightLoadSince[u.queue.Pool]
 	return !since.IsZero() && min(c.now.Sub(since), waited) > lightLoadWaitLimit
@@ -66,17 +66,17 @@
 // completion have ended. Long-running tasks have none, and overdue runs may have stalled.
 func (c *Core) expectedCapacity(u *pendingStep, r *workerCapacity) workload.Resources {
 	if u.rank.urgent() {
-		return r.Room
+		return r.Capacity
 	}
 	if !r.overdueKnown {
 		r.overdueKnown = true
 		for _, run := range r.runs {
-			if !run.stopping() && (run.task.step.spec.Lasting || c.isOverdue(run)) {
+			if !run.stopping() && (run.task.step.spec.LongRunning || c.isOverdue(run)) {
 				r.overdueUse = r.overdueUse.Add(run.need)
 			}
 		}
 	}
-	return r.Room.Sub(r.overdueUse)
+	return r.Capacity.Sub(r.overdueUse)
 }
 
 func (c *Core) isOverdue(r *run) bool {
--- a/internal/dispatch/rack_test.go
+++ b/internal/dispatch/rack_test.go
@@ -14,7 +14,7 @@
 func (b *bench) fillRacks(busy int, longRunning bool) {
 	for _, rack := range []string{"r0", "r1"} {
 		filler := singleJob("filler "+rack, "batch", "other", busy, 8)
-		filler.Steps[0].DataRack, filler.Steps[0].Lasting = rack, longRunning
+		filler.Steps[0].DataRack, filler.Steps[0].LongRunning = rack, longRunning
 		filler.Steps[0].EstimateMS = 20_000
 		b.add(filler)
 	}
@@ -47,7 +47,7 @@
 			b.fillRacks(c.busy, c.longRunning)
 			b.advance(time.Second)
 			gang := gangJob("gang", "batch", "other", c.tasks, 8)
-			gang.Steps[0].OneRack, gang.Steps[0].EstimateMS = true, 2000
+			gang.Steps[0].RackSensitive, gang.Steps[0].EstimateMS = true, 2000
 			b.add(gang)
 			b.advance(c.waited)
 			assert.Equal(t, b.racksUsed("gang"), c.racks)
@@ -63,7 +63,7 @@
 	for _, w := range b.workers {
 		for key := range w.running {
 			if key.task.Job == job {
-				b.endRun(w, key.task, key.attempt, workload.EndDone)
+				b.endRun(w, key.task, key.attempt, workload.CompletionDone)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 	b.fillRacks(8, false)
 	b.advance(time.Second)
 	gang := gangJob("gang", "batch", "other", 4, 8)
-	gang.Steps[0].OneRack, gang.Steps[0].EstimateMS = true, 2000
+	gang.Steps[0].RackSensitive, gang.Steps[0].EstimateMS = true, 2000
 	b.add(gang)
 	b.advance(8 * time.Second)
 	b.completeJob("filler r1")
--- a/internal/dispatch/repeat_test.go
+++ b/internal/dispatch/repeat_test.go
@@ -48,14 +48,14 @@
 	assert.Equal(t, len(l.dropped), 1)
 	assert.Equal(t, l.runningOf("gang"), 3, "the start was resent")
 
-	l.core.StartAnswered(l.dropped[0].Order, workload.Receipt{Verdict: workload.VerdictUnknown}, l.now, l.wallMS)
+	l.core.StartAnswered(l.dropped[0].Order, workload.OrderResult{Verdict: workload.VerdictUnknown}, l.now, l.wallMS)
 	l.advance(300 * time.Millisecond)
 	assert.Equal(t, l.runningOf("gang"), 3, "the missing answer to the first message has no effect")
 	assert.Equal(t, l.stops, 0)
 }
 
 func TestARefusedCopyDoesNotSayThatTheOtherWasNotCarriedOut(t *testing.T) {
-	for _, verdict := range []workload.Verdict{workload.VerdictOld, workload.VerdictNoRoom, workload.VerdictLate, workload.VerdictClosed} {
+	for _, verdict := range []workload.Verdict{workload.VerdictOld, workload.VerdictNoCapacity, workload.VerdictLate, workload.VerdictConnectionRefused} {
 		t.Run(verdict.String(), func(t *testing.T) {
 			l := &dropFirst{bench: newBench(t, 1, false), kind: ActStart, worker: "w00"}
 			l.advance(50 * time.Millisecond)
@@ -71,7 +71,7 @@
 			}
 			assert.Equal(t, len(copies), 2)
 			assert.DeepEqual(t, copies[0].Order, copies[1].Order)
-			l.core.StartAnswered(copies[1].Order, workload.Receipt{Verdict: verdict}, l.now, l.wallMS)
+			l.core.StartAnswered(copies[1].Order, workload.OrderResult{Verdict: verdict}, l.now, l.wallMS)
 			assert.Equal(t, l.core.jobs["gang"].runs, 1, "its capacity stays in use until a stop has closed the attempt")
 		})
 	}
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -50,16 +50,16 @@
 func (c *Core) waitForCompletions(u *pendingStep, workers []*workerCapacity, offRack bool) bool {
 	latest := u.dueBy.Add(-u.duration)
 	if u.rank.class == 0 {
-		if bound := u.step.readySince.Add(c.bounds.Reclaim - reclaimMargin); bound.Before(latest) || u.rank.timeliness != onTime {
+		if bound := u.step.readySince.Add(c.bounds.MaxReclaimTime - reclaimMargin); bound.Before(latest) || u.rank.timeliness != onTime {
 			latest = bound
 		}
 	}
-	latest = latest.Add(-c.bounds.StopTime - stopMargin)
+	latest = latest.Add(-c.bounds.MaxStopTime - stopMargin)
 	if !c.now.Before(latest) {
 		return false
 	}
 	r := c.earliestReservation(u, workers, offRack)
-	if r == nil || r.at.After(latest) || r.at.Sub(c.now) > c.bounds.StopTime+maxWaitAhead {
+	if r == nil || r.at.After(latest) || r.at.Sub(c.now) > c.bounds.MaxStopTime+maxWaitAhead {
 		return false
 	}
 	c.reserve(u, r)
@@ -69,7 +69,7 @@
 // earliestReservation returns the earliest reservation for the step, on one rack if it is bound
 // to one.
 func (c *Core) earliestReservation(u *pendingStep, workers []*workerCapacity, offRack bool) *reservation {
-	if !u.step.spec.OneRack || offRack {
+	if !u.step.spec.RackSensitive || offRack {
 		return c.earliestReservationOn(u, workers)
 	}
 	var best *reservation
@@ -123,7 +123,7 @@
 	var list []release
 	for _, r := range c.pools[pool] {
 		for _, run := range r.runs {
-			if !run.stopping() && !run.task.step.spec.Lasting {
+			if !run.stopping() && !run.task.step.spec.LongRunning {
 				list = append(list, release{r, run, c.now.Add(c.estimates.remaining(run, c.now)), run.need})
 			}
 		}
@@ -146,7 +146,7 @@
 		counts[i] = c.slots(u, r, res.futureCapacity[r])
 	}
 	for _, r := range c.pick(u, res.workers, counts, len(u.tasks), func(*workerCapacity) bool { return true }) {
-		r.reserved = r.reserved.Add(u.step.spec.Counted())
+		r.reserved = r.reserved.Add(u.step.spec.CountedResources())
 		r.reservedFrom = res.at
 	}
 }
--- a/internal/dispatch/room.go
+++ b/internal/dispatch/room.go
@@ -48,7 +48,7 @@
 		if !w.usable(c.now) || c.isSuspect(w) || c.isDrained(w) {
 			continue
 		}
-		free := w.Room.Sub(w.used).Sub(w.unknownRunsUse())
+		free := w.Capacity.Sub(w.used).Sub(w.unknownRunsUse())
 		r := &workerCapacity{worker: w, free: free, freeSoon: free, urgentOnly: true}
 		for _, run := range w.runs {
 			r.countKind(run.task.step.spec)
@@ -114,7 +114,7 @@
 // holdCapacity withholds capacity, free or being freed, from other steps for the rest of the round
 // because the given step waits for it. places has one entry per task.
 func holdCapacity(u *pendingStep, places []*workerCapacity) {
-	need := u.step.spec.Counted()
+	need := u.step.spec.CountedResources()
 	for _, r := range places {
 		r.freeSoon = r.freeSoon.Sub(need)
 		r.free = r.free.Sub(need)
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -36,7 +36,7 @@
 			assert.Equal(t, b.runningOf("after"), 0)
 			for key := range b.workers["w00"].running {
 				if key.task.Job == "before" {
-					b.endRun(b.workers["w00"], key.task, key.attempt, workload.EndDone)
+					b.endRun(b.workers["w00"], key.task, key.attempt, workload.CompletionDone)
 				}
 			}
 			b.advance(time.Second)
--- a/internal/dispatch/silence_test.go
+++ b/internal/dispatch/silence_test.go
@@ -25,8 +25,8 @@
 			}
 		}
 	}
-	b.advance(testBounds.LongestLease / 2)
+	b.advance(testBounds.MaxLease / 2)
 	assert.Equal(t, b.starts, 2, "the unresponsive worker may still run its member")
-	b.advance(testBounds.LongestLease)
+	b.advance(testBounds.MaxLease)
 	assert.Equal(t, b.starts, 4, "the wait for a worker must end")
 }
--- a/internal/dispatch/stored_test.go
+++ b/internal/dispatch/stored_test.go
@@ -22,7 +22,7 @@
 	core := New(testBounds, 2, testStart, time.Time{})
 	core.Configure(testConfig())
 	capacity := workload.Resources{MilliCPU: 8000, MemoryMB: 8000, Accelerators: 8}
-	core.Listed([]workload.Worker{{ID: "w00", Pool: "pool", Room: capacity}}, testStart, 0)
+	core.Listed([]workload.Worker{{ID: "w00", Pool: "pool", Capacity: capacity}}, testStart, 0)
 	core.AddJob(singleJob("job", "batch", "other", 1, 1), Record{}, false, testStart, 0)
 	starts := func() int {
 		count := 0
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -22,7 +22,7 @@
 func TestWorkThatMayRunUnseenWaitsForEveryWorkerOrForTheLongestLease(t *testing.T) {
 	b := newTakeoverBench(t, 0)
 	b.add(gangJob("old", "batch", "other", 1, 8))
-	b.advance(testBounds.LongestLease)
+	b.advance(testBounds.MaxLease)
 	assert.Equal(t, b.runningOf("old"), 0, "the unresponsive worker may run it")
 	b.advance(time.Second)
 	assert.Equal(t, b.runningOf("old"), 1)
@@ -74,7 +74,7 @@
 		b.execute(a)
 	}
 	b.unresponsive["w00"] = true
-	b.advance(testBounds.LongestLease - 500*time.Millisecond)
+	b.advance(testBounds.MaxLease - 500*time.Millisecond)
 	assert.Equal(t, b.starts, 0, "its lease from an earlier epoch has not expired")
 	b.advance(2 * time.Second)
 	assert.Equal(t, b.starts, 1)
--- a/internal/dispatch/victims.go
+++ b/internal/dispatch/victims.go
@@ -34,7 +34,7 @@
 				p.capacity.freeSoon = p.capacity.freeSoon.Add(victim.need)
 			}
 		}
-		need := u.step.spec.Counted().Times(p.slots)
+		need := u.step.spec.CountedResources().Times(p.slots)
 		p.capacity.freeSoon = p.capacity.freeSoon.Sub(need)
 		p.capacity.free = p.capacity.free.Sub(need)
 		u.markCrashSuspects(p.capacity)
@@ -56,7 +56,7 @@
 // A step bound to one rack stays on one rack unless only a plan across racks exists and offRack
 // is set.
 func (c *Core) cheapestPlan(u *pendingStep, workers []*workerCapacity, offRack bool) []offer {
-	if !u.step.spec.OneRack {
+	if !u.step.spec.RackSensitive {
 		plan, _ := c.cheapestPlanOn(u, workers)
 		return plan
 	}
@@ -130,7 +130,7 @@
 	var list []offer
 	cost := 0.0
 	next := 0
-	maxSlots := c.slots(u, r, r.Room)
+	maxSlots := c.slots(u, r, r.Capacity)
 	for n := int64(1); n <= maxSlots; n++ {
 		for c.slots(u, r, free) < n && next < len(victims) {
 			free = free.Add(victims[next].need)
@@ -172,7 +172,7 @@
 	if s.job.guaranteed || q == nil {
 		return false
 	}
-	if s.spec.Lasting && s.spec.MaxAway > 0 {
+	if s.spec.LongRunning && s.spec.MaxUnavailable > 0 {
 		return false
 	}
 	return u.rank.class == 0 || q.Priority > u.queue.Priority
--- a/internal/dispatch/watch_test.go
+++ b/internal/dispatch/watch_test.go
@@ -17,7 +17,7 @@
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.workers {
 		for key := range w.running {
-			b.endRun(w, key.task, key.attempt, workload.EndDone)
+			b.endRun(w, key.task, key.attempt, workload.CompletionDone)
 		}
 	}
 	starts := b.starts
--- a/internal/dispatch/witness_test.go
+++ b/internal/dispatch/witness_test.go
@@ -14,10 +14,12 @@
 func TestWhichWitnessKeepsWorkFromAWorker(t *testing.T) {
 	failedBy := func(w *worker, c *Core, jobs ...string) {
 		for _, job := range jobs {
-			w.health.recordCompletion(workload.Ended{Task: workload.TaskID{Job: job}, Kind: workload.EndFailed}, c.now)
+			w.health.recordCompletion(workload.Completion{Task: workload.TaskID{Job: job}, Kind: workload.CompletionFailed}, c.now)
 		}
 	}
-	done := func(w *worker, c *Core) { w.health.recordCompletion(workload.Ended{Kind: workload.EndDone}, c.now) }
+	done := func(w *worker, c *Core) {
+		w.health.recordCompletion(workload.Completion{Kind: workload.CompletionDone}, c.now)
+	}
 	for name, c := range map[string]struct {
 		evidence func(c *Core, w *worker)
 		getsWork bool
@@ -63,7 +65,7 @@
 	}
 	assert.Equal(t, b.starts, 1, "its run continues throughout")
 	assert.Equal(t, b.runningOf("first"), 1)
-	b.endAll(workload.EndDone)
+	b.endAll(workload.CompletionDone)
 	b.add(gangJob("both", "batch", "other", 2, 8))
 	b.advance(time.Second)
 	assert.Equal(t, b.runningOf("both"), 2, "the worker answers again")
--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -84,8 +84,8 @@
 		Gang:        random.Float64() < kind.GangShare,
 		Checkpoints: random.Float64() < kind.CheckpointShare,
 	}
-	step.OneRack = step.Gang && random.Float64() < kind.OneRackShare
-	if random.Float64() < kind.DataRackShare && !step.OneRack {
+	step.RackSensitive = step.Gang && random.Float64() < kind.OneRackShare
+	if random.Float64() < kind.DataRackShare && !step.RackSensitive {
 		step.DataRack = rackName(random.IntN(d.Zones), random.IntN(d.RacksPerZone))
 	}
 	a := &arrival{kind: kind, submitAt: at, zone: random.IntN(d.Zones), seed: random.Uint64()}
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -183,14 +183,14 @@
 		return fmt.Errorf("deployment %s: zones, racks, workers, speeds, guarantees and one kind of each class must be set", d.Name)
 	}
 	d.bounds = workload.Bounds{
-		LongestLease: milliseconds(d.LongestLeaseMS), StopTime: milliseconds(d.StopMS), Reclaim: milliseconds(d.ReclaimMS),
-		StatusKept: 2 * time.Minute, RemoteFactor: d.RemoteFactor,
+		MaxLease: milliseconds(d.LongestLeaseMS), MaxStopTime: milliseconds(d.StopMS), MaxReclaimTime: milliseconds(d.ReclaimMS),
+		StatusRetention: 2 * time.Minute, RemoteFactor: d.RemoteFactor,
 	}
 	d.config = &workload.Configuration{Version: 1}
 	for i := range d.Kinds {
 		k := &d.Kinds[i]
 		d.config.Queues = append(d.config.Queues, workload.Queue{
-			Name: k.Queue, Pool: poolName, Priority: k.Priority, Attempts: k.Attempts, Stretch: k.LatencyFactor, GraceMS: k.GracePeriodMS,
+			Name: k.Queue, Pool: poolName, Priority: k.Priority, Attempts: k.Attempts, LatencyFactor: k.LatencyFactor, GracePeriodMS: k.GracePeriodMS,
 		})
 	}
 	total := float64(d.workers()) * float64(d.Capacity.Accelerators)
@@ -221,7 +221,7 @@
 		// As on a real platform, ids carry no rack.
 		id := fmt.Sprintf("worker-%08x-%03d", xxhash.Sum64String(fmt.Sprint(n))>>32, n)
 		list = append(list, workload.Worker{
-			ID: id, Addr: id, Pool: poolName, Zone: zoneName(zone), Rack: rackName(zone, rack%d.RacksPerZone), Room: d.Capacity,
+			ID: id, Addr: id, Pool: poolName, Zone: zoneName(zone), Rack: rackName(zone, rack%d.RacksPerZone), Capacity: d.Capacity,
 		})
 	}
 	return list
--- a/internal/emulator/player.go
+++ b/internal/emulator/player.go
@@ -261,9 +261,9 @@
 func (r route) failure(timeout time.Duration) (workload.Verdict, time.Duration) {
 	switch r {
 	case routeRefused:
-		return workload.VerdictClosed, tick
+		return workload.VerdictConnectionRefused, tick
 	case routeReplaced:
-		return workload.VerdictGone, tick
+		return workload.VerdictOtherIncarnation, tick
 	}
 	return workload.VerdictUnknown, timeout
 }
@@ -275,29 +275,29 @@
 	order := action.Order
 	switch action.Kind {
 	case dispatch.ActStart:
-		receipt, after := sim.sendOrder(order, func(w *worker) { sim.executeStart(w, order) })
-		sim.deliverAfter(after, func(core *dispatch.Core) { core.StartAnswered(order, receipt, sim.clock(), sim.wallMS()) })
+		result, after := sim.sendOrder(order, func(w *worker) { sim.executeStart(w, order) })
+		sim.deliverAfter(after, func(core *dispatch.Core) { core.StartAnswered(order, result, sim.clock(), sim.wallMS()) })
 	case dispatch.ActStop:
-		receipt, after := sim.sendOrder(order, func(w *worker) { sim.executeStop(w, order, strings.HasPrefix(action.Reason, "makes room")) })
-		sim.deliverAfter(after, func(core *dispatch.Core) { core.StopAnswered(order, receipt, sim.clock(), sim.wallMS()) })
+		result, after := sim.sendOrder(order, func(w *worker) { sim.executeStop(w, order, strings.HasPrefix(action.Reason, "makes room")) })
+		sim.deliverAfter(after, func(core *dispatch.Core) { core.StopAnswered(order, result, sim.clock(), sim.wallMS()) })
 	case dispatch.ActPoll:
 		sim.sendPoll(action)
 	}
 }
 
-// sendOrder applies an order if it reaches its worker, and returns the receipt and its
+// sendOrder applies an order if it reaches its worker, and returns the result and its
 // delay.
-func (sim *simulation) sendOrder(order workload.Order, apply func(w *worker)) (workload.Receipt, time.Duration) {
+func (sim *simulation) sendOrder(order workload.Order, apply func(w *worker)) (workload.OrderResult, time.Duration) {
 	w := sim.workers[order.Worker]
 	if r := sim.routeTo(w, order.Worker); r != routeOpen {
 		verdict, after := r.failure(orderTimeout)
-		return workload.Receipt{Verdict: verdict}, after
+		return workload.OrderResult{Verdict: verdict}, after
 	}
 	if f := w.activeFault(sim.now); f != nil && f.LostOrders > 0 && sim.random.Float64() < f.LostOrders {
-		return workload.Receipt{Verdict: workload.VerdictUnknown}, orderTimeout
+		return workload.OrderResult{Verdict: workload.VerdictUnknown}, orderTimeout
 	}
 	apply(w)
-	return workload.Receipt{ClockMS: sim.wallMS()}, tick
+	return workload.OrderResult{ClockMS: sim.wallMS()}, tick
 }
 
 func (sim *simulation) sendPoll(action dispatch.Action) {
@@ -342,7 +342,7 @@
 
 // sendReport answers a poll. Completions that the poll acknowledges are dropped first.
 func (sim *simulation) sendReport(w *worker, action dispatch.Action) {
-	w.completions = slices.DeleteFunc(w.completions, func(e workload.Ended) bool { return e.Number <= action.Poll.Acknowledged })
+	w.completions = slices.DeleteFunc(w.completions, func(e workload.Completion) bool { return e.Number <= action.Poll.Acknowledged })
 	report := workload.Report{ClockMS: sim.wallMS(), Running: w.runningTasks(), Ended: slices.Clone(w.completions)}
 	sim.deliverAfter(tick, func(core *dispatch.Core) { core.PollAnswered(action, report, sim.clock(), sim.wallMS()) })
 }
@@ -400,7 +400,7 @@
 		return
 	}
 	share := minStopShare + (1-minStopShare)*sim.random.Float64()
-	r.stopAt = sim.now + time.Duration(share*float64(sim.deployment.bounds.StopTime))
+	r.stopAt = sim.now + time.Duration(share*float64(sim.deployment.bounds.MaxStopTime))
 	if preemption {
 		sim.tally.preempted++
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -59,7 +59,7 @@
 	leaseUntilMS int64
 	// runs are in the order of their starts.
 	runs                 []*run
-	completions          []workload.Ended
+	completions          []workload.Completion
 	lastCompletionNumber int64
 	// waitingPoll is a long poll that waits for a completion until pollDeadline.
 	waitingPoll  *dispatch.Action
@@ -81,7 +81,7 @@
 	if r.gang != nil && len(r.gang.members) < r.gang.size {
 		return 0
 	}
-	if step.OneRack && len(r.gang.racks) > 1 || step.DataRack != "" && step.DataRack != w.Rack {
+	if step.RackSensitive && len(r.gang.racks) > 1 || step.DataRack != "" && step.DataRack != w.Rack {
 		rate /= bounds.RemoteFactor
 	}
 	if f := w.activeFault(now); f != nil {
@@ -124,7 +124,7 @@
 			continue // it ended with another member of its gang
 		}
 		if kind := sim.advanceRun(w, r, leaseExpired); kind != "" {
-			if kind != workload.EndDone {
+			if kind != workload.CompletionDone {
 				sim.tally.recordWaste(r)
 			}
 			w.endRun(r, kind)
@@ -134,16 +134,16 @@
 
 // advanceRun moves a run forward by one tick and returns its end kind, or an empty one
 // while it runs on.
-func (sim *simulation) advanceRun(w *worker, r *run, leaseExpired bool) workload.EndKind {
+func (sim *simulation) advanceRun(w *worker, r *run, leaseExpired bool) workload.CompletionKind {
 	switch f := w.activeFault(sim.now); {
 	case leaseExpired:
-		return workload.EndLapsed
+		return workload.CompletionExpired
 	case r.stopAt > 0 && sim.now >= r.stopAt:
-		return workload.EndStopped
+		return workload.CompletionStopped
 	case r.stopAt > 0:
 		return ""
 	case f != nil && f.FailsTasks && r.startedAt >= seconds(f.From) && sim.now-r.startedAt > failDelay:
-		return workload.EndFailed
+		return workload.CompletionFailed
 	}
 	r.workDone += time.Duration(float64(tick) * w.rate(r, sim.now, &sim.deployment.bounds))
 	if every := milliseconds(sim.deployment.CheckpointMS); r.workDone-r.checkpointedWork >= every {
@@ -153,10 +153,10 @@
 	if r.failAtShare > 0 && r.workDone >= time.Duration(r.failAtShare*float64(totalWork)) {
 		// The failure is not the scheduler's fault: extend the objective.
 		r.job.objective += time.Duration(r.job.kind.LatencyFactor * float64(sim.now-r.startedAt))
-		return workload.EndFailed
+		return workload.CompletionFailed
 	}
 	if r.workDone >= totalWork && r.gang.readyToEnd(r) {
-		return workload.EndDone
+		return workload.CompletionDone
 	}
 	return ""
 }
@@ -194,7 +194,7 @@
 }
 
 // endRun ends a run and the other members of its gang, and lists their completions.
-func (w *worker) endRun(r *run, kind workload.EndKind) {
+func (w *worker) endRun(r *run, kind workload.CompletionKind) {
 	at := slices.Index(w.runs, r)
 	if at < 0 {
 		return
@@ -202,18 +202,18 @@
 	w.runs = slices.Delete(slices.Clone(w.runs), at, at+1)
 	w.lastCompletionNumber++
 	checkpoint := ""
-	if r.job.job.Steps[0].Checkpoints && kind != workload.EndDone {
-		if kind == workload.EndStopped {
+	if r.job.job.Steps[0].Checkpoints && kind != workload.CompletionDone {
+		if kind == workload.CompletionStopped {
 			r.checkpointedWork = r.workDone
 		}
 		checkpoint = encodeCheckpoint(r.checkpointedWork)
 	}
-	w.completions = append(w.completions, workload.Ended{Number: w.lastCompletionNumber, Task: r.key.task, Attempt: r.key.attempt, Kind: kind, Checkpoint: checkpoint})
+	w.completions = append(w.completions, workload.Completion{Number: w.lastCompletionNumber, Task: r.key.task, Attempt: r.key.attempt, Kind: kind, Checkpoint: checkpoint})
 	if g := r.gang; g != nil && !g.ended {
 		g.ended = true
 		rest := kind
-		if kind != workload.EndDone {
-			rest = workload.EndBroken
+		if kind != workload.CompletionDone {
+			rest = workload.CompletionInterrupted
 		}
 		for _, m := range g.members {
 			m.worker.endRun(m.run, rest)
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -117,7 +117,7 @@
 func (h *history) criticalPath() time.Duration {
 	longest := make(map[string]time.Duration)
 	for _, r := range h.runOrder {
-		if r.endKind == "done" {
+		if r.completionKind == "done" {
 			longest[r.step] = max(longest[r.step], h.taskWork(r))
 		}
 	}
@@ -133,10 +133,10 @@
 func (h *history) taskWork(done *run) time.Duration {
 	sum := done.to.Sub(done.from)
 	for _, r := range h.runOrder {
-		if r == done || r.task != done.task || r.endKind == "" {
+		if r == done || r.task != done.task || r.completionKind == "" {
 			continue
 		}
-		if r.endKind == "failed" || done.resumed && r.from.Before(done.from) && r.endKind != "not started" {
+		if r.completionKind == "failed" || done.resumed && r.from.Before(done.from) && r.completionKind != "not started" {
 			sum += r.to.Sub(r.from)
 		}
 	}
@@ -149,11 +149,11 @@
 	moments := []time.Time{h.acceptedAt, ended}
 	lastEnd := h.acceptedAt
 	for _, r := range h.runOrder {
-		if r.endKind == "" {
+		if r.completionKind == "" {
 			r.to = ended
 		}
 		moments = append(moments, r.from, r.to)
-		if r.endKind == "done" && r.to.After(lastEnd) {
+		if r.completionKind == "done" && r.to.After(lastEnd) {
 			lastEnd = r.to
 		}
 	}
@@ -181,7 +181,7 @@
 		if !r.contains(at) {
 			continue
 		}
-		if r.endKind == "done" || r.endKind == "" {
+		if r.completionKind == "done" || r.completionKind == "" {
 			return CauseRun
 		}
 		wastedRun = true
--- a/internal/losses/timeline.go
+++ b/internal/losses/timeline.go
@@ -68,9 +68,9 @@
 // run is one run of a task.
 type run struct {
 	timeRange
-	// endKind is the kind of its completion, or "not started" if the order to start it was
+	// completionKind is the kind of its completion, or "not started" if the order to start it was
 	// not carried out; empty while it is running.
-	endKind string
+	completionKind string
 	// task and step identify what ran; all members of a gang end together.
 	task, step string
 	// resumed reports whether it continued from a checkpoint of an earlier run.
@@ -185,16 +185,16 @@
 }
 
 func (h *history) applyRefusedOrder(l *line) {
-	if r := h.runs[runKey(l)]; r != nil && r.endKind == "" && l.fields["order"] == "start" {
-		r.to, r.endKind = l.at, "not started"
+	if r := h.runs[runKey(l)]; r != nil && r.completionKind == "" && l.fields["order"] == "start" {
+		r.to, r.completionKind = l.at, "not started"
 	}
 }
 
 // applyEnd ends a run. Later lines about the same run, from a leader that received the
 // completion again, are ignored.
 func (h *history) applyEnd(l *line) {
-	if r := h.runs[runKey(l)]; r != nil && (r.endKind == "" || r.endKind == "not started") {
-		r.to, r.endKind = l.at, l.fields["kind"]
+	if r := h.runs[runKey(l)]; r != nil && (r.completionKind == "" || r.completionKind == "not started") {
+		r.to, r.completionKind = l.at, l.fields["kind"]
 	}
 }
 
--- a/internal/workload/check.go
+++ b/internal/workload/check.go
@@ -20,8 +20,8 @@
 		return fmt.Errorf("spec has %d bytes, at most %d are allowed", len(j.Spec), maxSpecBytes)
 	case len(j.Steps) == 0 || len(j.Steps) > maxSteps:
 		return fmt.Errorf("%d steps, 1 to %d are allowed", len(j.Steps), maxSteps)
-	case j.Times < 0 || j.Times > maxOccurrences || j.EveryMS < 0 || j.FirstMS < 0:
-		return fmt.Errorf("%d occurrences each %d ms from %d ms on: out of range", j.Times, j.EveryMS, j.FirstMS)
+	case j.Repeats < 0 || j.Repeats > maxOccurrences || j.IntervalMS < 0 || j.FirstDueMS < 0:
+		return fmt.Errorf("%d occurrences each %d ms from %d ms on: out of range", j.Repeats, j.IntervalMS, j.FirstDueMS)
 	}
 	tasks := 0
 	for i := range j.Steps {
@@ -40,7 +40,7 @@
 	if s.Count < 1 || s.Count > maxTasks {
 		return fmt.Errorf("step %d has %d tasks, 1 to %d are allowed", number, s.Count, maxTasks)
 	}
-	if !s.Need.valid() || s.EstimateMS < 0 || s.MaxPerWorker < 0 || s.TargetMS < 0 || s.MaxAway < 0 {
+	if !s.Need.valid() || s.EstimateMS < 0 || s.MaxPerWorker < 0 || s.TargetMS < 0 || s.MaxUnavailable < 0 {
 		return fmt.Errorf("step %d has a negative field", number)
 	}
 	for _, dependency := range s.After {
@@ -62,7 +62,7 @@
 		return fmt.Errorf("address is empty")
 	case w.Pool == "":
 		return fmt.Errorf("pool is empty")
-	case !w.Room.valid() || w.LeavesInMS < 0:
+	case !w.Capacity.valid() || w.LeavesInMS < 0:
 		return fmt.Errorf("a field is negative")
 	}
 	return nil
--- a/internal/workload/ports.go
+++ b/internal/workload/ports.go
@@ -30,8 +30,8 @@
 	Remove []string
 }
 
-// Written is the result of a Write.
-type Written struct {
+// WriteResult is the result of a Write.
+type WriteResult struct {
 	// Version is the new version of the rows that were put.
 	Version int64
 	// Conflict reports that the version of a row in Expect did not match and nothing
@@ -76,7 +76,7 @@
 // Store is the platform's table store. All errors wrap ErrUnknown, ErrNotDone or
 // ErrHistoryGone.
 type Store interface {
-	Write(ctx context.Context, write Write) (Written, error)
+	Write(ctx context.Context, write Write) (WriteResult, error)
 	// Read returns the rows of a part with from <= key < to. An empty to means no
 	// upper bound.
 	Read(ctx context.Context, source Source, part, from, to string) (Page, error)
@@ -120,23 +120,23 @@
 	VerdictOld
 	// VerdictLate means that the latest start time had passed on the worker's clock.
 	VerdictLate
-	// VerdictNoRoom means that the worker does not have enough free capacity.
-	VerdictNoRoom
+	// VerdictNoCapacity means that the worker does not have enough free capacity.
+	VerdictNoCapacity
 	// VerdictNoTicket means that the advisor's ticket is missing or has expired.
 	VerdictNoTicket
-	// VerdictGone means that another incarnation of the worker answered.
-	VerdictGone
-	// VerdictUnwell means that the worker was overloaded or unavailable, refused the
+	// VerdictOtherIncarnation means that another incarnation of the worker answered.
+	VerdictOtherIncarnation
+	// VerdictUnavailable means that the worker was overloaded or unavailable, refused the
 	// order and did nothing.
-	VerdictUnwell
+	VerdictUnavailable
 	// VerdictRejected means that the worker rejected the order as malformed.
 	VerdictRejected
 	// VerdictUnsent means that nothing was sent, for instance because no connection
 	// could be opened or the leader's lease had expired.
 	VerdictUnsent
-	// VerdictClosed means that the worker's address refused the connection, so that
+	// VerdictConnectionRefused means that the worker's address refused the connection, so that
 	// nothing was sent.
-	VerdictClosed
+	VerdictConnectionRefused
 )
 
 var verdictNames = [...]string{"done", "unknown", "fenced", "old", "late", "no_room", "no_ticket", "gone", "unwell", "rejected", "unsent", "closed"}
@@ -153,9 +153,9 @@
 	return VerdictUnknown
 }
 
-// Receipt is the result of an order. ClockMS is the worker's clock, or zero if the
+// OrderResult is the result of an order. ClockMS is the worker's clock, or zero if the
 // answer did not include it.
-type Receipt struct {
+type OrderResult struct {
 	Verdict Verdict
 	ClockMS int64
 	Err     error
@@ -170,29 +170,29 @@
 	Percent int
 }
 
-// EndKind is the way in which a run ended.
-type EndKind string
+// CompletionKind is the way in which a run ended.
+type CompletionKind string
 
 // Kinds of completion.
 const (
-	EndDone    EndKind = "done"
-	EndFailed  EndKind = "failed"
-	EndStopped EndKind = "stopped"
-	// EndLapsed means that the worker's lease expired.
-	EndLapsed EndKind = "lapsed"
-	// EndBroken means that another member of the gang ended.
-	EndBroken EndKind = "broken"
-	// EndAlone means that the other members of the gang did not start in time.
-	EndAlone EndKind = "alone"
+	CompletionDone    CompletionKind = "done"
+	CompletionFailed  CompletionKind = "failed"
+	CompletionStopped CompletionKind = "stopped"
+	// CompletionExpired means that the worker's lease expired.
+	CompletionExpired CompletionKind = "lapsed"
+	// CompletionInterrupted means that another member of the gang ended.
+	CompletionInterrupted CompletionKind = "broken"
+	// CompletionGangIncomplete means that the other members of the gang did not start in time.
+	CompletionGangIncomplete CompletionKind = "alone"
 )
 
-// Ended is a run that a worker reports as ended.
-type Ended struct {
+// Completion is a run that a worker reports as ended.
+type Completion struct {
 	// Number increases with each completion within one incarnation of a worker.
 	Number     int64
 	Task       TaskID
 	Attempt    int64
-	Kind       EndKind
+	Kind       CompletionKind
 	Checkpoint string
 }
 
@@ -216,29 +216,29 @@
 	Verdict Verdict
 	ClockMS int64
 	Running []Running
-	Ended   []Ended
-	// Unread counts rows that could not be parsed. Each is a run, in progress or
+	Ended   []Completion
+	// Unparsed counts rows that could not be parsed. Each is a run, in progress or
 	// ended, that cannot be identified.
-	Unread int
-	Err    error
+	Unparsed int
+	Err      error
 }
 
 // Workers sends orders and polls to workers.
 type Workers interface {
-	Start(ctx context.Context, order Order) Receipt
-	Stop(ctx context.Context, order Order) Receipt
+	Start(ctx context.Context, order Order) OrderResult
+	Stop(ctx context.Context, order Order) OrderResult
 	Poll(ctx context.Context, poll Poll) Report
 	// Forget releases the resources kept for a worker that is gone.
 	Forget(worker string)
 }
 
-// Question is a request to the placement advisor: which workers may run a step.
-type Question struct {
+// AdviceRequest is a request to the placement advisor: which workers may run a step.
+type AdviceRequest struct {
 	// Step identifies the step. Its Index is not used.
 	Step    TaskID
 	Workers []string
-	// Within limits the time to answer, which grows with the number of workers.
-	Within time.Duration
+	// Timeout limits the time to answer, which grows with the number of workers.
+	Timeout time.Duration
 }
 
 // Ticket is the advisor's approval for a worker to run a step.
@@ -247,9 +247,9 @@
 	Ticket string
 }
 
-// Counsel is the advisor's answer.
-type Counsel struct {
-	// Allowed lists the workers of the question that may run the step.
+// AdviceResponse is the advisor's answer.
+type AdviceResponse struct {
+	// Allowed lists the workers of the request that may run the step.
 	Allowed []Ticket
 	// ValidFor is how long the tickets are valid.
 	ValidFor time.Duration
@@ -258,5 +258,5 @@
 
 // Advisor is the placement advisor, which decides which workers may run a step.
 type Advisor interface {
-	Advise(ctx context.Context, question Question) Counsel
+	Advise(ctx context.Context, question AdviceRequest) AdviceResponse
 }
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -34,13 +34,13 @@
 	return Resources{r.MilliCPU * n, r.MemoryMB * n, r.Accelerators * n}
 }
 
-// Holds reports whether need fits into r.
-func (r Resources) Holds(need Resources) bool {
+// Contains reports whether need fits into r.
+func (r Resources) Contains(need Resources) bool {
 	return need.MilliCPU <= r.MilliCPU && need.MemoryMB <= r.MemoryMB && need.Accelerators <= r.Accelerators
 }
 
-// Fits returns how many times need fits into r, limited to limit.
-func (r Resources) Fits(need Resources, limit int64) int64 {
+// CountFitting returns how many times need fits into r, limited to limit.
+func (r Resources) CountFitting(need Resources, limit int64) int64 {
 	n := limit
 	for _, pair := range [][2]int64{{r.MilliCPU, need.MilliCPU}, {r.MemoryMB, need.MemoryMB}, {r.Accelerators, need.Accelerators}} {
 		if pair[1] > 0 {
@@ -65,9 +65,9 @@
 	Checkpoints bool `json:"checkpoints,omitempty"`
 	// Gang reports whether the tasks must run at the same time and end together.
 	Gang bool `json:"gang,omitempty"`
-	// OneRack reports whether tasks spread over several racks are slower by the
+	// RackSensitive reports whether tasks spread over several racks are slower by the
 	// remote factor.
-	OneRack bool `json:"one_rack,omitempty"`
+	RackSensitive bool `json:"one_rack,omitempty"`
 	// Label is a label that the worker must have, if set.
 	Label string `json:"label,omitempty"`
 	// DataRack is the rack that holds the data. Tasks on other racks are slower by the
@@ -75,29 +75,29 @@
 	DataRack string `json:"data_rack,omitempty"`
 	// MaxPerWorker limits the tasks of the step on one worker. Zero means no limit.
 	MaxPerWorker int `json:"max_per_worker,omitempty"`
-	// Copies allows speculative copies: several concurrent runs of one task, of which
+	// Speculative allows speculative copies: several concurrent runs of one task, of which
 	// the first to complete counts.
-	Copies bool `json:"copies,omitempty"`
-	// Lasting tasks run until the job is cancelled.
-	Lasting bool `json:"lasting,omitempty"`
+	Speculative bool `json:"copies,omitempty"`
+	// LongRunning tasks run until the job is cancelled.
+	LongRunning bool `json:"lasting,omitempty"`
 	// Image is the name of the program that the tasks run. Tasks of one image behave
 	// alike.
 	Image string `json:"image,omitempty"`
 	// TargetMS is the tail response time objective of a long-running task.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// Scavenges marks best-effort tasks, whose processor time is not counted against
+	// BestEffort marks best-effort tasks, whose processor time is not counted against
 	// the worker's capacity: they use what other tasks leave.
-	Scavenges bool `json:"scavenges,omitempty"`
-	// MaxAway limits the long-running tasks that the scheduler itself may make
+	BestEffort bool `json:"scavenges,omitempty"`
+	// MaxUnavailable limits the long-running tasks that the scheduler itself may make
 	// unavailable at the same time.
-	MaxAway int `json:"max_away,omitempty"`
+	MaxUnavailable int `json:"max_away,omitempty"`
 }
 
-// Counted returns the resources that a task of the step takes from a worker's
+// CountedResources returns the resources that a task of the step takes from a worker's
 // capacity.
-func (s *Step) Counted() Resources {
+func (s *Step) CountedResources() Resources {
 	need := s.Need
-	if s.Scavenges {
+	if s.BestEffort {
 		need.MilliCPU = 0
 	}
 	return need
@@ -116,16 +116,16 @@
 	AcceptedMS int64  `json:"accepted_ms"`
 	Spec       string `json:"spec,omitempty"`
 	Steps      []Step `json:"steps"`
-	// Times is the number of occurrences. Zero means one, due immediately.
-	Times int `json:"times,omitempty"`
-	// FirstMS is the due time of the first occurrence, in milliseconds since 1970.
-	FirstMS int64 `json:"first_ms,omitempty"`
-	// EveryMS is the interval between occurrences.
-	EveryMS int64 `json:"every_ms,omitempty"`
+	// Repeats is the number of occurrences. Zero means one, due immediately.
+	Repeats int `json:"times,omitempty"`
+	// FirstDueMS is the due time of the first occurrence, in milliseconds since 1970.
+	FirstDueMS int64 `json:"first_ms,omitempty"`
+	// IntervalMS is the interval between occurrences.
+	IntervalMS int64 `json:"every_ms,omitempty"`
 }
 
 // Occurrences returns the number of times that the steps run, at least 1.
-func (j *Job) Occurrences() int { return max(j.Times, 1) }
+func (j *Job) Occurrences() int { return max(j.Repeats, 1) }
 
 // TaskID identifies one task of one occurrence of a job.
 type TaskID struct {
@@ -150,20 +150,20 @@
 	// Attempts is the number of failed attempts of a task or a gang after which its job
 	// fails. Values below 1 count as 1. Failures of long-running tasks are not counted.
 	Attempts int
-	// Stretch and GraceMS define the latency objective of a job: Stretch times the
-	// duration of its critical path, plus GraceMS.
-	Stretch float64
-	GraceMS int64
+	// LatencyFactor and GracePeriodMS define the latency objective of a job:
+	// LatencyFactor times the duration of its critical path, plus GracePeriodMS.
+	LatencyFactor float64
+	GracePeriodMS int64
 	// TimeoutMS limits the duration of a call.
 	TimeoutMS int64
 	// Advice is set if the placement advisor must allow each worker, and nil
 	// otherwise.
-	Advice *Advice
+	Advice *AdvisorTiming
 }
 
-// Advice contains the decision time of the placement advisor, per question and per
-// worker in the question, and the validity of its tickets.
-type Advice struct {
+// AdvisorTiming contains the decision time of the placement advisor, per request and per
+// worker in the request, and the validity of its tickets.
+type AdvisorTiming struct {
 	DecisionMS, PerItemMS, ValidityMS int64
 }
 
@@ -236,17 +236,17 @@
 	Pool string `json:"pool"`
 	Zone string `json:"zone,omitempty"`
 	// Rack is one of the labels, or empty if the worker has none.
-	Rack   string    `json:"rack,omitempty"`
-	Labels []string  `json:"labels,omitempty"`
-	Room   Resources `json:"room"`
+	Rack     string    `json:"rack,omitempty"`
+	Labels   []string  `json:"labels,omitempty"`
+	Capacity Resources `json:"room"`
 	// Leaving workers get no new tasks.
 	Leaving bool `json:"leaving,omitempty"`
 	// LeavesInMS is the minimum time until the worker leaves, if the worker reports it.
 	LeavesInMS int64 `json:"leaves_in_ms,omitempty"`
 }
 
-// Has reports whether the worker has a label. It returns true for the empty label.
-func (w *Worker) Has(label string) bool {
+// HasLabel reports whether the worker has a label. It returns true for the empty label.
+func (w *Worker) HasLabel(label string) bool {
 	if label == "" {
 		return true
 	}
@@ -260,14 +260,14 @@
 
 // Bounds contains the deployment's fixed times and factors.
 type Bounds struct {
-	// LongestLease is the maximum duration of a lease that a worker grants.
-	LongestLease time.Duration
-	// StopTime is the longest time that a worker takes to stop a task.
-	StopTime time.Duration
-	// Reclaim is the maximum time until guaranteed capacity is available.
-	Reclaim time.Duration
-	// StatusKept is how long the state of an ended job can be queried.
-	StatusKept time.Duration
+	// MaxLease is the maximum duration of a lease that a worker grants.
+	MaxLease time.Duration
+	// MaxStopTime is the longest time that a worker takes to stop a task.
+	MaxStopTime time.Duration
+	// MaxReclaimTime is the maximum time until guaranteed capacity is available.
+	MaxReclaimTime time.Duration
+	// StatusRetention is how long the state of an ended job can be queried.
+	StatusRetention time.Duration
 	// RemoteFactor is the factor by which a task takes longer outside its rack.
 	RemoteFactor float64
 }
