--- a/internal/claim/budget_test.go
+++ b/internal/claim/budget_test.go
@@ -93,7 +93,7 @@
 	for _, offeredPerSecond := range []int{50, 500, 4000} {
 		result := measureClaimsLoad(t, offeredPerSecond)
 		t.Log(result)
-		maxCommits := platform.StoreWrites + platform.StoreWrites/loadSeconds + 1
+		maxCommits := platform.StoreWritesPerSecond + platform.StoreWritesPerSecond/loadSeconds + 1
 		assert.Assert(t, result.commitsPerSecond <= maxCommits, "%d commits a second", result.commitsPerSecond)
 		assert.Assert(t, result.refused == 0, "offered %d: %d refused", offeredPerSecond, result.refused)
 	}
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -64,7 +64,7 @@
 var _ Claims = (*Store)(nil)
 
 // New returns a Store that keeps claims in tables, whose Commit must resolve
-// lost answers (see platform.Resolving). Run records the outcomes that could
+// lost answers (see platform.ResolvingTables). Run records the outcomes that could
 // not be stored at first.
 func New(tables platform.Tables) *Store {
 	return &Store{tables: tables, unsettled: make(map[api.Ref]*held)}
--- a/internal/config/manager_test.go
+++ b/internal/config/manager_test.go
@@ -19,7 +19,7 @@
 }
 
 func newManager(service *fake.Platform) *Manager {
-	return NewManager(Options{Tables: platform.NewResolving(service), Objects: service, Check: Check})
+	return NewManager(Options{Tables: platform.NewResolvingTables(service), Objects: service, Check: Check})
 }
 
 func TestPublish(t *testing.T) {
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -39,7 +39,7 @@
 var _ Store = (*Tables)(nil)
 
 // New returns a store on top of tables, whose Commit must resolve lost answers
-// (see platform.Resolving).
+// (see platform.ResolvingTables).
 func New(tables platform.Tables) *Tables { return &Tables{tables: tables} }
 
 // indexEntry is the value of an index row.
--- a/internal/jobstore/store_test.go
+++ b/internal/jobstore/store_test.go
@@ -24,7 +24,7 @@
 
 func newStore() (*fake.Platform, *jobstore.Tables) {
 	service := fake.New()
-	return service, jobstore.New(platform.NewResolving(service))
+	return service, jobstore.New(platform.NewResolvingTables(service))
 }
 
 func TestAcceptAndEnd(t *testing.T) {
--- a/internal/lease/store_test.go
+++ b/internal/lease/store_test.go
@@ -80,7 +80,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := fake.New()
-				tables := platform.NewResolving(service)
+				tables := platform.NewResolvingTables(service)
 				check(t, service, lease.New(tables, leaseDuration), lease.New(tables, leaseDuration))
 			})
 		})
--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -32,8 +32,8 @@
 
 // Capacity of the store for all instances together, in calls per second.
 const (
-	StoreWrites = 300
-	StoreReads  = 2000
+	StoreWritesPerSecond = 300
+	StoreReadsPerSecond  = 2000
 )
 
 const (
@@ -130,7 +130,7 @@
 // NewBudgetedTables returns tables whose calls wait for the store budget, by
 // precedence of their purposes, and fail if the wait would be too long.
 func NewBudgetedTables(tables Tables) *BudgetedTables {
-	return &BudgetedTables{tables: tables, writes: newBucket(StoreWrites), reads: newBucket(StoreReads)}
+	return &BudgetedTables{tables: tables, writes: newBucket(StoreWritesPerSecond), reads: newBucket(StoreReadsPerSecond)}
 }
 
 // SetInstances sets the number of instances that share the store.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -29,7 +29,7 @@
 func NewStack(tables Tables) *Stack {
 	s := &Stack{breaker: NewBreaker(tables), metrics: metrics.NewSet()}
 	s.budget = NewBudgetedTables(s.breaker)
-	s.grouping = NewGroupingTables(NewResolving(s.budget))
+	s.grouping = NewGroupingTables(NewResolvingTables(s.budget))
 	s.Tables = s.grouping
 	s.register()
 	return s
--- a/internal/platform/resolve.go
+++ b/internal/platform/resolve.go
@@ -16,7 +16,7 @@
 	resolveMaxDelay  = time.Second
 )
 
-// Resolving resolves commits whose answer was lost by repeating them with the
+// ResolvingTables resolves commits whose answer was lost by repeating them with the
 // same write id. The store applies each id at most once, so the repeat both reads
 // back the result and fences the original: it takes effect now (and a delayed
 // original no longer can), it returns that the original took effect, or it
@@ -24,16 +24,16 @@
 // version cannot reappear. The exception is a deleted row, which an insert would
 // match again. Rows whose insertion grants a right (claims, jobs, leases, the
 // configuration head) are therefore never deleted.
-type Resolving struct {
+type ResolvingTables struct {
 	Tables
 }
 
-// NewResolving returns tables whose Commit returns CommitUnknown only if the
+// NewResolvingTables returns tables whose Commit returns CommitUnknown only if the
 // store does not answer before the context ends or the attempts are used up.
-func NewResolving(tables Tables) *Resolving { return &Resolving{Tables: tables} }
+func NewResolvingTables(tables Tables) *ResolvingTables { return &ResolvingTables{Tables: tables} }
 
 // Commit implements Tables.
-func (r *Resolving) Commit(ctx context.Context, purpose Purpose, tx api.Tx) CommitResult {
+func (r *ResolvingTables) Commit(ctx context.Context, purpose Purpose, tx api.Tx) CommitResult {
 	result := r.Tables.Commit(ctx, purpose, tx)
 	retry := backoff.Backoff{Base: resolveBaseDelay, Max: resolveMaxDelay}
 	for attempt := 1; result.State == CommitUnknown && attempt < resolveAttempts; attempt++ {
--- a/internal/platform/stack_test.go
+++ b/internal/platform/stack_test.go
@@ -158,7 +158,7 @@
 			assert.Assert(t, time.Since(began) == 0, "a lease write waited %v behind submissions", time.Since(began))
 		}
 		submissions.Wait()
-		limit := 11 * platform.StoreWrites / 8
+		limit := 11 * platform.StoreWritesPerSecond / 8
 		assert.Assert(t, service.Calls("commit") <= limit, "%d commits, at most %d", service.Calls("commit"), limit)
 	})
 }
@@ -177,7 +177,7 @@
 					time.Sleep(100 * time.Microsecond)
 					_, _ = budget.Read(ctx, platform.PurposeLease, ref("a"))
 				}
-				share := platform.StoreReads / instances
+				share := platform.StoreReadsPerSecond / instances
 				got := service.Calls("read")
 				assert.Assert(t, got >= 4*share*9/10 && got <= 5*share+1, "%d reads, share %d", got, share)
 			})
@@ -307,7 +307,7 @@
 			most, total = max(most, count), total+count
 		}
 		t.Logf("%d commits in 10 s, at most %d in one second", total, most)
-		assert.Assert(t, most <= 2*platform.StoreWrites, "%d commits in one second", most)
-		assert.Assert(t, total > 5*platform.StoreWrites, "%d commits in 10 s", total)
+		assert.Assert(t, most <= 2*platform.StoreWritesPerSecond, "%d commits in one second", most)
+		assert.Assert(t, total > 5*platform.StoreWritesPerSecond, "%d commits in 10 s", total)
 	})
 }
--- a/test/invariants/lease_test.go
+++ b/test/invariants/lease_test.go
@@ -71,7 +71,7 @@
 	for seed := range soakSeeds(20) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 50))
-			tables := platform.NewResolving(fake.New())
+			tables := platform.NewResolvingTables(fake.New())
 			first, second := lease.New(tables, leaseDuration), lease.New(tables, leaseDuration)
 			if _, err := first.Acquire(t.Context(), "z", "a"); err != nil {
 				t.Fatal(err)
@@ -104,7 +104,7 @@
 		for i := range 4 {
 			random := rand.New(rand.NewPCG(seed, 70+uint64(i)))
 			link := &platformLink{Platform: service, node: &faultyNode{}, fault: test.planted}
-			leases := lease.New(platform.NewResolving(link), leaseDuration)
+			leases := lease.New(platform.NewResolvingTables(link), leaseDuration)
 			instances.Go(func() {
 				for ctx.Err() == nil {
 					held, released := useLease(ctx, leases, fmt.Sprintf("i%d", i), test.pauseRate, random)
