--- a/internal/deployment/announce.go
+++ b/internal/deployment/announce.go
@@ -32,7 +32,7 @@
 		return
 	}
 	var rows []workload.Row
-	for _, u := range c.core.EndedUnpersisted(announceAfter) {
+	for _, u := range c.core.UnstoredFinalRecords(announceAfter) {
 		if c.announced[u.Job] {
 			continue
 		}
--- a/internal/deployment/begins.go
+++ b/internal/deployment/begins.go
@@ -127,10 +127,10 @@
 
 // intentCore is the part of the core that intentMode uses.
 type intentCore interface {
-	StoreBegins(on bool)
-	StoreAllBegins()
-	BeginsLate(d time.Duration) bool
-	BeginsStored() bool
+	StoreStartIntents(on bool)
+	StoreAllStartIntents()
+	StartIntentsLate(d time.Duration) bool
+	StartIntentsStored() bool
 }
 
 // intentMode decides whether a leader stores start intents, following the state chart
@@ -147,7 +147,7 @@
 // newIntentMode returns the mode that matches the row with which this leader took the
 // lease.
 func newIntentMode(p *intentPromise, core intentCore, tuning Tuning, logger *zap.Logger) *intentMode {
-	m := &intentMode{state: intentChart.Initial, promise: p, core: core, off: !tuning.enabled(dispatch.MechStoredBegins), logger: logger}
+	m := &intentMode{state: intentChart.Initial, promise: p, core: core, off: !tuning.enabled(dispatch.MechStoredStartIntents), logger: logger}
 	if strict, _ := p.confirmed(); strict {
 		m.apply(evIntentInherited, time.Time{})
 	}
@@ -159,7 +159,7 @@
 	if m.off {
 		return
 	}
-	if m.core.BeginsLate(intentWaitLimit) {
+	if m.core.StartIntentsLate(intentWaitLimit) {
 		m.apply(evIntentSlow, now)
 	}
 	if strict, sure := m.promise.confirmed(); sure && strict {
@@ -170,7 +170,7 @@
 	if m.state == stIntentLoose && m.promise.isQuick(now) {
 		m.apply(evIntentQuick, now)
 	}
-	if m.state == stIntentStoring && m.core.BeginsStored() {
+	if m.state == stIntentStoring && m.core.StartIntentsStored() {
 		m.apply(evIntentAllStored, now)
 	}
 }
@@ -186,15 +186,15 @@
 	m.state = next
 	switch next {
 	case stIntentStrict:
-		m.core.StoreBegins(true)
+		m.core.StoreStartIntents(true)
 	case stIntentLoosening:
 		m.promise.request(false)
 	case stIntentLoose:
-		m.core.StoreBegins(false)
+		m.core.StoreStartIntents(false)
 		m.promise.markSlow(now)
 	case stIntentStoring:
-		m.core.StoreBegins(true)
-		m.core.StoreAllBegins()
+		m.core.StoreStartIntents(true)
+		m.core.StoreAllStartIntents()
 	case stIntentTightening:
 		m.promise.request(true)
 	}
--- a/internal/deployment/begins_test.go
+++ b/internal/deployment/begins_test.go
@@ -18,10 +18,10 @@
 	all                   int
 }
 
-func (f *fakeIntentCore) StoreBegins(on bool)           { f.storing = on }
-func (f *fakeIntentCore) StoreAllBegins()               { f.all++ }
-func (f *fakeIntentCore) BeginsLate(time.Duration) bool { return f.late }
-func (f *fakeIntentCore) BeginsStored() bool            { return f.stored }
+func (f *fakeIntentCore) StoreStartIntents(on bool)           { f.storing = on }
+func (f *fakeIntentCore) StoreAllStartIntents()               { f.all++ }
+func (f *fakeIntentCore) StartIntentsLate(time.Duration) bool { return f.late }
+func (f *fakeIntentCore) StartIntentsStored() bool            { return f.stored }
 
 func newTestIntentMode(strict bool) (*intentMode, *fakeIntentCore, *intentPromise) {
 	p, core := &intentPromise{}, &fakeIntentCore{}
@@ -108,7 +108,7 @@
 func TestALeaderWithoutStoredIntentsPromisesNothing(t *testing.T) {
 	core, p := &fakeIntentCore{stored: true}, &intentPromise{}
 	p.init(false)
-	m := newIntentMode(p, core, Tuning{Without: []dispatch.Mechanism{dispatch.MechStoredBegins}}, zap.NewNop())
+	m := newIntentMode(p, core, Tuning{Without: []dispatch.Mechanism{dispatch.MechStoredStartIntents}}, zap.NewNop())
 	m.update(bootTime().Add(time.Hour))
 	assert.Equal(t, m.state, stIntentLoose)
 	assert.Assert(t, !core.storing)
@@ -123,7 +123,7 @@
 	}{
 		"the previous leader promised":           {leaderRow{Leader: "self", Epoch: 4, StoresIntents: true}, nil, true, true},
 		"the previous leader did not":            {leaderRow{Leader: "self", Epoch: 4}, nil, false, false},
-		"it did, but this one stores no intents": {leaderRow{Leader: "self", Epoch: 4, StoresIntents: true}, []dispatch.Mechanism{dispatch.MechStoredBegins}, true, false},
+		"it did, but this one stores no intents": {leaderRow{Leader: "self", Epoch: 4, StoresIntents: true}, []dispatch.Mechanism{dispatch.MechStoredStartIntents}, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLease(t, "self", newMemoryStore())
--- a/internal/deployment/candidate.go
+++ b/internal/deployment/candidate.go
@@ -139,7 +139,7 @@
 	// record of it, and until this leader has stored those records, it cannot promise
 	// them either.
 	g.trustIntents = g.hasPredecessor && seen.StoresIntents
-	g.promise.init(l.tuning.enabled(dispatch.MechStoredBegins) && (g.trustIntents || !g.hasPredecessor))
+	g.promise.init(l.tuning.enabled(dispatch.MechStoredStartIntents) && (g.trustIntents || !g.hasPredecessor))
 	sent := bootTime()
 	row := leaderRow{Leader: l.self, Epoch: g.epoch, StoresIntents: g.promise.strict}
 	written, err := l.store.Write(ctx, workload.Write{
--- a/internal/deployment/cut.go
+++ b/internal/deployment/cut.go
@@ -263,7 +263,7 @@
 	}
 	for _, id := range members {
 		zone := i.replica.zoneOf(id)
-		leader.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.Suspect(zone, now, wallMS) })
+		leader.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.SuspectZone(zone, now, wallMS) })
 	}
 }
 
--- a/internal/deployment/drains.go
+++ b/internal/deployment/drains.go
@@ -164,7 +164,9 @@
 	if leader == nil {
 		return
 	}
-	leader.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.Drain(i.drains.list(), now, wallMS) })
+	leader.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
+		core.SetDrainedZones(i.drains.list(), now, wallMS)
+	})
 }
 
 // DrainedZones returns the availability zones that operators have drained, as last seen
--- a/internal/deployment/entries_test.go
+++ b/internal/deployment/entries_test.go
@@ -177,7 +177,7 @@
 		for _, known := range r.snapshot() {
 			core.AddJob(known.job, known.record, known.cancelled, now, 0)
 		}
-		core.Listed(r.storedWorkers(), now, 0)
+		core.WorkersListed(r.storedWorkers(), now, 0)
 		core.Decide(now.Add(time.Second), 1000)
 	})
 }
--- a/internal/deployment/instance.go
+++ b/internal/deployment/instance.go
@@ -251,7 +251,7 @@
 func (i *Instance) workersChanged() {
 	if leader := i.leader.Load(); leader != nil {
 		leader.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
-			core.Listed(i.listedWorkers(), now, wallMS)
+			core.WorkersListed(i.listedWorkers(), now, wallMS)
 		})
 	}
 }
--- a/internal/deployment/leader.go
+++ b/internal/deployment/leader.go
@@ -241,7 +241,7 @@
 	c.write()
 	c.announceCompletions()
 	c.removeExpired()
-	c.instance.replica.setStarted(c.grant.epoch, c.core.Began())
+	c.instance.replica.setStarted(c.grant.epoch, c.core.StartedJobs())
 	c.synced.Store(c.core.Synced())
 }
 
--- a/internal/deployment/orders.go
+++ b/internal/deployment/orders.go
@@ -38,12 +38,12 @@
 		c.polls.Submit(func() { c.poll(action) })
 	case dispatch.ActReason:
 		c.logger.Info("wait", append(taskFields(action.Order.Task), zap.Int64("epoch", action.Order.Epoch), zap.String("reason", action.Reason))...)
-	case dispatch.ActGaveUp:
+	case dispatch.ActJobAbandoned:
 		c.logger.Warn("job given up", append(taskFields(action.Order.Task), zap.Int64("epoch", action.Order.Epoch), zap.String("reason", action.Reason))...)
 	case dispatch.ActLost:
 		c.logLostRun(action)
-	case dispatch.ActAsk:
-		c.orders.Submit(func() { c.askAdvisor(action.Ask) })
+	case dispatch.ActAskAdvisor:
+		c.orders.Submit(func() { c.askAdvisor(action.AdviceRequest) })
 	}
 }
 
@@ -57,7 +57,9 @@
 	}
 	c.logger.Info("advice", zap.String("job", request.Step.Job), zap.Int("occurrence", request.Step.Occurrence),
 		zap.Int("step", request.Step.Step), zap.Int("asked", len(request.Workers)), zap.Int("allowed", len(advice.Allowed)), zap.Error(advice.Err))
-	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) { core.Advised(request, advice, now, wallMS) })
+	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
+		core.AdviceAnswered(request, advice, now, wallMS)
+	})
 }
 
 func (c *leader) logOrder(kind string, action dispatch.Action, more ...zap.Field) {
@@ -78,7 +80,7 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`corianderbank_deployment_lost_runs_total{cause="%s"}`, lost.Cause)).Inc()
 	c.logger.Warn("run lost", append(taskFields(o.Task), zap.Int64("attempt", o.Attempt), zap.String("worker", o.Worker),
 		zap.Int64("epoch", o.Epoch), zap.String("cause", string(lost.Cause)), zap.Int64("ran_ms", lost.Ran.Milliseconds()),
-		zap.Int("beside", lost.Beside))...)
+		zap.Int("beside", lost.OthersLost))...)
 }
 
 // taskFields returns the log fields that identify a task.
--- a/internal/deployment/records.go
+++ b/internal/deployment/records.go
@@ -30,20 +30,20 @@
 // batch is the content of one write: records, workers that may get work once they are
 // stored, and workers to remove.
 type batch struct {
-	records []dispatch.Unpersisted
+	records []dispatch.UnstoredRecord
 	workers []workload.Worker
 	removed []string
 }
 
 // nextBatch returns the next changes of the core that fit into one transaction.
 func nextBatch(core *dispatch.Core) batch {
-	b := batch{records: core.Unpersisted(maxRecordsPerWrite)}
+	b := batch{records: core.UnstoredRecords(maxRecordsPerWrite)}
 	remaining := maxEntriesPerWrite - 1 - 2*len(b.records)
-	b.workers = core.Unstored(remaining)
+	b.workers = core.UnstoredWorkers(remaining)
 	if len(b.records) < maxRecordsPerWrite {
 		// The records of runs that were lost with a worker are written before the
 		// worker's row is removed.
-		b.removed = core.Gone((remaining - len(b.workers)) / 2)
+		b.removed = core.WorkersToRemove((remaining - len(b.workers)) / 2)
 	}
 	return b
 }
@@ -105,9 +105,9 @@
 	c.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
 		c.writing = false
 		if stored {
-			core.Recorded(b.records, now, wallMS)
-			core.Stored(b.workers)
-			core.Removed(b.removed)
+			core.MarkRecordsStored(b.records, now, wallMS)
+			core.WorkersStored(b.workers)
+			core.WorkersRemoved(b.removed)
 		}
 	})
 }
@@ -139,7 +139,7 @@
 	return rows
 }
 
-func (c *leader) logEndedJobs(list []dispatch.Unpersisted) {
+func (c *leader) logEndedJobs(list []dispatch.UnstoredRecord) {
 	for _, u := range list {
 		if u.Final != "" {
 			c.logger.Info("job ended", zap.String("job", u.Job), zap.String("state", string(u.Final)), zap.Int64("epoch", c.grant.epoch))
@@ -223,7 +223,7 @@
 	}
 	c.post(func(core *dispatch.Core, _ time.Time, _ int64) {
 		for _, id := range ids {
-			core.Forget(id)
+			core.RemoveJob(id)
 		}
 	})
 }
--- a/internal/deployment/records_test.go
+++ b/internal/deployment/records_test.go
@@ -23,7 +23,7 @@
 	for n := range workers {
 		list = append(list, workload.Worker{ID: fmt.Sprintf("w%03d", n)})
 	}
-	core.Listed(list, now, 0)
+	core.WorkersListed(list, now, 0)
 	return core
 }
 
@@ -58,7 +58,7 @@
 
 func TestOnlyFinalRecordsAreSentToHubs(t *testing.T) {
 	b := &batch{
-		records: []dispatch.Unpersisted{{Job: "a"}, {Job: "b", Final: dispatch.FinalCompleted}, {Job: "c"}, {Job: "d", Final: dispatch.FinalFailed}},
+		records: []dispatch.UnstoredRecord{{Job: "a"}, {Job: "b", Final: dispatch.FinalCompleted}, {Job: "c"}, {Job: "d", Final: dispatch.FinalFailed}},
 		workers: []workload.Worker{{ID: "w"}},
 	}
 	leader := &leader{grant: &grant{}, recordVersions: make(map[string]int64), instance: &Instance{replica: newReplica(nil)}}
--- a/internal/deployment/takeover.go
+++ b/internal/deployment/takeover.go
@@ -70,19 +70,19 @@
 	c.core = dispatch.New(c.instance.liveSettings.Load().bounds(), c.grant.epoch, now, c.predecessorActiveUntil(now))
 	c.core.Tune(c.instance.settings.Tuning.coreTuning())
 	if c.grant.trustIntents {
-		c.core.TrustBegins()
+		c.core.TrustStartIntents()
 	}
 	c.intents = newIntentMode(&c.grant.promise, c.core, c.instance.settings.Tuning, c.logger)
 	c.core.Configure(c.instance.configuration.Load())
-	c.core.Drain(c.instance.drains.list(), now, wallMS)
+	c.core.SetDrainedZones(c.instance.drains.list(), now, wallMS)
 	// Workers that are stored but not listed may still run tasks behind a network
 	// partition that began before this instance led. Other workers that are no longer
 	// listed run nothing: a worker gets work only once it is stored, and it remains
 	// stored until nothing can run there.
 	stored := c.instance.replica.storedWorkers()
-	c.core.Listed(stored, now, wallMS)
-	c.core.Listed(c.instance.listedWorkers(), now, wallMS)
-	c.core.Stored(stored)
+	c.core.WorkersListed(stored, now, wallMS)
+	c.core.WorkersListed(c.instance.listedWorkers(), now, wallMS)
+	c.core.WorkersStored(stored)
 	jobs := c.instance.replica.snapshot()
 	for _, known := range jobs {
 		c.core.AddJob(known.job, known.record, known.cancelled, now, wallMS)
--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -86,11 +86,11 @@
 	request.Timeout = adviceRequestTimeout + time.Duration(decisionTime)*time.Millisecond
 	a.inFlight = true
 	c.advisorCalls++
-	c.actions = append(c.actions, Action{Kind: ActAsk, Ask: request})
+	c.actions = append(c.actions, Action{Kind: ActAskAdvisor, AdviceRequest: request})
 }
 
-// Advised processes the advisor's answer.
-func (c *Core) Advised(request workload.AdviceRequest, answer workload.AdviceResponse, now time.Time, wallMS int64) {
+// AdviceAnswered processes the advisor's answer.
+func (c *Core) AdviceAnswered(request workload.AdviceRequest, answer workload.AdviceResponse, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	c.advisorCalls--
 	t := c.task(request.Step)
--- a/internal/dispatch/advice_test.go
+++ b/internal/dispatch/advice_test.go
@@ -16,9 +16,9 @@
 	config := testConfig()
 	config.Queues[1].Advice = &workload.AdvisorTiming{DecisionMS: 10, PerItemMS: 1, ValidityMS: 1000}
 	b.core.Configure(config)
-	questions := 0
+	requests := 0
 	b.advise = func(q workload.AdviceRequest) workload.AdviceResponse {
-		questions++
+		requests++
 		response := workload.AdviceResponse{ValidFor: time.Second}
 		for _, named := range q.Workers {
 			for _, w := range allowed {
@@ -29,7 +29,7 @@
 		}
 		return response
 	}
-	return b, &questions
+	return b, &requests
 }
 
 func TestAdvisedStepRunsOnlyOnAllowedWorkers(t *testing.T) {
@@ -42,27 +42,27 @@
 }
 
 func TestExpiredTicketIsRequestedAgainAndRefusalIsRemembered(t *testing.T) {
-	b, questions := newAdvisedBench(t, "w01")
+	b, requests := newAdvisedBench(t, "w01")
 	b.add(singleJob("job", "batch", "other", 2, 8))
 	b.advance(300 * time.Millisecond)
-	first := *questions
+	first := *requests
 	b.advance(1500 * time.Millisecond) // the second task waits, and the ticket expires
 	b.endAll(workload.CompletionDone)
 	b.advance(500 * time.Millisecond)
 	assert.Equal(t, b.runningOf("job"), 1, "the second task runs on the one allowed worker")
-	assert.Assert(t, *questions > first, "the ticket had expired")
-	assert.Assert(t, *questions <= first+4, "asked %d times", *questions)
+	assert.Assert(t, *requests > first, "the ticket had expired")
+	assert.Assert(t, *requests <= first+4, "asked %d times", *requests)
 }
 
 func TestUnansweredAdvisorIsAskedAgainAfterAPause(t *testing.T) {
-	b, questions := newAdvisedBench(t)
+	b, requests := newAdvisedBench(t)
 	b.advise = func(workload.AdviceRequest) workload.AdviceResponse {
-		*questions++
+		*requests++
 		return workload.AdviceResponse{Err: workload.ErrNotDone}
 	}
 	b.add(singleJob("job", "batch", "other", 1, 1))
 	b.advance(2 * time.Second)
-	assert.Assert(t, *questions >= 3 && *questions <= 5, "asked %d times in two seconds", *questions)
+	assert.Assert(t, *requests >= 3 && *requests <= 5, "asked %d times in two seconds", *requests)
 }
 
 func TestALeavingWorkerIsEmptiedBeforeItGoes(t *testing.T) {
--- a/internal/dispatch/begins.go
+++ b/internal/dispatch/begins.go
@@ -13,12 +13,14 @@
 // waits only for jobs that have one. While the store is slow that write would delay every
 // start; the leader may then start jobs without it, after storing that it does so.
 
-// TrustBegins records that earlier leaders stored a start intent for each job before its first
+// TrustStartIntents records that earlier leaders stored a start intent for each job before its first
 // start, so that a job without one was never started. Call it before the first AddJob.
-func (c *Core) TrustBegins() { c.trustStartIntents = c.enabled(MechStoredBegins) }
+func (c *Core) TrustStartIntents() { c.trustStartIntents = c.enabled(MechStoredStartIntents) }
 
-// StoreBegins sets whether a job's start intent is stored before its first start.
-func (c *Core) StoreBegins(on bool) { c.storeStartIntents = on && c.enabled(MechStoredBegins) }
+// StoreStartIntents sets whether a job's start intent is stored before its first start.
+func (c *Core) StoreStartIntents(on bool) {
+	c.storeStartIntents = on && c.enabled(MechStoredStartIntents)
+}
 
 // awaitsStartIntent reports whether a job may not start yet because its start intent is not
 // stored, and schedules the write if needed.
@@ -31,15 +33,15 @@
 }
 
 func (c *Core) recordStartIntent(j *job) {
-	if !j.record.Began {
-		j.record.Began = true
+	if !j.record.StartIntent {
+		j.record.StartIntent = true
 		j.startIntentRequestedAt = c.now
 		c.markChanged(j)
 	}
 }
 
-// BeginsLate reports whether a start intent has been waiting for the store for longer than d.
-func (c *Core) BeginsLate(d time.Duration) bool {
+// StartIntentsLate reports whether a start intent has been waiting for the store for longer than d.
+func (c *Core) StartIntentsLate(d time.Duration) bool {
 	for _, j := range c.dirty {
 		if j.owesStartIntent() && c.now.Sub(j.startIntentRequestedAt) > d {
 			return true
@@ -48,9 +50,9 @@
 	return false
 }
 
-// StoreAllBegins schedules the start intents of all jobs that may have been started without
+// StoreAllStartIntents schedules the start intents of all jobs that may have been started without
 // one.
-func (c *Core) StoreAllBegins() {
+func (c *Core) StoreAllStartIntents() {
 	for _, j := range c.queue {
 		if j.mayHaveStarted() && j.record.Final == "" {
 			c.recordStartIntent(j)
@@ -58,9 +60,9 @@
 	}
 }
 
-// BeginsStored reports whether the store has the start intent or the final state of every job
+// StartIntentsStored reports whether the store has the start intent or the final state of every job
 // that may have been started.
-func (c *Core) BeginsStored() bool {
+func (c *Core) StartIntentsStored() bool {
 	for _, j := range c.dirty {
 		if j.mayHaveStarted() && !j.startIntentStored {
 			return false
@@ -75,7 +77,7 @@
 }
 
 // owesStartIntent reports whether the job's start intent is recorded but not yet stored.
-func (j *job) owesStartIntent() bool { return j.record.Began && !j.startIntentStored }
+func (j *job) owesStartIntent() bool { return j.record.StartIntent && !j.startIntentStored }
 
 func (j *job) mayHaveStarted() bool { return j.fromEarlierEpoch || j.started }
 
--- a/internal/dispatch/begins_test.go
+++ b/internal/dispatch/begins_test.go
@@ -24,41 +24,41 @@
 
 func TestNothingOfAJobStartsBeforeItsBeginIsStored(t *testing.T) {
 	b := newBench(t, 2, false)
-	b.core.StoreBegins(true)
+	b.core.StoreStartIntents(true)
 	b.round() // sync the workers
 	b.add(gangJob("job", "batch", "other", 2, 8))
 	assert.Equal(t, b.startsOf("job"), 0)
-	list := b.core.Unpersisted(10)
+	list := b.core.UnstoredRecords(10)
 	assert.Equal(t, len(list), 1)
-	assert.Assert(t, list[0].Began)
+	assert.Assert(t, list[0].StartIntent)
 	record, err := DecodeRecord(list[0].Record)
 	assert.NilError(t, err)
-	assert.Assert(t, record.Began)
+	assert.Assert(t, record.StartIntent)
 	b.now = b.now.Add(2 * reasonDelay)
 	assert.Equal(t, b.startsOf("job"), 0, "the store has not answered")
 	assert.Equal(t, len(b.reasons), 1)
 	assert.Assert(t, strings.HasPrefix(b.reasons[0], "its begin is being stored; "), b.reasons[0])
-	assert.Assert(t, b.core.BeginsLate(-time.Millisecond))
-	b.core.Recorded(list, b.now, b.wallMS)
-	assert.Assert(t, !b.core.BeginsLate(-time.Millisecond))
+	assert.Assert(t, b.core.StartIntentsLate(-time.Millisecond))
+	b.core.MarkRecordsStored(list, b.now, b.wallMS)
+	assert.Assert(t, !b.core.StartIntentsLate(-time.Millisecond))
 	assert.Equal(t, b.startsOf("job"), 2)
 }
 
 func TestCapacityIsHeldWhileAStartIntentIsBeingStored(t *testing.T) {
 	b := newBench(t, 1, false)
-	b.core.StoreBegins(true)
+	b.core.StoreStartIntents(true)
 	b.round()
 	b.add(gangJob("first", "batch", "other", 1, 8))
 	b.add(gangJob("second", "batch", "other", 1, 8))
 	assert.Equal(t, b.startsOf("first")+b.startsOf("second"), 0)
-	list := b.core.Unpersisted(10)
+	list := b.core.UnstoredRecords(10)
 	assert.Equal(t, len(list), 1, "the second job has no capacity and gets no start intent")
 	assert.Equal(t, list[0].Job, "first")
 }
 
 func TestPendingStartIntentsAreStoredFirst(t *testing.T) {
 	b := newBench(t, 1, false)
-	b.core.StoreBegins(true)
+	b.core.StoreStartIntents(true)
 	b.round()
 	for _, id := range []string{"a", "b", "z"} {
 		b.add(singleJob(id, "batch", "other", 1, 1))
@@ -66,7 +66,7 @@
 	b.core.MarkDirty("a")
 	b.core.MarkDirty("b")
 	b.core.recordStartIntent(b.core.jobs["z"])
-	assert.Equal(t, b.core.Unpersisted(1)[0].Job, "z")
+	assert.Equal(t, b.core.UnstoredRecords(1)[0].Job, "z")
 }
 
 // A job that no leader ever started runs nowhere, whichever worker is unreachable.
@@ -85,13 +85,13 @@
 			b.core = New(testBounds, 3, b.now, b.now.Add(time.Second))
 			b.core.Configure(testConfig())
 			if c.trust {
-				b.core.TrustBegins()
+				b.core.TrustStartIntents()
 			}
 			b.unresponsive["w01"] = true
 			b.listWorkers()
 			job := gangJob("job", "batch", "other", 1, 8)
 			job.AcceptedMS = b.wallMS
-			b.core.AddJob(job, Record{Began: c.started}, false, b.now, b.wallMS)
+			b.core.AddJob(job, Record{StartIntent: c.started}, false, b.now, b.wallMS)
 			b.advance(500 * time.Millisecond)
 			assert.Equal(t, b.starts, c.starts)
 			b.advance(testBounds.MaxLease + 2*time.Second)
@@ -109,40 +109,40 @@
 	b.add(singleJob("runs", "batch", "other", 1, 1))
 	b.add(singleJob("ended", "batch", "other", 1, 1))
 	assert.Equal(t, b.startsOf("runs"), 1)
-	assert.Assert(t, !b.core.BeginsStored())
+	assert.Assert(t, !b.core.StartIntentsStored())
 	b.core.Cancel("ended", b.now, b.wallMS)
-	b.core.StoreBegins(true)
-	b.core.StoreAllBegins()
-	var runs, ended []Unpersisted
-	for _, u := range b.core.Unpersisted(10) {
+	b.core.StoreStartIntents(true)
+	b.core.StoreAllStartIntents()
+	var runs, ended []UnstoredRecord
+	for _, u := range b.core.UnstoredRecords(10) {
 		if u.Job == "runs" {
 			runs = append(runs, u)
 		} else {
 			ended = append(ended, u)
 		}
 	}
-	b.core.Recorded(runs, b.now, b.wallMS)
-	assert.Assert(t, !b.core.BeginsStored(), "the cancelled job was started")
-	b.core.Recorded(ended, b.now, b.wallMS)
-	assert.Assert(t, b.core.BeginsStored())
+	b.core.MarkRecordsStored(runs, b.now, b.wallMS)
+	assert.Assert(t, !b.core.StartIntentsStored(), "the cancelled job was started")
+	b.core.MarkRecordsStored(ended, b.now, b.wallMS)
+	assert.Assert(t, b.core.StartIntentsStored())
 }
 
 func TestWithoutStoredStartIntentsJobsStartAtOnce(t *testing.T) {
 	b := newBench(t, 1, false)
-	b.core.Tune(Tuning{Without: []Mechanism{MechStoredBegins}})
-	b.core.StoreBegins(true)
+	b.core.Tune(Tuning{Without: []Mechanism{MechStoredStartIntents}})
+	b.core.StoreStartIntents(true)
 	b.round()
 	b.add(singleJob("job", "batch", "other", 1, 1))
 	assert.Equal(t, b.startsOf("job"), 1)
-	assert.Equal(t, len(b.core.Unpersisted(10)), 0)
+	assert.Equal(t, len(b.core.UnstoredRecords(10)), 0)
 }
 
 func TestRecordKeepsTheStartIntentAcrossLeaders(t *testing.T) {
 	b := newBench(t, 1, false)
 	b.core.AddJob(&workload.Job{ID: "job", Queue: "batch", Account: "other", Steps: gangJob("x", "batch", "other", 1, 8).Steps},
-		Record{Began: true}, false, b.now, b.wallMS)
+		Record{StartIntent: true}, false, b.now, b.wallMS)
 	b.core.MarkDirty("job")
-	record, err := DecodeRecord(b.core.Unpersisted(1)[0].Record)
+	record, err := DecodeRecord(b.core.UnstoredRecords(1)[0].Record)
 	assert.NilError(t, err)
-	assert.Assert(t, record.Began)
+	assert.Assert(t, record.StartIntent)
 }
--- a/internal/dispatch/completions.go
+++ b/internal/dispatch/completions.go
@@ -20,7 +20,7 @@
 		}
 		c.applyCompletion(w, e)
 		if j != nil && j.revision > j.storedRevision && (j.revision > previous || c.dirty[j.ID] != nil) {
-			w.unpersisted = append(w.unpersisted, unpersistedCompletion{e.Number, j, j.revision})
+			w.unstored = append(w.unstored, unstoredCompletion{e.Number, j, j.revision})
 		}
 	}
 	c.advanceAcknowledgeable(w)
@@ -29,14 +29,14 @@
 // advanceAcknowledgeable updates the last completion that may be acknowledged: the one before
 // the first whose job record is not stored yet.
 func (c *Core) advanceAcknowledgeable(w *worker) {
-	for len(w.unpersisted) > 0 && w.unpersisted[0].job.storedRevision >= w.unpersisted[0].revision {
-		w.unpersisted = w.unpersisted[1:]
+	for len(w.unstored) > 0 && w.unstored[0].job.storedRevision >= w.unstored[0].revision {
+		w.unstored = w.unstored[1:]
 	}
 	acknowledgeable := w.lastCompletion
-	if len(w.unpersisted) > 0 {
-		acknowledgeable = w.unpersisted[0].number - 1
+	if len(w.unstored) > 0 {
+		acknowledgeable = w.unstored[0].number - 1
 	} else {
-		w.unpersisted = nil
+		w.unstored = nil
 	}
 	if acknowledgeable > w.acknowledgeable {
 		w.acknowledgeable = acknowledgeable
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -14,22 +14,22 @@
 	ActStart ActionKind = iota
 	ActStop
 	ActPoll
-	// ActAsk sends a request to the placement advisor.
-	ActAsk
+	// ActAskAdvisor sends a request to the placement advisor.
+	ActAskAdvisor
 	// ActReason is only logged: the reason why a step waits.
 	ActReason
-	// ActGaveUp is only logged: a job failed permanently, and why.
-	ActGaveUp
+	// ActJobAbandoned is only logged: a job failed permanently, and why.
+	ActJobAbandoned
 	// ActLost is only logged: a run ended because its worker was lost.
 	ActLost
 )
 
 // Action is an operation for the driver to perform. Its answer is passed back as an event.
 type Action struct {
-	Kind  ActionKind
-	Order workload.Order
-	Poll  workload.Poll
-	Ask   workload.AdviceRequest
+	Kind          ActionKind
+	Order         workload.Order
+	Poll          workload.Poll
+	AdviceRequest workload.AdviceRequest
 	// Sequence is the event sequence at which a poll was sent. Its answer is reliable only for runs
 	// whose last order had been answered by then.
 	Sequence uint64
@@ -52,8 +52,8 @@
 	Cause LossCause
 	// Ran is the time since the run started, or since this epoch adopted it.
 	Ran time.Duration
-	// Beside is the number of other runs that were lost with it.
-	Beside int
+	// OthersLost is the number of other runs that were lost with it.
+	OthersLost int
 }
 
 // LossCause states how a leader learned that the runs on a worker are over.
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -120,7 +120,7 @@
 			ID: id, Addr: id[1:], Pool: "pool", Zone: b.zones[rack], Rack: rack, Capacity: w.capacity, Leaving: leaving, LeavesInMS: timeLeft.Milliseconds(),
 		})
 	}
-	b.core.Listed(list, b.now, b.wallMS)
+	b.core.WorkersListed(list, b.now, b.wallMS)
 }
 
 func (b *bench) workerClock() int64 { return b.now.UnixMilli() }
@@ -128,7 +128,7 @@
 // round runs decisions and executes all actions immediately.
 func (b *bench) round() {
 	for range 6 {
-		b.core.Stored(b.core.Unstored(len(b.workers)))
+		b.core.WorkersStored(b.core.UnstoredWorkers(len(b.workers)))
 		actions := b.core.Decide(b.now, b.wallMS)
 		if len(actions) == 0 {
 			return
@@ -136,8 +136,8 @@
 		for _, a := range actions {
 			b.execute(a)
 		}
-		if list := b.core.Unpersisted(50); len(list) > 0 {
-			b.core.Recorded(list, b.now, b.wallMS)
+		if list := b.core.UnstoredRecords(50); len(list) > 0 {
+			b.core.MarkRecordsStored(list, b.now, b.wallMS)
 		}
 	}
 }
@@ -151,8 +151,8 @@
 		b.reasons = append(b.reasons, a.Reason)
 		return
 	}
-	if a.Kind == ActAsk {
-		b.core.Advised(a.Ask, b.advise(a.Ask), b.now, b.wallMS)
+	if a.Kind == ActAskAdvisor {
+		b.core.AdviceAnswered(a.AdviceRequest, b.advise(a.AdviceRequest), b.now, b.wallMS)
 		return
 	}
 	id := a.Order.Worker + a.Poll.Worker
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -70,7 +70,7 @@
 func (t *task) loadCrashes() {
 	j := t.step.job
 	record, key := &j.record, t.crashKey()
-	if len(record.Crashed[key])+len(record.Shared[key])+len(record.Unanswered[key])+len(record.Attempts[key]) == 0 {
+	if len(record.Crashed[key])+len(record.SharedCrashes[key])+len(record.Unanswered[key])+len(record.Attempts[key]) == 0 {
 		return
 	}
 	t.refreshCounts()
@@ -82,7 +82,7 @@
 func (t *task) refreshCounts() {
 	record, key := &t.step.job.record, t.crashKey()
 	h := t.ensureCrashes()
-	h.Seen, h.Shared, h.Unsure = len(record.Crashed[key]), len(record.Shared[key]), len(record.Unanswered[key])
+	h.Seen, h.Shared, h.Unsure = len(record.Crashed[key]), len(record.SharedCrashes[key]), len(record.Unanswered[key])
 }
 
 // recordLostAttempt records that a run was lost with its worker. If the worker never confirmed
@@ -122,7 +122,7 @@
 	case quarantine.Proven(lost.ran):
 		record.forgetCrashes(key)
 	case lost.shared:
-		record.addShared(key, lost.attempt)
+		record.addSharedCrash(key, lost.attempt)
 	case lost.confirmed:
 		record.addCrash(key, lost.attempt)
 	default:
@@ -138,9 +138,9 @@
 // failPermanently ends the job of a task that crashes its workers.
 func (c *Core) failPermanently(t *task) {
 	j := t.step.job
-	attempts := slices.Concat(j.record.Crashed[t.crashKey()], j.record.Shared[t.crashKey()])
+	attempts := slices.Concat(j.record.Crashed[t.crashKey()], j.record.SharedCrashes[t.crashKey()])
 	c.actions = append(c.actions, Action{
-		Kind:  ActGaveUp,
+		Kind:  ActJobAbandoned,
 		Order: workload.Order{Task: t.id(), Epoch: c.epoch},
 		Reason: fmt.Sprintf("%d workers crashed while running it, in attempts %v; unanswered starts lost: %d",
 			len(attempts), attempts, t.crashes.Unsure),
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -53,7 +53,7 @@
 		runTime:   2 * time.Second,
 		table:     make(map[string]Record),
 	}
-	c.core.StoreBegins(true)
+	c.core.StoreStartIntents(true)
 	return c
 }
 
@@ -68,7 +68,7 @@
 		c.restartWorkers()
 		c.endStops()
 		c.runTasks()
-		c.core.Stored(c.core.Unstored(len(c.workers)))
+		c.core.WorkersStored(c.core.UnstoredWorkers(len(c.workers)))
 		for _, a := range c.core.Decide(c.now, c.wallMS) {
 			if a.Kind == ActStart {
 				c.startsOf[a.Order.Task]++
@@ -87,21 +87,21 @@
 }
 
 func (c *crashBench) persist() {
-	list := c.core.Unpersisted(50)
+	list := c.core.UnstoredRecords(50)
 	for _, u := range list {
 		record, err := DecodeRecord(u.Record)
 		assert.NilError(c.t, err)
 		c.table[u.Job] = record
 	}
-	c.core.Recorded(list, c.now, c.wallMS)
+	c.core.MarkRecordsStored(list, c.now, c.wallMS)
 }
 
 // takeover starts the next leader from the contents of the store.
 func (c *crashBench) takeover() {
 	c.core = New(testBounds, c.core.epoch+1, c.now, c.now)
 	c.core.Configure(testConfig())
-	c.core.TrustBegins()
-	c.core.StoreBegins(true)
+	c.core.TrustStartIntents()
+	c.core.StoreStartIntents(true)
 	c.listWorkers()
 	for _, job := range c.accepted {
 		c.core.AddJob(job, c.table[job.ID], false, c.now, c.wallMS)
@@ -219,7 +219,7 @@
 	c.add(independentJob("crashing", 1))
 	c.advance(time.Second)
 	c.storeDown = true
-	c.core.StoreBegins(false)
+	c.core.StoreStartIntents(false)
 	c.advance(20 * time.Second)
 	assert.Equal(t, c.startsOf[workload.TaskID{Job: "crashing"}], 1)
 	c.add(independentJob("other", 90))
@@ -345,7 +345,7 @@
 			for _, a := range b.lostRuns {
 				assert.Equal(t, a.Order.Worker, "w00")
 				assert.Equal(t, a.Lost.Cause, c.cause)
-				assert.Equal(t, a.Lost.Beside, 1)
+				assert.Equal(t, a.Lost.OthersLost, 1)
 				assert.Assert(t, a.Lost.Ran >= c.ran, "ran %v", a.Lost.Ran)
 			}
 		})
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -11,8 +11,8 @@
 // tasks run to completion. Without this, work would keep arriving in a zone that is meant to
 // become empty, and would be lost with it.
 
-// Drain replaces the set of availability zones that operators have drained.
-func (c *Core) Drain(zones []string, now time.Time, wallMS int64) {
+// SetDrainedZones replaces the set of availability zones that operators have drained.
+func (c *Core) SetDrainedZones(zones []string, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	c.drained = make(map[string]bool, len(zones))
 	for _, zone := range zones {
--- a/internal/dispatch/drain_test.go
+++ b/internal/dispatch/drain_test.go
@@ -20,7 +20,7 @@
 	return b
 }
 
-func (b *bench) drain(zones ...string) { b.core.Drain(zones, b.now, b.wallMS) }
+func (b *bench) drain(zones ...string) { b.core.SetDrainedZones(zones, b.now, b.wallMS) }
 
 // runningIn counts the runs in a zone.
 func (b *bench) runningIn(zone string) int {
--- a/internal/dispatch/isolate_test.go
+++ b/internal/dispatch/isolate_test.go
@@ -35,7 +35,7 @@
 	var others []int
 	for _, a := range c.lostRuns {
 		if a.Order.Task.Job == "crashing" {
-			others = append(others, a.Lost.Beside)
+			others = append(others, a.Lost.OthersLost)
 		}
 	}
 	assert.Equal(t, len(others), 3)
--- a/internal/dispatch/jobs.go
+++ b/internal/dispatch/jobs.go
@@ -85,8 +85,8 @@
 	if c.jobs[accepted.ID] != nil {
 		return
 	}
-	j := &job{Job: accepted, record: record.clone(), startIntentStored: record.Began, acceptedAt: now}
-	j.fromEarlierEpoch = !c.earlierOrdersUntil.IsZero() && !now.After(c.earlierOrdersUntil) && (record.Began || !c.trustStartIntents)
+	j := &job{Job: accepted, record: record.clone(), startIntentStored: record.StartIntent, acceptedAt: now}
+	j.fromEarlierEpoch = !c.earlierOrdersUntil.IsZero() && !now.After(c.earlierOrdersUntil) && (record.StartIntent || !c.trustStartIntents)
 	if age := wallMS - accepted.AcceptedMS; age > 0 && age < maxJobAge.Milliseconds() {
 		j.acceptedAt = now.Add(-time.Duration(age) * time.Millisecond)
 	}
@@ -190,21 +190,21 @@
 	c.dirty[j.ID] = j
 }
 
-// Unpersisted is a job record that is not stored yet.
-type Unpersisted struct {
+// UnstoredRecord is a job record that is not stored yet.
+type UnstoredRecord struct {
 	Job string
-	// Change is the revision of the record.
-	Change uint64
-	Record []byte
-	Final  Final
-	// Began reports whether the record contains the job's start intent.
-	Began bool
+	// Revision is the revision of the record.
+	Revision uint64
+	Record   []byte
+	Final    Final
+	// StartIntent reports whether the record contains the job's start intent.
+	StartIntent bool
 }
 
-// Unpersisted returns up to limit records that are not stored yet, starting with those that a
+// UnstoredRecords returns up to limit records that are not stored yet, starting with those that a
 // start waits for.
-func (c *Core) Unpersisted(limit int) []Unpersisted {
-	var list []Unpersisted
+func (c *Core) UnstoredRecords(limit int) []UnstoredRecord {
+	var list []UnstoredRecord
 	changed := slices.SortedFunc(maps.Values(c.dirty), func(a, b *job) int {
 		switch {
 		case a.owesStartIntent() && !b.owesStartIntent():
@@ -218,21 +218,21 @@
 		if len(list) == limit {
 			break
 		}
-		list = append(list, Unpersisted{Job: j.ID, Change: j.revision, Record: j.record.Encode(), Final: j.record.Final, Began: j.record.Began})
+		list = append(list, UnstoredRecord{Job: j.ID, Revision: j.revision, Record: j.record.Encode(), Final: j.record.Final, StartIntent: j.record.StartIntent})
 	}
 	return list
 }
 
-// EndedUnpersisted returns the records, not stored yet, of jobs that have been final for at least
-// minAge.
-func (c *Core) EndedUnpersisted(minAge time.Duration) []Unpersisted {
-	var list []Unpersisted
+// UnstoredFinalRecords returns the records, not stored yet, of jobs that have been final for at
+// least minAge.
+func (c *Core) UnstoredFinalRecords(minAge time.Duration) []UnstoredRecord {
+	var list []UnstoredRecord
 	for _, j := range c.dirty {
 		if j.record.Final != "" && c.wallMS-j.record.EndedMS >= minAge.Milliseconds() {
-			list = append(list, Unpersisted{Job: j.ID, Change: j.revision, Record: j.record.Encode(), Final: j.record.Final, Began: j.record.Began})
+			list = append(list, UnstoredRecord{Job: j.ID, Revision: j.revision, Record: j.record.Encode(), Final: j.record.Final, StartIntent: j.record.StartIntent})
 		}
 	}
-	slices.SortFunc(list, func(a, b Unpersisted) int { return cmp.Compare(a.Job, b.Job) })
+	slices.SortFunc(list, func(a, b UnstoredRecord) int { return cmp.Compare(a.Job, b.Job) })
 	return list
 }
 
@@ -244,16 +244,16 @@
 	}
 }
 
-// Recorded marks the given records as stored.
-func (c *Core) Recorded(list []Unpersisted, now time.Time, wallMS int64) {
+// MarkRecordsStored marks the given records as stored.
+func (c *Core) MarkRecordsStored(list []UnstoredRecord, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	for _, u := range list {
 		j := c.jobs[u.Job]
 		if j == nil {
 			continue
 		}
-		j.storedRevision = max(j.storedRevision, u.Change)
-		j.startIntentStored = j.startIntentStored || u.Began
+		j.storedRevision = max(j.storedRevision, u.Revision)
+		j.startIntentStored = j.startIntentStored || u.StartIntent
 		if j.storedRevision == j.revision {
 			delete(c.dirty, j.ID)
 		}
@@ -263,15 +263,15 @@
 	}
 }
 
-// Forget drops a final job whose row was removed from the store.
-func (c *Core) Forget(id string) {
+// RemoveJob drops a final job whose row was removed from the store.
+func (c *Core) RemoveJob(id string) {
 	if j := c.jobs[id]; j != nil && j.record.Final != "" && j.runs == 0 {
 		delete(c.jobs, id)
 	}
 }
 
-// Began returns the ids of the jobs that have started and are not final.
-func (c *Core) Began() []string {
+// StartedJobs returns the ids of the jobs that have started and are not final.
+func (c *Core) StartedJobs() []string {
 	var ids []string
 	for _, j := range c.queue {
 		if j.started && j.record.Final == "" {
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -39,7 +39,7 @@
 	// lastCompletion is the number of the last completion received, acknowledgeable that of the
 	// last one that may be acknowledged, and acknowledged that of the last one that was.
 	lastCompletion, acknowledgeable, acknowledged int64
-	unpersisted                                   []unpersistedCompletion
+	unstored                                      []unstoredCompletion
 	// lostAttempts are runs that were lost with the worker and whose outcome is not known yet.
 	lostAttempts []lostAttempt
 	// lastContact is the time of the last answer.
@@ -61,9 +61,9 @@
 	health health
 }
 
-// unpersistedCompletion is a completion that must not be acknowledged before its job's record
+// unstoredCompletion is a completion that must not be acknowledged before its job's record
 // is stored at the given revision.
-type unpersistedCompletion struct {
+type unstoredCompletion struct {
 	number   int64
 	job      *job
 	revision uint64
@@ -83,8 +83,8 @@
 	refusalHoldOff = 300 * time.Millisecond
 )
 
-// Listed processes the platform's complete list of workers.
-func (c *Core) Listed(list []workload.Worker, now time.Time, wallMS int64) {
+// WorkersListed processes the platform's complete list of workers.
+func (c *Core) WorkersListed(list []workload.Worker, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	seen := make(map[string]bool, len(list))
 	for _, listed := range list {
@@ -136,7 +136,7 @@
 		case c.now.Before(w.nextPollAt):
 		case w.wantPoll || !w.synced || c.isSuspect(w):
 			due = append(due, duePoll{w, false})
-		case len(w.unpersisted) > 0:
+		case len(w.unstored) > 0:
 			// Completions are listed again until they are acknowledged, which requires the
 			// store's answer first: a long poll would return immediately.
 			w.nextPollAt = c.now.Add(pollRetryPause)
--- a/internal/dispatch/reasons.go
+++ b/internal/dispatch/reasons.go
@@ -41,7 +41,7 @@
 	c.actions = append(c.actions, Action{
 		Kind:  ActLost,
 		Order: workload.Order{Worker: r.worker.ID, Zone: r.worker.Zone, Task: r.task.id(), Attempt: r.attempt, Epoch: c.epoch},
-		Lost:  &LostRun{Cause: cause, Ran: c.now.Sub(r.since), Beside: others},
+		Lost:  &LostRun{Cause: cause, Ran: c.now.Sub(r.since), OthersLost: others},
 	})
 }
 
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -22,8 +22,8 @@
 // acknowledged to a worker, so a new leader needs only the record and what workers still list.
 type Record struct {
 	Final Final `json:"final,omitempty"`
-	// Began is the job's start intent: tasks of the job may have been started.
-	Began bool `json:"began,omitempty"`
+	// StartIntent is the job's start intent: tasks of the job may have been started.
+	StartIntent bool `json:"began,omitempty"`
 	// EndedMS is the time at which the job became final, in milliseconds since 1970.
 	EndedMS int64 `json:"ended_ms,omitempty"`
 	// Done maps occurrence and step ("0.1") to the bit set of done tasks in hexadecimal.
@@ -37,8 +37,8 @@
 	// Attempts maps the same keys to the attempts that may be in progress, for tasks whose
 	// worker may have crashed before.
 	Attempts map[string][]int64 `json:"attempts,omitempty"`
-	// Shared maps the same keys to the attempts that ended in a crash of many workers at once.
-	Shared map[string][]int64 `json:"shared,omitempty"`
+	// SharedCrashes maps the same keys to the attempts that ended in a crash of many workers at once.
+	SharedCrashes map[string][]int64 `json:"shared,omitempty"`
 	// Unanswered maps the same keys to the attempts that were lost with their worker and that
 	// the worker never confirmed.
 	Unanswered map[string][]int64 `json:"unanswered,omitempty"`
@@ -72,7 +72,7 @@
 	c := *r
 	c.Done, c.Checkpoints, c.Failed = maps.Clone(r.Done), maps.Clone(r.Checkpoints), maps.Clone(r.Failed)
 	c.Crashed, c.Attempts = maps.Clone(r.Crashed), maps.Clone(r.Attempts)
-	c.Shared, c.Unanswered = maps.Clone(r.Shared), maps.Clone(r.Unanswered)
+	c.SharedCrashes, c.Unanswered = maps.Clone(r.SharedCrashes), maps.Clone(r.Unanswered)
 	return c
 }
 
@@ -117,13 +117,15 @@
 // addCrash records an attempt during which the task's worker crashed.
 func (r *Record) addCrash(key string, attempt int64) { addAttempt(&r.Crashed, key, attempt) }
 
-// addShared records an attempt whose worker crashed together with many others.
-func (r *Record) addShared(key string, attempt int64) { addAttempt(&r.Shared, key, attempt) }
+// addSharedCrash records an attempt whose worker crashed together with many others.
+func (r *Record) addSharedCrash(key string, attempt int64) {
+	addAttempt(&r.SharedCrashes, key, attempt)
+}
 
 // forgetCrashes removes all recorded crashes of a task.
 func (r *Record) forgetCrashes(key string) {
 	delete(r.Crashed, key)
-	delete(r.Shared, key)
+	delete(r.SharedCrashes, key)
 	delete(r.Unanswered, key)
 }
 
--- a/internal/dispatch/repeat_test.go
+++ b/internal/dispatch/repeat_test.go
@@ -22,7 +22,7 @@
 	for until := l.now.Add(d); l.now.Before(until); {
 		l.now, l.wallMS = l.now.Add(10*time.Millisecond), l.wallMS+10
 		l.endStops()
-		l.core.Stored(l.core.Unstored(len(l.workers)))
+		l.core.WorkersStored(l.core.UnstoredWorkers(len(l.workers)))
 		for _, a := range l.core.Decide(l.now, l.wallMS) {
 			if a.Kind == l.kind && a.Order.Worker == l.worker && len(l.dropped) == 0 {
 				l.dropped = append(l.dropped, a)
--- a/internal/dispatch/stored.go
+++ b/internal/dispatch/stored.go
@@ -12,8 +12,9 @@
 // therefore stored before it gets any work, and removed once no task of this deployment can run
 // on it.
 
-// Unstored returns up to limit workers whose row in the stored table is missing or outdated.
-func (c *Core) Unstored(limit int) []workload.Worker {
+// UnstoredWorkers returns up to limit workers whose row in the stored table is missing or
+// outdated.
+func (c *Core) UnstoredWorkers(limit int) []workload.Worker {
 	var list []workload.Worker
 	for _, w := range c.fleet {
 		if len(list) >= limit {
@@ -29,9 +30,9 @@
 	return list
 }
 
-// Stored marks workers as stored. If a worker is due for removal by now its row will be
+// WorkersStored marks workers as stored. If a worker is due for removal by now its row will be
 // deleted, so it must be stored again before it gets work.
-func (c *Core) Stored(list []workload.Worker) {
+func (c *Core) WorkersStored(list []workload.Worker) {
 	for i := range list {
 		w := c.workers[list[i].ID]
 		if w != nil && !slices.Contains(c.pendingRemovals, w.ID) {
@@ -50,12 +51,12 @@
 	}
 }
 
-// Gone returns up to limit workers to remove from the stored table.
-func (c *Core) Gone(limit int) []string {
+// WorkersToRemove returns up to limit workers to remove from the stored table.
+func (c *Core) WorkersToRemove(limit int) []string {
 	return slices.Clone(c.pendingRemovals[:min(limit, len(c.pendingRemovals))])
 }
 
-// Removed records that workers were removed from the stored table.
-func (c *Core) Removed(ids []string) {
+// WorkersRemoved records that workers were removed from the stored table.
+func (c *Core) WorkersRemoved(ids []string) {
 	c.pendingRemovals = slices.DeleteFunc(c.pendingRemovals, func(id string) bool { return slices.Contains(ids, id) })
 }
--- a/internal/dispatch/stored_test.go
+++ b/internal/dispatch/stored_test.go
@@ -22,7 +22,7 @@
 	core := New(testBounds, 2, testStart, time.Time{})
 	core.Configure(testConfig())
 	capacity := workload.Resources{MilliCPU: 8000, MemoryMB: 8000, Accelerators: 8}
-	core.Listed([]workload.Worker{{ID: "w00", Pool: "pool", Capacity: capacity}}, testStart, 0)
+	core.WorkersListed([]workload.Worker{{ID: "w00", Pool: "pool", Capacity: capacity}}, testStart, 0)
 	core.AddJob(singleJob("job", "batch", "other", 1, 1), Record{}, false, testStart, 0)
 	starts := func() int {
 		count := 0
@@ -37,10 +37,10 @@
 		return count
 	}
 	assert.Equal(t, starts()+starts(), 0)
-	list := core.Unstored(10)
+	list := core.UnstoredWorkers(10)
 	assert.Equal(t, len(list), 1)
-	core.Stored(list)
-	assert.Equal(t, len(core.Unstored(10)), 0)
+	core.WorkersStored(list)
+	assert.Equal(t, len(core.UnstoredWorkers(10)), 0)
 	assert.Equal(t, starts(), 1)
 }
 
@@ -65,7 +65,7 @@
 			b.unlist("w00")
 			b.unresponsive["w00"] = c.unresponsive
 			b.advance(c.waited)
-			assert.Equal(t, slices.Contains(b.core.Gone(10), "w00"), c.gone)
+			assert.Equal(t, slices.Contains(b.core.WorkersToRemove(10), "w00"), c.gone)
 		})
 	}
 }
@@ -75,12 +75,12 @@
 	b.advance(time.Second)
 	b.unlist("w00")
 	b.advance(200 * time.Millisecond)
-	gone := b.core.Gone(10)
+	gone := b.core.WorkersToRemove(10)
 	assert.DeepEqual(t, gone, []string{"w00"})
 	b.listWorkers()
-	assert.Equal(t, len(b.core.Unstored(10)), 0, "the old row is removed first")
-	b.core.Removed(gone)
-	assert.Equal(t, len(b.core.Unstored(10)), 1)
+	assert.Equal(t, len(b.core.UnstoredWorkers(10)), 0, "the old row is removed first")
+	b.core.WorkersRemoved(gone)
+	assert.Equal(t, len(b.core.UnstoredWorkers(10)), 1)
 }
 
 // A row is written while its worker disappears from the list and returns: the removal decided
@@ -91,10 +91,10 @@
 	inFlight := []workload.Worker{b.core.workers["w00"].Worker}
 	b.unlist("w00")
 	b.core.Decide(b.now, b.wallMS)
-	assert.DeepEqual(t, b.core.Gone(10), []string{"w00"})
-	b.core.Stored(inFlight)
+	assert.DeepEqual(t, b.core.WorkersToRemove(10), []string{"w00"})
+	b.core.WorkersStored(inFlight)
 	b.listWorkers()
 	assert.Assert(t, !b.core.workers["w00"].usable(b.now), "work would start there while its row is removed")
-	b.core.Removed(b.core.Gone(10))
-	assert.Equal(t, len(b.core.Unstored(10)), 1)
+	b.core.WorkersRemoved(b.core.WorkersToRemove(10))
+	assert.Equal(t, len(b.core.UnstoredWorkers(10)), 1)
 }
--- a/internal/dispatch/suspect.go
+++ b/internal/dispatch/suspect.go
@@ -34,8 +34,8 @@
 func (w *worker) rackDomain() domain { return domain{w.Zone, w.Rack} }
 func (w *worker) zoneDomain() domain { return domain{zone: w.Zone} }
 
-// Suspect marks a zone as suspect because its instances do not answer.
-func (c *Core) Suspect(zone string, now time.Time, wallMS int64) {
+// SuspectZone marks a zone as suspect because its instances do not answer.
+func (c *Core) SuspectZone(zone string, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	c.suspectDomain(domain{zone: zone})
 }
--- a/internal/dispatch/suspect_test.go
+++ b/internal/dispatch/suspect_test.go
@@ -57,7 +57,7 @@
 func TestSuspectZoneIsPolledBeforeItGetsWork(t *testing.T) {
 	b := newTwoZoneBench(t)
 	b.partitionZone("za")
-	b.core.Suspect("za", b.now, b.wallMS)
+	b.core.SuspectZone("za", b.now, b.wallMS)
 	b.add(gangJob("gang", "urgent", "other", 2, 8))
 	b.advance(100 * time.Millisecond)
 	assert.Equal(t, b.startsIn("za"), 0)
--- a/internal/dispatch/tuning.go
+++ b/internal/dispatch/tuning.go
@@ -28,7 +28,7 @@
 	MechResends            Mechanism = "resends"
 	MechPollWindow         Mechanism = "poll_window"
 	MechStartWindow        Mechanism = "start_window"
-	MechStoredBegins       Mechanism = "stored_begins"
+	MechStoredStartIntents Mechanism = "stored_begins"
 	MechFlappingWorkers    Mechanism = "flapping_workers"
 )
 
@@ -37,7 +37,7 @@
 	return []Mechanism{
 		MechHeadroom, MechClaims, MechWaitForCompletions, MechReservations, MechRackWait, MechEstimates, MechUnhealthyWorkers,
 		MechEvacuation, MechSuspectDomains, MechDemoteLate, MechCheapVictims, MechPacking, MechRackOrder, MechRestartClaims, MechResends,
-		MechPollWindow, MechStartWindow, MechStoredBegins, MechFlappingWorkers,
+		MechPollWindow, MechStartWindow, MechStoredStartIntents, MechFlappingWorkers,
 	}
 }
 
--- a/internal/dispatch/watch_test.go
+++ b/internal/dispatch/watch_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	assert.Equal(t, b.starts, starts)
-	ended := b.core.EndedUnpersisted(time.Second)
+	ended := b.core.UnstoredFinalRecords(time.Second)
 	assert.Equal(t, len(ended), 1)
 	assert.Equal(t, ended[0].Job, "ends")
 	assert.Equal(t, ended[0].Final, FinalCompleted)
--- a/internal/dispatch/window_test.go
+++ b/internal/dispatch/window_test.go
@@ -47,7 +47,7 @@
 		p.now, p.wallMS = p.now.Add(processorTick), p.wallMS+processorTick.Milliseconds()
 		p.runCalls(processorTick)
 		if p.now.UnixMilli()%20 == 0 {
-			p.core.Stored(p.core.Unstored(len(p.workers)))
+			p.core.WorkersStored(p.core.UnstoredWorkers(len(p.workers)))
 			for _, a := range p.core.Decide(p.now, p.wallMS) {
 				p.send(a)
 			}
@@ -101,7 +101,7 @@
 		b.zones["r"+id[1:len(id)-1]] = "zone-" + string(rune('0'+n/300))
 		b.addWorker(id)
 	}
-	b.core.Stored(nil)
+	b.core.WorkersStored(nil)
 	b.listWorkers()
 	return &sharedProcessorBench{bench: b, answered: make(map[ActionKind]int), timedOut: make(map[ActionKind]int)}
 }
--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -87,6 +87,6 @@
 	for _, w := range sim.workerList {
 		list = append(list, w.Worker)
 	}
-	sim.leader.core.Listed(list, sim.clock(), sim.wallMS())
-	sim.leader.core.Stored(list)
+	sim.leader.core.WorkersListed(list, sim.clock(), sim.wallMS())
+	sim.leader.core.WorkersStored(list)
 }
--- a/internal/emulator/leader.go
+++ b/internal/emulator/leader.go
@@ -96,7 +96,7 @@
 
 func (sim *simulation) notifyDrains() {
 	sim.reportedDrains = sim.knownDrains()
-	sim.leader.core.Drain(sim.reportedDrains, sim.clock(), sim.wallMS())
+	sim.leader.core.SetDrainedZones(sim.reportedDrains, sim.clock(), sim.wallMS())
 	sim.roundDue = true
 }
 
@@ -133,8 +133,8 @@
 	}
 	l.core = dispatch.New(sim.deployment.bounds, l.epoch, sim.clock(), earlierOrdersUntil)
 	l.core.Tune(sim.tuning)
-	l.core.TrustBegins()
-	l.core.StoreBegins(true)
+	l.core.TrustStartIntents()
+	l.core.StoreStartIntents(true)
 	l.core.Configure(sim.deployment.config)
 	sim.notifyWorkers()
 	sim.notifyDrains()
--- a/internal/emulator/player.go
+++ b/internal/emulator/player.go
@@ -413,13 +413,13 @@
 // next tick. Jobs whose final record has not been stored for announceDelay, for instance
 // because the store is down, are announced.
 func (sim *simulation) writeRecords(core *dispatch.Core) {
-	for _, u := range core.EndedUnpersisted(announceDelay) {
+	for _, u := range core.UnstoredFinalRecords(announceDelay) {
 		sim.announceCompletion(u)
 	}
 	if !sim.day.storeDown(sim.now) {
-		core.Removed(core.Gone(maxRecordsPerWrite))
+		core.WorkersRemoved(core.WorkersToRemove(maxRecordsPerWrite))
 	}
-	list := core.Unpersisted(maxRecordsPerWrite)
+	list := core.UnstoredRecords(maxRecordsPerWrite)
 	if len(list) == 0 || sim.writeInFlight || sim.day.storeDown(sim.now) {
 		return
 	}
@@ -437,11 +437,11 @@
 	sim.writeInFlight = true
 	sim.deliverAfter(tick, func(core *dispatch.Core) {
 		sim.writeInFlight = false
-		core.Recorded(list, sim.clock(), sim.wallMS())
+		core.MarkRecordsStored(list, sim.clock(), sim.wallMS())
 	})
 }
 
-func (sim *simulation) announceCompletion(u dispatch.Unpersisted) {
+func (sim *simulation) announceCompletion(u dispatch.UnstoredRecord) {
 	record, err := dispatch.DecodeRecord(u.Record)
 	if err != nil {
 		panic(err) // the core has just encoded it
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -97,7 +97,7 @@
 		return
 	}
 	for name := range record.Crashed {
-		crashes := quarantine.Crashes{Seen: len(record.Crashed[name]), Shared: len(record.Shared[name]), Unsure: len(record.Unanswered[name])}
+		crashes := quarantine.Crashes{Seen: len(record.Crashed[name]), Shared: len(record.SharedCrashes[name]), Unsure: len(record.Unanswered[name])}
 		if crashes.Decide() == quarantine.GiveUp {
 			t.wronglyFailed++
 			return
