--- a/internal/deployment/instance.go
+++ b/internal/deployment/instance.go
@@ -42,9 +42,9 @@
 	Advisor workload.Advisor
 	Decoder Decoder
 	Logger  *zap.Logger
-	// Reload reads the settings again. Changed is called with settings that differ.
-	Reload  func() (*Settings, error)
-	Changed func(*Settings)
+	// Reload reads the settings again. SettingsChanged is called with settings that differ.
+	Reload          func() (*Settings, error)
+	SettingsChanged func(*Settings)
 }
 
 // Servers serve the callers.
@@ -341,8 +341,8 @@
 		return
 	}
 	i.liveSettings.Store(settings)
-	if i.options.Changed != nil {
-		i.options.Changed(settings)
+	if i.options.SettingsChanged != nil {
+		i.options.SettingsChanged(settings)
 	}
 	i.logger.Info("settings in force", zap.String("store", settings.Store), zap.Strings("seeds", settings.Seeds))
 }
