--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -82,7 +82,7 @@
 func (t *task) refreshCounts() {
 	record, key := &t.step.job.record, t.crashKey()
 	h := t.ensureCrashes()
-	h.Seen, h.Shared, h.Unsure = len(record.Crashed[key]), len(record.SharedCrashes[key]), len(record.Unanswered[key])
+	h.Confirmed, h.Correlated, h.Unacknowledged = len(record.Crashed[key]), len(record.SharedCrashes[key]), len(record.Unanswered[key])
 }
 
 // recordLostAttempt records that a run was lost with its worker. If the worker never confirmed
@@ -130,7 +130,7 @@
 	}
 	t.refreshCounts()
 	c.markChanged(t.step.job)
-	if t.crashDecision() == quarantine.GiveUp {
+	if t.crashDecision() == quarantine.Abandon {
 		c.failPermanently(t)
 	}
 }
@@ -143,7 +143,7 @@
 		Kind:  ActJobAbandoned,
 		Order: workload.Order{Task: t.id(), Epoch: c.epoch},
 		Reason: fmt.Sprintf("%d workers crashed while running it, in attempts %v; unanswered starts lost: %d",
-			len(attempts), attempts, t.crashes.Unsure),
+			len(attempts), attempts, t.crashes.Unacknowledged),
 	})
 	c.forgetMachineCrashes(attempts)
 	c.finish(j, FinalFailed)
--- a/internal/dispatch/isolate.go
+++ b/internal/dispatch/isolate.go
@@ -34,7 +34,7 @@
 func (u *pendingStep) countCrashes() {
 	for _, t := range u.tasks {
 		if t.crashes != nil {
-			u.maxCrashes = max(u.maxCrashes, t.crashes.Seen+t.crashes.Shared+t.crashes.Recent)
+			u.maxCrashes = max(u.maxCrashes, t.crashes.Confirmed+t.crashes.Correlated+t.crashes.Recent)
 		}
 	}
 }
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -97,8 +97,8 @@
 		return
 	}
 	for name := range record.Crashed {
-		crashes := quarantine.Crashes{Seen: len(record.Crashed[name]), Shared: len(record.SharedCrashes[name]), Unsure: len(record.Unanswered[name])}
-		if crashes.Decide() == quarantine.GiveUp {
+		crashes := quarantine.Crashes{Confirmed: len(record.Crashed[name]), Correlated: len(record.SharedCrashes[name]), Unacknowledged: len(record.Unanswered[name])}
+		if crashes.Decide() == quarantine.Abandon {
 			t.wronglyFailed++
 			return
 		}
--- a/internal/measure/gangload/baseline.go
+++ b/internal/measure/gangload/baseline.go
@@ -50,7 +50,7 @@
 		if outlasts {
 			allocate(s.Workers, extra, tasks)
 		}
-		plan.Placements = append(plan.Placements, placement.Placement{JobID: job.ID, Tasks: tasks, ExpectedEnd: expectedEnd})
+		plan.Placements = append(plan.Placements, placement.Placement{JobID: job.ID, Tasks: tasks, ExpectedCompletion: expectedEnd})
 	}
 	return plan
 }
@@ -109,7 +109,7 @@
 		releases = append(releases, release{gang.ExpectedEnd, gang.Placements})
 	}
 	for _, p := range plan.Placements {
-		releases = append(releases, release{p.ExpectedEnd, p.Tasks})
+		releases = append(releases, release{p.ExpectedCompletion, p.Tasks})
 	}
 	slices.SortStableFunc(releases, func(a, b release) int { return a.at.Compare(b.at) })
 	projected := slices.Clone(free)
--- a/internal/measure/gangload/gangload_test.go
+++ b/internal/measure/gangload/gangload_test.go
@@ -47,7 +47,7 @@
 			productRow := simulatePattern(t, "saturation 1", d, &product{})
 			baselineRow := simulatePattern(t, "saturation 1", d, &firstFit{})
 			assert.Assert(t, figureValue(t, productRow, "slowdown p99") < 0.7*figureValue(t, baselineRow, "slowdown p99"))
-			assert.Assert(t, figureValue(t, productRow, "urgent start p99") < reclaim.UrgentStart.Seconds())
+			assert.Assert(t, figureValue(t, productRow, "urgent start p99") < reclaim.UrgentStartLimit.Seconds())
 			assert.Equal(t, figureValue(t, productRow, "unfinished"), 0.0)
 		})
 	}
--- a/internal/measure/gangload/gangs.go
+++ b/internal/measure/gangload/gangs.go
@@ -20,7 +20,7 @@
 	}
 	job.gang = model.Gang{
 		Job: job.spec, State: model.GangRunning, Placements: p.Tasks, StartedAt: simulationStart.Add(at),
-		ExpectedEnd: p.ExpectedEnd, Borrowed: p.Borrowed,
+		ExpectedEnd: p.ExpectedCompletion, Borrowed: p.Borrowed,
 	}
 	if worker := sim.failingWorker(job); worker != "" {
 		sim.scheduleForAttempt(job, at+failureDelay, func() { sim.fail(job, worker) })
@@ -67,9 +67,9 @@
 	abandon := job.failures >= maxFailures || !job.spec.Stoppable()
 	if sim.policy.UsesQuarantine() {
 		verdict := sim.tracker.TaskFailed(worker, job.spec.ID, sim.wallTime())
-		abandon = abandon || verdict.SickJob != ""
-		if verdict.SickWorker != "" {
-			sim.setHealth(verdict.SickWorker, model.WorkerQuarantined)
+		abandon = abandon || verdict.FaultyJob != ""
+		if verdict.UnhealthyWorker != "" {
+			sim.setHealth(verdict.UnhealthyWorker, model.WorkerQuarantined)
 		}
 	}
 	if abandon {
@@ -91,7 +91,7 @@
 	}
 	checkpointTime := time.Duration((1 + 2*sim.random.Float64()) * float64(time.Second))
 	if sim.random.Float64() < slowCheckpointShare {
-		sim.scheduleForAttempt(job, sim.now+r.Within+stopDelay, func() { sim.requeue(job) })
+		sim.scheduleForAttempt(job, sim.now+r.Timeout+stopDelay, func() { sim.requeue(job) })
 		return
 	}
 	sim.scheduleForAttempt(job, sim.now+checkpointTime, func() {
--- a/internal/measure/gangload/play.go
+++ b/internal/measure/gangload/play.go
@@ -95,7 +95,7 @@
 	jobList     []*simulatedJob
 	queue       []*simulatedJob
 	active      []*simulatedJob
-	keptRegions []placement.Kept
+	keptRegions []placement.KeptRegion
 	history     *estimate.History
 	tracker     *quarantine.Tracker
 	integrals   integrals
@@ -145,7 +145,7 @@
 // tick is a periodic event, so that decisions are made at least every
 // tickInterval. It also probes quarantined workers whose cooldown is over.
 func (sim *simulation) tick() {
-	for _, worker := range sim.tracker.Cooled(sim.wallTime()) {
+	for _, worker := range sim.tracker.StartProbes(sim.wallTime()) {
 		ok := !sim.unhealthy[worker]
 		sim.tracker.Probed(worker, ok, sim.wallTime())
 		if ok {
@@ -228,7 +228,7 @@
 func (sim *simulation) snapshotWithoutQueue() placement.Snapshot {
 	s := placement.Snapshot{
 		Now: sim.wallTime(), Zone: zoneName, Workers: sim.workers, Accounts: sim.deployment.Accounts,
-		Objectives: sim.deployment.Objectives, Runs: sim.history, Kept: sim.keptRegions, Gangs: make([]model.Gang, len(sim.active)),
+		Objectives: sim.deployment.Objectives, RunTimes: sim.history, KeptRegions: sim.keptRegions, Gangs: make([]model.Gang, len(sim.active)),
 	}
 	for i, job := range sim.active {
 		s.Gangs[i] = job.gang
@@ -242,7 +242,7 @@
 		return
 	}
 	plan := sim.policy.Decide(sim.snapshot())
-	sim.keptRegions = plan.Kept
+	sim.keptRegions = plan.KeptRegions
 	for _, r := range plan.Refusals {
 		sim.refuse(sim.jobs[r.JobID])
 	}
--- a/internal/measure/gangload/policy.go
+++ b/internal/measure/gangload/policy.go
@@ -67,28 +67,28 @@
 		{"without refusal at submission", product{admitAll: true}},
 		{"without borrowing", product{noBorrowing: true}},
 		{"without quarantine", product{noQuarantine: true}},
-		{"without reservation", product{disabled: placement.Off{Reservation: true}}},
-		{"without backfill", product{disabled: placement.Off{Backfill: true}}},
-		{"without fair order of accounts", product{disabled: placement.Off{FairOrder: true}}},
-		{"without due times by run time", product{disabled: placement.Off{DueTimes: true}}},
-		{"without heads of accounts", product{disabled: placement.Off{Heads: true}}},
-		{"guarantees bound to fixed cells", product{disabled: placement.Off{Repack: true}}},
-		{"without best fit", product{disabled: placement.Off{BestFit: true}}},
-		{"without reclaim", product{disabled: placement.Off{Reclaim: true}}},
-		{"without cheapest reclaim", product{disabled: placement.Off{CheapestReclaim: true}}},
-		{"without objectives", product{disabled: placement.Off{Objectives: true}}},
+		{"without reservation", product{disabled: placement.Disabled{Reservation: true}}},
+		{"without backfill", product{disabled: placement.Disabled{Backfill: true}}},
+		{"without fair order of accounts", product{disabled: placement.Disabled{FairOrder: true}}},
+		{"without due times by run time", product{disabled: placement.Disabled{LatestStarts: true}}},
+		{"without heads of accounts", product{disabled: placement.Disabled{Heads: true}}},
+		{"guarantees bound to fixed cells", product{disabled: placement.Disabled{Repack: true}}},
+		{"without best fit", product{disabled: placement.Disabled{BestFit: true}}},
+		{"without reclaim", product{disabled: placement.Disabled{Reclaim: true}}},
+		{"without cheapest reclaim", product{disabled: placement.Disabled{CheapestReclaim: true}}},
+		{"without objectives", product{disabled: placement.Disabled{Objectives: true}}},
 	}
 }
 
 // product is the placement of corianderbank, with some parts possibly disabled.
 type product struct {
 	useDeclaredRuns, admitAll, noBorrowing, noQuarantine bool
-	disabled                                             placement.Off
+	disabled                                             placement.Disabled
 }
 
 func (p *product) adjustSnapshot(s placement.Snapshot) placement.Snapshot {
 	if p.useDeclaredRuns {
-		s.Runs = estimate.Declared{}
+		s.RunTimes = estimate.Declared{}
 	}
 	if p.noBorrowing {
 		waiting := make([]model.Job, len(s.Waiting))
--- a/internal/placement/admit.go
+++ b/internal/placement/admit.go
@@ -17,7 +17,7 @@
 // Admit checks a job at submission. It returns the estimated finish time, or the
 // refusal.
 func Admit(s Snapshot, job model.Job) (finish time.Time, refusal *Refusal) {
-	d := newDecider(&s, Off{})
+	d := newDecider(&s, Disabled{})
 	if reason := d.neverFits(&job); reason != "" {
 		return time.Time{}, newRefusal(&job, api.KindShapeNeverFits, reason)
 	}
--- a/internal/placement/avoid_test.go
+++ b/internal/placement/avoid_test.go
@@ -28,7 +28,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := Snapshot{Now: time.Unix(1000, 0), Zone: "z1", Runs: estimate.Declared{}, Accounts: []model.ClientAccount{{Name: "acme"}}}
+			s := Snapshot{Now: time.Unix(1000, 0), Zone: "z1", RunTimes: estimate.Declared{}, Accounts: []model.ClientAccount{{Name: "acme"}}}
 			for _, id := range test.workers {
 				s.Workers = append(s.Workers, model.Worker{ID: id, Rack: "r", Zone: "z1", Accelerators: 8, Health: model.WorkerHealthy})
 			}
@@ -50,7 +50,7 @@
 
 func TestClaimStopsBorrowersOutsideAvoidedWorkers(t *testing.T) {
 	shape := api.Shape{Tasks: 1, AcceleratorsPerTask: 8}
-	s := Snapshot{Now: time.Unix(1000, 0), Zone: "z1", Runs: estimate.Declared{}, Accounts: []model.ClientAccount{
+	s := Snapshot{Now: time.Unix(1000, 0), Zone: "z1", RunTimes: estimate.Declared{}, Accounts: []model.ClientAccount{
 		{Name: "acme", Guarantees: map[string][]model.GuaranteedShape{"z1": {{Shape: shape, Count: 1}}}}, {Name: "orbit"},
 	}}
 	for _, id := range []string{"a", "b"} {
--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -40,7 +40,7 @@
 // reserve makes up to maxReservations reservations for the jobs that do not fit now,
 // in order of their latest start.
 func (d *decider) reserve(q *queue) {
-	if d.off.Reservation {
+	if d.disabled.Reservation {
 		return
 	}
 	for _, e := range q.byLatestStart() {
@@ -125,15 +125,16 @@
 	releases := make([]release, 0, len(d.holders)+len(d.placedReleases))
 	for i := range d.holders {
 		h := &d.holders[i]
-		releases = append(releases, release{at: d.expectedEnd(h), parts: h.parts, perTask: h.gang.Job.Shape.AcceleratorsPerTask})
+		releases = append(releases, release{at: d.expectedCompletion(h), parts: h.parts, perTask: h.gang.Job.Shape.AcceleratorsPerTask})
 	}
 	releases = append(releases, d.placedReleases...)
 	slices.SortStableFunc(releases, func(a, b release) int { return a.at.Compare(b.at) })
 	return releases
 }
 
-// expectedEnd returns the time at which a gang is expected to return its accelerators.
-func (d *decider) expectedEnd(h *holder) time.Time {
+// expectedCompletion returns the time at which a gang is expected to return its
+// accelerators.
+func (d *decider) expectedCompletion(h *holder) time.Time {
 	if h.stopping {
 		return d.snapshot.Now
 	}
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -17,7 +17,7 @@
 func benchSnapshot(workers int) Snapshot {
 	random := rand.New(rand.NewPCG(1, uint64(workers)))
 	s := testSnapshot(workers/8, 8)
-	s.Runs = estimate.NewHistory()
+	s.RunTimes = estimate.NewHistory()
 	for i := range 4 {
 		s.Accounts = append(s.Accounts, testAccount(fmt.Sprintf("a%d", i), workers/16, 2))
 	}
--- a/internal/placement/claim.go
+++ b/internal/placement/claim.go
@@ -100,7 +100,7 @@
 // tryReclaim stops other gangs for a claim if it may, and otherwise records that the
 // claim failed.
 func (d *decider) tryReclaim(e *entry) {
-	if d.off.Reclaim || !d.mayReclaim(e) || !d.reclaimFor(e) {
+	if d.disabled.Reclaim || !d.mayReclaim(e) || !d.reclaimFor(e) {
 		d.failed[claimKey(e)] = true
 	}
 }
@@ -169,7 +169,7 @@
 // vector.
 func (d *decider) partlyUsedWorkerCapacity(e *entry, available []int) []int {
 	used := d.zone.zeroVector()
-	if d.off.Objectives || d.snapshot.Objectives.Fragmentation <= d.snapshot.Objectives.CompletionTime || e.job.Urgent {
+	if d.disabled.Objectives || d.snapshot.Objectives.Fragmentation <= d.snapshot.Objectives.CompletionTime || e.job.Urgent {
 		return used
 	}
 	for w := range used {
@@ -207,7 +207,7 @@
 // Elsewhere such a job would occupy part of another whole shape of its account for as
 // long as it runs.
 func (d *decider) claimPartlyUsedShapes(e *entry) bool {
-	if (e.job.Stoppable() && !e.job.Urgent) || d.off.Reclaim {
+	if (e.job.Stoppable() && !e.job.Urgent) || d.disabled.Reclaim {
 		return false
 	}
 	parts := d.fit(e, d.packed.partlyUsedCells[e.account], sumVectors(d.free, d.releasing))
@@ -276,7 +276,7 @@
 			regions = append(regions, d.priceRegion(e, parts))
 		}
 	}
-	if d.off.CheapestReclaim {
+	if d.disabled.CheapestReclaim {
 		return regions
 	}
 	slices.SortStableFunc(regions, func(a, b region) int { return cmp.Compare(a.cost, b.cost) })
@@ -400,7 +400,7 @@
 	}
 	d.use[e.account] += e.job.Shape.Accelerators()
 	e.done = true
-	d.plan.Kept = append(d.plan.Kept, Kept{JobID: e.job.ID, Tasks: d.zone.placements(r.parts, e.job.Shape)})
+	d.plan.KeptRegions = append(d.plan.KeptRegions, KeptRegion{JobID: e.job.ID, Tasks: d.zone.placements(r.parts, e.job.Shape)})
 	d.decided("reclaim", e.job, fmt.Sprintf("stop %d gangs", len(r.victims)), "the account claims its guarantee")
 }
 
@@ -412,9 +412,9 @@
 	if h.account >= 0 {
 		d.use[h.account] -= h.gang.Job.Shape.Accelerators()
 	}
-	reclaimed := Reclaim{JobID: h.gang.Job.ID, For: claimant.job.ID, Method: MethodStop, Within: reclaim.StopTimeout}
+	reclaimed := Reclaim{JobID: h.gang.Job.ID, ClaimantID: claimant.job.ID, Method: MethodStop, Timeout: reclaim.StopTimeout}
 	if h.gang.Job.Checkpointable {
-		reclaimed.Method, reclaimed.Within = MethodCheckpoint, reclaim.CheckpointTimeout
+		reclaimed.Method, reclaimed.Timeout = MethodCheckpoint, reclaim.CheckpointTimeout
 	}
 	d.plan.Reclaims = append(d.plan.Reclaims, reclaimed)
 	d.plan.Decisions = append(d.plan.Decisions, api.Decision{
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -30,7 +30,7 @@
 // decided so far.
 type decider struct {
 	snapshot   *Snapshot
-	off        Off
+	disabled   Disabled
 	zone       *zone
 	accounts   map[string]int
 	guarantees []guarantee
@@ -83,7 +83,7 @@
 // Decide returns the actions to take now, each with its reason: gangs to place,
 // borrowers to stop and jobs to refuse.
 func Decide(s Snapshot) Plan {
-	return newDecider(&s, Off{}).decide()
+	return newDecider(&s, Disabled{}).decide()
 }
 
 func (d *decider) decide() Plan {
@@ -102,11 +102,11 @@
 	return d.plan
 }
 
-func newDecider(s *Snapshot, off Off) *decider {
+func newDecider(s *Snapshot, disabled Disabled) *decider {
 	z := newZone(s.Workers, false)
-	z.firstFit = off.BestFit
+	z.firstFit = disabled.BestFit
 	d := &decider{
-		snapshot: s, off: off, zone: z,
+		snapshot: s, disabled: disabled, zone: z,
 		accounts:          make(map[string]int, len(s.Accounts)),
 		guarantees:        guaranteesOf(s.Zone, s.Accounts),
 		held:              newHoldings(z, len(s.Accounts)),
@@ -130,7 +130,7 @@
 	for w := range d.free {
 		d.free[w] = max(0, d.free[w])
 	}
-	if off.Repack {
+	if disabled.Repack {
 		d.packed = z.packFixed(d.held, d.guarantees)
 	} else {
 		d.packed = z.pack(d.held, d.guarantees)
@@ -195,7 +195,7 @@
 	if stoppable {
 		key.account = -1
 	}
-	if d.failed[key] || (d.off.Backfill && d.blocked) {
+	if d.failed[key] || (d.disabled.Backfill && d.blocked) {
 		return
 	}
 	parts := d.fit(e, d.available(e), nil)
@@ -236,10 +236,10 @@
 	d.use[e.account] += e.job.Shape.Accelerators()
 	e.done = true
 	d.plan.Placements = append(d.plan.Placements, Placement{
-		JobID:       e.job.ID,
-		Tasks:       d.zone.placements(parts, e.job.Shape),
-		Borrowed:    borrowed,
-		ExpectedEnd: d.snapshot.Now.Add(e.runTime),
+		JobID:              e.job.ID,
+		Tasks:              d.zone.placements(parts, e.job.Shape),
+		Borrowed:           borrowed,
+		ExpectedCompletion: d.snapshot.Now.Add(e.runTime),
 	})
 	d.decided("place", e.job, d.zone.describe(parts), reason)
 	d.plan.Decisions[len(d.plan.Decisions)-1].SecondBest = second
@@ -287,7 +287,7 @@
 // addFixedRepacked packs the guarantees again around the parts. On failure it changes
 // nothing.
 func (d *decider) addFixedRepacked(account int, parts []part, perTask int, inside bool) bool {
-	if d.off.Repack {
+	if d.disabled.Repack {
 		return !inside && d.addFixedOutside(account, parts, perTask)
 	}
 	d.held.add(account, parts, perTask)
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -48,7 +48,7 @@
 func testSnapshot(racks, perRack int, accounts ...model.ClientAccount) Snapshot {
 	return Snapshot{
 		Now: testNow, Zone: testZone, Workers: testWorkers(racks, perRack), Accounts: accounts,
-		Runs: estimate.Declared{}, Objectives: model.Objectives{CompletionTime: 0.5, Fragmentation: 0.5},
+		RunTimes: estimate.Declared{}, Objectives: model.Objectives{CompletionTime: 0.5, Fragmentation: 0.5},
 	}
 }
 
@@ -70,7 +70,7 @@
 	for _, p := range plan.Placements {
 		gangs = append(gangs, model.Gang{
 			Job: jobs[p.JobID], State: model.GangRunning, Placements: p.Tasks, StartedAt: s.Now,
-			ExpectedEnd: p.ExpectedEnd, Borrowed: p.Borrowed,
+			ExpectedEnd: p.ExpectedCompletion, Borrowed: p.Borrowed,
 		})
 		delete(jobs, p.JobID)
 	}
@@ -83,7 +83,7 @@
 			waiting = append(waiting, job)
 		}
 	}
-	s.Gangs, s.Waiting, s.Kept = gangs, waiting, plan.Kept
+	s.Gangs, s.Waiting, s.KeptRegions = gangs, waiting, plan.KeptRegions
 	return s
 }
 
--- a/internal/placement/fixed.go
+++ b/internal/placement/fixed.go
@@ -7,7 +7,7 @@
 // The alternative to packing the guarantees again for each decision: every guaranteed
 // shape is bound to fixed accelerators, as if its account owned them (the simplest
 // form of the cells of HiveD, OSDI 2020). It exists for comparison and is used with
-// Off.Repack only. See docs/design/001-reclaim-safe-placement.md.
+// Disabled.Repack only. See docs/design/001-reclaim-safe-placement.md.
 
 // packFixed packs the shapes into the empty zone and subtracts what the accounts' own
 // fixed gangs hold of them.
--- a/internal/placement/head.go
+++ b/internal/placement/head.go
@@ -27,7 +27,7 @@
 // findHeads determines the head of each account. It considers the waiting jobs of an
 // account in order, up to the first one with several tasks.
 func (d *decider) findHeads(q *queue) {
-	if d.off.Heads {
+	if d.disabled.Heads {
 		return
 	}
 	for account, list := range q.byAccount {
@@ -63,7 +63,7 @@
 			own = append(own, h)
 		}
 	}
-	slices.SortStableFunc(own, func(a, b *holder) int { return d.expectedEnd(a).Compare(d.expectedEnd(b)) })
+	slices.SortStableFunc(own, func(a, b *holder) int { return d.expectedCompletion(a).Compare(d.expectedCompletion(b)) })
 	inside := d.fixedUse[e.account] - d.packed.outside[e.account]
 	start := d.snapshot.Now
 	for _, h := range own {
@@ -71,7 +71,7 @@
 			break
 		}
 		inside -= h.gang.Job.Shape.Accelerators()
-		start = d.expectedEnd(h)
+		start = d.expectedCompletion(h)
 	}
 	return start
 }
--- a/internal/placement/invariant_test.go
+++ b/internal/placement/invariant_test.go
@@ -55,7 +55,7 @@
 // worker.
 func guaranteeViolations(s Snapshot) []string {
 	var found []string
-	d := newDecider(&s, Off{})
+	d := newDecider(&s, Disabled{})
 	for account, missing := range d.packed.missing {
 		if missing > 0 {
 			found = append(found, fmt.Sprintf("%d shapes of account %s cannot be reclaimed", missing, s.Accounts[account].Name))
@@ -175,12 +175,12 @@
 		jobs[job.ID] = job
 	}
 	for _, r := range plan.Reclaims {
-		gang, claimant := gangs[r.JobID], jobs[r.For]
+		gang, claimant := gangs[r.JobID], jobs[r.ClaimantID]
 		own := claimant.Urgent && !gang.Job.Urgent && claimant.Account == gang.Job.Account
 		if (!gang.Borrowed && !own) || !gang.Job.Stoppable() || gang.State != model.GangRunning {
 			t.Fatalf("gang %s is stopped: borrowed %v, stoppable %v", r.JobID, gang.Borrowed, gang.Job.Stoppable())
 		}
-		if r.Within <= 0 {
+		if r.Timeout <= 0 {
 			t.Fatalf("gang %s is stopped without a time limit", r.JobID)
 		}
 	}
--- a/internal/placement/kept.go
+++ b/internal/placement/kept.go
@@ -13,9 +13,9 @@
 // account would wait one more round for each such exchange. A region is therefore kept
 // for its claim until the claim starts.
 
-// Kept is the region that is kept for a claim: the placement of its tasks once the
+// KeptRegion is the region that is kept for a claim: the placement of its tasks once the
 // gangs there have ended.
-type Kept struct {
+type KeptRegion struct {
 	JobID string
 	Tasks []api.TaskPlacement
 }
@@ -25,7 +25,7 @@
 // because a worker was lost or the guarantee of the account was lowered, the claim
 // gets a new region later in the decision.
 func (d *decider) resumeKept(q *queue) {
-	for _, k := range d.snapshot.Kept {
+	for _, k := range d.snapshot.KeptRegions {
 		e := q.find(k.JobID)
 		if e == nil || e.done || !d.mayClaim(e) {
 			continue
--- a/internal/placement/kept_test.go
+++ b/internal/placement/kept_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, len(s.Gangs), 3)
 	s.Waiting = append(s.Waiting, testJob("claim", "b", 2, 8))
 	plan := Decide(s)
-	assert.Equal(t, len(plan.Kept), 1)
+	assert.Equal(t, len(plan.KeptRegions), 1)
 	return applyPlan(s, plan)
 }
 
@@ -46,7 +46,7 @@
 			s.Waiting = append(s.Waiting, urgent)
 		}, true},
 		"a worker of the region is lost": {func(s *Snapshot) {
-			lost := s.Kept[0].Tasks[0].Worker
+			lost := s.KeptRegions[0].Tasks[0].Worker
 			s.Workers = slices.Clone(s.Workers)
 			for i := range s.Workers {
 				if s.Workers[i].ID == lost {
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := snapshotWithWaitingClaim(t)
 			c.change(&s)
-			kept := s.Kept[0]
+			kept := s.KeptRegions[0]
 			plan := Decide(completeStops(s))
 			at := slices.IndexFunc(plan.Placements, func(p Placement) bool { return p.JobID == kept.JobID })
 			assert.Equal(t, at >= 0 && sameWorkers(plan.Placements[at].Tasks, kept.Tasks), c.want)
--- a/internal/placement/off.go
+++ b/internal/placement/off.go
@@ -1,8 +1,8 @@
 package placement
 
-// Off selects mechanisms to disable, so that a measurement can show the effect of
+// Disabled selects mechanisms to disable, so that a measurement can show the effect of
 // each. The zero value disables none.
-type Off struct {
+type Disabled struct {
 	// Reservation makes no reservations: any job that fits starts before the jobs that
 	// do not.
 	Reservation bool
@@ -10,9 +10,9 @@
 	Backfill bool
 	// FairOrder serves accounts in the order of the configuration.
 	FairOrder bool
-	// DueTimes orders jobs by submission time instead of their latest start. A deadline
+	// LatestStarts orders jobs by submission time instead of their latest start. A deadline
 	// counts only if the latest start that meets it precedes the submission.
-	DueTimes bool
+	LatestStarts bool
 	// Heads lets any job of an account use its guarantee, regardless of larger jobs
 	// that wait for it.
 	Heads bool
@@ -31,6 +31,6 @@
 
 // DecideWithout is Decide with some mechanisms disabled. It is for measurements only:
 // the invariants hold, but the results are worse.
-func DecideWithout(s Snapshot, off Off) Plan {
-	return newDecider(&s, off).decide()
+func DecideWithout(s Snapshot, disabled Disabled) Plan {
+	return newDecider(&s, disabled).decide()
 }
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -51,7 +51,7 @@
 // newQueue sorts the waiting jobs. Jobs of unknown accounts are omitted.
 func newQueue(d *decider) *queue {
 	s := d.snapshot
-	q := &queue{byAccount: make([][]*entry, len(s.Accounts)), share: make([]int, len(s.Accounts)), configOrder: d.off.FairOrder}
+	q := &queue{byAccount: make([][]*entry, len(s.Accounts)), share: make([]int, len(s.Accounts)), configOrder: d.disabled.FairOrder}
 	for i := range s.Accounts {
 		q.share[i] = max(1, s.Accounts[i].GuaranteedAccelerators(s.Zone), s.Accounts[i].Weight)
 	}
@@ -75,7 +75,7 @@
 	s := d.snapshot
 	runTime := remainingRun(s, job)
 	latestStart := job.SubmittedAt.Add((targetSlowdown - 1) * runTime)
-	if d.off.DueTimes {
+	if d.disabled.LatestStarts {
 		latestStart = job.SubmittedAt
 	}
 	if deadlineStart := job.Deadline.Add(-runTime); !job.Deadline.IsZero() && deadlineStart.Before(latestStart) {
@@ -87,7 +87,7 @@
 
 // remainingRun returns the corrected run time that a job still needs.
 func remainingRun(s *Snapshot, job *model.Job) time.Duration {
-	runTime := s.Runs.Run(job.Account, job.Kind, job.DeclaredRun)
+	runTime := s.RunTimes.Run(job.Account, job.Kind, job.DeclaredRun)
 	return max(time.Second, runTime-job.Progress)
 }
 
--- a/internal/placement/recheck.go
+++ b/internal/placement/recheck.go
@@ -12,7 +12,7 @@
 // snapshot that includes the earlier ones. The kind of the error is KindConflict or
 // KindNoCapacity.
 func Recheck(s Snapshot, p Placement) error {
-	d := newDecider(&s, Off{})
+	d := newDecider(&s, Disabled{})
 	job := d.waitingJob(p.JobID)
 	if job == nil {
 		return api.NewError(api.KindConflict, "job %s is not waiting", p.JobID)
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -7,7 +7,7 @@
 // Accounts returns what each client account is guaranteed, uses, borrows and lends in
 // the zone, in accelerators, in the order of the configuration.
 func Accounts(s Snapshot) []api.AccountStatus {
-	d := newDecider(&s, Off{})
+	d := newDecider(&s, Disabled{})
 	risks := d.atRisk()
 	lent := d.lent()
 	statuses := make([]api.AccountStatus, len(s.Accounts))
@@ -56,7 +56,7 @@
 // Fragmentation returns the fraction of the zone's free accelerators that no waiting
 // or guaranteed shape can use. It returns 0 if none is free.
 func Fragmentation(s Snapshot) float64 {
-	d := newDecider(&s, Off{})
+	d := newDecider(&s, Disabled{})
 	free := totalOf(d.free)
 	if free == 0 {
 		return 0
--- a/internal/placement/scenario_test.go
+++ b/internal/placement/scenario_test.go
@@ -207,8 +207,8 @@
 	methods := make(map[string]Method)
 	for _, r := range Decide(s).Reclaims {
 		methods[r.JobID] = r.Method
-		assert.Assert(t, r.Within <= 4*time.Second)
-		assert.Equal(t, r.For, "urgent")
+		assert.Assert(t, r.Timeout <= 4*time.Second)
+		assert.Equal(t, r.ClaimantID, "urgent")
 	}
 	assert.DeepEqual(t, methods, map[string]Method{"kept": MethodCheckpoint, "stopped": MethodStop})
 }
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -25,13 +25,13 @@
 	Gangs []model.Gang
 	// Waiting are the jobs that hold no accelerators, in submission order.
 	Waiting []model.Job
-	// Kept are the regions that the previous plan kept for claims that wait for other
+	// KeptRegions are the regions that the previous plan kept for claims that wait for other
 	// gangs to stop.
-	Kept       []Kept
-	Accounts   []model.ClientAccount
-	Objectives model.Objectives
-	// Runs corrects declared run times.
-	Runs estimate.Source
+	KeptRegions []KeptRegion
+	Accounts    []model.ClientAccount
+	Objectives  model.Objectives
+	// RunTimes corrects declared run times.
+	RunTimes estimate.Source
 }
 
 // Plan is the result of Decide.
@@ -42,8 +42,8 @@
 	// that an urgent job of the same account can start. A later plan places jobs on
 	// the freed accelerators.
 	Reclaims []Reclaim
-	// Kept are the regions that claims wait for. The next snapshot must contain them.
-	Kept []Kept
+	// KeptRegions are the regions that claims wait for. The next snapshot must contain them.
+	KeptRegions []KeptRegion
 	// Refusals are the jobs to end with not_run.
 	Refusals []Refusal
 	// Decisions has one entry for each item above.
@@ -60,8 +60,8 @@
 	Tasks []api.TaskPlacement
 	// Borrowed is true if the gang exceeds the guarantee of its account.
 	Borrowed bool
-	// ExpectedEnd is the end of the run according to the corrected run time.
-	ExpectedEnd time.Time
+	// ExpectedCompletion is the end of the run according to the corrected run time.
+	ExpectedCompletion time.Time
 }
 
 // Method is the procedure by which a gang returns its accelerators.
@@ -79,12 +79,12 @@
 type Reclaim struct {
 	// JobID is the job of the gang to stop.
 	JobID string
-	// For is the ID of the waiting job that claims its guarantee.
-	For    string
-	Method Method
-	// Within is the time limit of the method. After it, the gang is stopped without a
+	// ClaimantID is the ID of the waiting job that claims its guarantee.
+	ClaimantID string
+	Method     Method
+	// Timeout is the time limit of the method. After it, the gang is stopped without a
 	// checkpoint.
-	Within time.Duration
+	Timeout time.Duration
 }
 
 // Refusal ends a waiting or submitted job with not_run.
--- a/internal/placement/zone.go
+++ b/internal/placement/zone.go
@@ -15,7 +15,7 @@
 	racks   []rack
 	// capacity is zero for a worker that takes no new tasks.
 	capacity []int
-	// firstFit takes the first rack and workers that fit; see Off.BestFit.
+	// firstFit takes the first rack and workers that fit; see Disabled.BestFit.
 	firstFit bool
 }
 
--- a/internal/placer/core.go
+++ b/internal/placer/core.go
@@ -195,7 +195,7 @@
 	planOutdated bool
 	plannedAt    time.Time
 	// keptRegions are the regions that the last plan keeps free for claims.
-	keptRegions []placement.Kept
+	keptRegions []placement.KeptRegion
 }
 
 // newCore adds the charts and empty job tables to a core.
--- a/internal/placer/gangs.go
+++ b/internal/placer/gangs.go
@@ -23,7 +23,7 @@
 	c.setParts(e, parts)
 	e.reports = make(map[string]partReport)
 	e.borrowed = p.Borrowed
-	e.expectedEnd = p.ExpectedEnd
+	e.expectedEnd = p.ExpectedCompletion
 	e.mayHaveStarted, e.stopInFlight, e.checkpointed = false, false, false
 	e.leasesExpireAt = time.Time{}
 	c.emit(reserveAction{ref: e.ref, account: e.record.Submission.Account, parts: parts, ttl: c.workerLease})
@@ -148,12 +148,12 @@
 
 // reclaimGang stops a gang for the claim of another job.
 func (c *core) reclaimGang(e *entry, r placement.Reclaim, now time.Time) {
-	reason := fmt.Sprintf("%s within %s for %s", r.Method, r.Within, r.For)
+	reason := fmt.Sprintf("%s within %s for %s", r.Method, r.Timeout, r.ClaimantID)
 	if !c.transition(e, evReclaim, reason, now) {
 		return
 	}
 	e.stopReason = reason
-	c.sendStop(e, r.Method == placement.MethodCheckpoint, r.Within)
+	c.sendStop(e, r.Method == placement.MethodCheckpoint, r.Timeout)
 }
 
 func (ev stoppedEvent) apply(c *core, now time.Time) {
--- a/internal/placer/reports.go
+++ b/internal/placer/reports.go
@@ -163,7 +163,7 @@
 	if crashed {
 		e.record.CrashedOn = append(e.record.CrashedOn, worker)
 	}
-	if (quarantine.Crashes{Seen: len(e.record.CrashedOn)}).Decide() != quarantine.GiveUp {
+	if (quarantine.Crashes{Confirmed: len(e.record.CrashedOn)}).Decide() != quarantine.Abandon {
 		c.stopGang(e, evWorkerLost, reason, now)
 		return
 	}
@@ -281,11 +281,11 @@
 	verdict := c.health.TaskFailed(worker, e.record.ID, now)
 	c.applyWorkerVerdict(e, worker, verdict, now)
 	reason := fmt.Sprintf("task failed on %s: %s", worker, report.message)
-	if e.record.Submission.Idempotent && verdict.SickJob == "" && len(e.record.FailedOn) < maxFailedAttempts {
+	if e.record.Submission.Idempotent && verdict.FaultyJob == "" && len(e.record.FailedOn) < maxFailedAttempts {
 		c.stopGang(e, evWorkerLost, reason, now)
 		return
 	}
-	if verdict.SickJob != "" {
+	if verdict.FaultyJob != "" {
 		reason += "; " + verdict.Evidence
 	}
 	if len(e.record.FailedOn) > 1 {
@@ -306,8 +306,8 @@
 		c.transitionWorker(w, c.health.Probed(worker, false, now))
 		return
 	}
-	if verdict.SickWorker == worker {
-		c.transitionWorker(w, quarantine.EventSick)
+	if verdict.UnhealthyWorker == worker {
+		c.transitionWorker(w, quarantine.EventUnhealthy)
 		c.decide(now, e, "quarantine", worker, verdict.Evidence, "")
 	}
 }
@@ -329,9 +329,9 @@
 			c.transitionWorker(w, workerEvSilence)
 		}
 	}
-	for _, worker := range c.health.Cooled(now) {
+	for _, worker := range c.health.StartProbes(now) {
 		if w := c.workers[worker]; w != nil {
-			c.transitionWorker(w, quarantine.EventCooled)
+			c.transitionWorker(w, quarantine.EventCooldownEnded)
 		}
 	}
 	for _, e := range c.openEntries() {
--- a/internal/quarantine/crashes.go
+++ b/internal/quarantine/crashes.go
@@ -26,18 +26,18 @@
 
 // Crashes counts the workers that crashed, or may have crashed, under a task.
 type Crashes struct {
-	// Seen counts workers that definitely crashed, definitely ran the task, and
+	// Confirmed counts workers that definitely crashed, definitely ran the task, and
 	// crashed independently of others.
-	Seen int
-	// Shared counts workers that ran the task and crashed together with many others.
+	Confirmed int
+	// Correlated counts workers that ran the task and crashed together with many others.
 	// The cause may have been a rack, a zone or a switch.
-	Shared int
+	Correlated int
 	// Recent counts workers that crashed recently. It is not known yet whether others
 	// crashed at the same time.
 	Recent int
-	// Unsure counts workers that crashed without acknowledging the start of the task.
+	// Unacknowledged counts workers that crashed without acknowledging the start of the task.
 	// They may have crashed before it reached them.
-	Unsure int
+	Unacknowledged int
 	// Possible counts workers that stopped responding and may or may not have crashed.
 	Possible int
 }
@@ -53,20 +53,20 @@
 	StartRecorded
 	// AwaitEvidence delays the start until it is known whether a worker has crashed.
 	AwaitEvidence
-	// GiveUp fails the task permanently. It is not started again.
-	GiveUp
+	// Abandon fails the task permanently. It is not started again.
+	Abandon
 )
 
 // Decide returns the action for a task with these crashes.
 func (c Crashes) Decide() CrashDecision {
 	worstCase := c
-	worstCase.Seen += c.Recent + c.Possible
+	worstCase.Confirmed += c.Recent + c.Possible
 	switch {
 	case c.exceedsLimits():
-		return GiveUp
+		return Abandon
 	case worstCase.exceedsLimits():
 		return AwaitEvidence
-	case c.Seen+c.Shared+c.Recent+c.Unsure > 0:
+	case c.Confirmed+c.Correlated+c.Recent+c.Unacknowledged > 0:
 		return StartRecorded
 	}
 	return StartFreely
@@ -75,8 +75,8 @@
 // exceedsLimits reports whether the task must not be started again. Starts that were
 // never acknowledged count only in addition to at least CrashLimit-1 crashes.
 func (c Crashes) exceedsLimits() bool {
-	ran := c.Seen + c.Shared
-	return c.Seen >= CrashLimit || ran >= LossLimit || ran >= CrashLimit-1 && ran+c.Unsure >= LossLimit
+	ran := c.Confirmed + c.Correlated
+	return c.Confirmed >= CrashLimit || ran >= LossLimit || ran >= CrashLimit-1 && ran+c.Unacknowledged >= LossLimit
 }
 
 // Proven reports whether a run lasted so long that a crash of its worker does not
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -40,18 +40,18 @@
 
 // Events of charts/worker.json raised for the results of a Tracker.
 const (
-	EventSick        chart.Event = "sick"
-	EventCooled      chart.Event = "cooled"
-	EventProbeOK     chart.Event = "probe_ok"
-	EventProbeFailed chart.Event = "probe_failed"
+	EventUnhealthy     chart.Event = "sick"
+	EventCooldownEnded chart.Event = "cooled"
+	EventProbeOK       chart.Event = "probe_ok"
+	EventProbeFailed   chart.Event = "probe_failed"
 )
 
 // Verdict is the consequence of a failure.
 type Verdict struct {
-	// SickWorker is the worker to quarantine (EventSick), if any.
-	SickWorker string
-	// SickJob is the job to end as failed, if any.
-	SickJob string
+	// UnhealthyWorker is the worker to quarantine (EventUnhealthy), if any.
+	UnhealthyWorker string
+	// FaultyJob is the job to end as failed, if any.
+	FaultyJob string
 	// Evidence describes the failures on which the verdict is based.
 	Evidence string
 }
@@ -90,11 +90,11 @@
 	t.byJob[job] = addFailure(t.byJob[job], worker, now)
 	if workers := t.healthyWorkersFailedOn(job); len(workers) >= minFailedWorkers {
 		t.forgetJob(job)
-		return Verdict{SickJob: job, Evidence: fmt.Sprintf("failed on %d healthy workers: %s", len(workers), strings.Join(workers, ", "))}
+		return Verdict{FaultyJob: job, Evidence: fmt.Sprintf("failed on %d healthy workers: %s", len(workers), strings.Join(workers, ", "))}
 	}
 	if jobs := counterparts(t.byWorker[worker]); len(jobs) >= minFailedJobs && t.quarantined[worker] == nil {
 		t.quarantined[worker] = &quarantineState{since: now, cooldown: initialCooldown}
-		return Verdict{SickWorker: worker, Evidence: fmt.Sprintf("%d different jobs failed on it: %s", len(jobs), strings.Join(jobs, ", "))}
+		return Verdict{UnhealthyWorker: worker, Evidence: fmt.Sprintf("%d different jobs failed on it: %s", len(jobs), strings.Join(jobs, ", "))}
 	}
 	return Verdict{}
 }
@@ -110,9 +110,10 @@
 // JobEnded drops the failures of a job that has ended for another reason.
 func (t *Tracker) JobEnded(job string) { delete(t.byJob, job) }
 
-// Cooled lists the quarantined workers that may be probed now (EventCooled). A worker
-// is listed once per cooldown.
-func (t *Tracker) Cooled(now time.Time) []string {
+// StartProbes returns the quarantined workers that may be probed now
+// (EventCooldownEnded) and marks them as being probed. A worker is returned once per
+// cooldown.
+func (t *Tracker) StartProbes(now time.Time) []string {
 	var ready []string
 	for worker, s := range t.quarantined {
 		if !s.probing && now.Sub(s.since) >= s.cooldown {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -86,11 +86,11 @@
 					continue
 				}
 				verdict := tracker.TaskFailed(f.worker, f.job, now)
-				if verdict.SickWorker != "" {
-					workers = append(workers, verdict.SickWorker)
+				if verdict.UnhealthyWorker != "" {
+					workers = append(workers, verdict.UnhealthyWorker)
 				}
-				if verdict.SickJob != "" {
-					jobs = append(jobs, verdict.SickJob)
+				if verdict.FaultyJob != "" {
+					jobs = append(jobs, verdict.FaultyJob)
 				}
 			}
 			assert.DeepEqual(t, workers, c.wantWorkers)
@@ -120,9 +120,9 @@
 					break
 				}
 				verdict := tracker.TaskFailed(worker, job, start)
-				assert.Assert(t, verdict.SickWorker == "" || unhealthyWorkers[verdict.SickWorker], "seed %d: %s", seed, verdict.Evidence)
-				assert.Assert(t, verdict.SickJob == "" || failingJobs[verdict.SickJob], "seed %d: %s", seed, verdict.Evidence)
-				found[verdict.SickWorker], found[verdict.SickJob] = true, true
+				assert.Assert(t, verdict.UnhealthyWorker == "" || unhealthyWorkers[verdict.UnhealthyWorker], "seed %d: %s", seed, verdict.Evidence)
+				assert.Assert(t, verdict.FaultyJob == "" || failingJobs[verdict.FaultyJob], "seed %d: %s", seed, verdict.Evidence)
+				found[verdict.UnhealthyWorker], found[verdict.FaultyJob] = true, true
 			}
 		}
 		assert.Assert(t, found["w0"] && found["w1"], "seed %d", seed)
@@ -135,20 +135,20 @@
 		tracker.TaskFailed("w", job, start)
 	}
 	now := start.Add(initialCooldown)
-	assert.Equal(t, len(tracker.Cooled(now.Add(-time.Second))), 0)
-	assert.DeepEqual(t, tracker.Cooled(now), []string{"w"})
-	assert.Equal(t, len(tracker.Cooled(now)), 0, "a worker is probed once per cooldown")
+	assert.Equal(t, len(tracker.StartProbes(now.Add(-time.Second))), 0)
+	assert.DeepEqual(t, tracker.StartProbes(now), []string{"w"})
+	assert.Equal(t, len(tracker.StartProbes(now)), 0, "a worker is probed once per cooldown")
 	assert.Equal(t, tracker.Probed("w", false, now), EventProbeFailed)
-	assert.Equal(t, len(tracker.Cooled(now.Add(initialCooldown))), 0, "a failed probe doubles the cooldown")
+	assert.Equal(t, len(tracker.StartProbes(now.Add(initialCooldown))), 0, "a failed probe doubles the cooldown")
 	now = now.Add(2 * initialCooldown)
-	assert.DeepEqual(t, tracker.Cooled(now), []string{"w"})
+	assert.DeepEqual(t, tracker.StartProbes(now), []string{"w"})
 	assert.Equal(t, tracker.Probed("w", true, now), EventProbeOK)
 	assert.Equal(t, tracker.TaskFailed("w", "d", now), Verdict{}, "the worker has no earlier failures")
 }
 
 func TestEventsAreInTheChart(t *testing.T) {
 	worker := chart.MustLoad("worker")
-	for _, event := range []chart.Event{EventSick, EventCooled, EventProbeOK, EventProbeFailed} {
+	for _, event := range []chart.Event{EventUnhealthy, EventCooldownEnded, EventProbeOK, EventProbeFailed} {
 		_, err := worker.Next("probing", event)
 		assert.NilError(t, err)
 	}
--- a/internal/reclaim/reclaim.go
+++ b/internal/reclaim/reclaim.go
@@ -6,10 +6,11 @@
 // loses nothing and is tried first; a stop loses the work since the last checkpoint.
 //
 // The time limits of a checkpoint and of the stop that follows an unfinished
-// checkpoint add up to less than UrgentStart, so that time remains for the decision,
-// the reservation and the start. Gangs stopped for jobs that are not urgent have the
-// same limits, because an urgent claim may find that the region it needs is already
-// being freed for another job and then has to wait for the limits of that reclaim.
+// checkpoint add up to less than UrgentStartLimit, so that time remains for the
+// decision, the reservation and the start. Gangs stopped for jobs that are not urgent
+// have the same limits, because an urgent claim may find that the region it needs is
+// already being freed for another job and then has to wait for the limits of that
+// reclaim.
 package reclaim
 
 import (
@@ -22,9 +23,9 @@
 
 // Time limits of a reclaim.
 const (
-	// UrgentStart is the maximum time that urgent work within its guarantee waits for
+	// UrgentStartLimit is the maximum time that urgent work within its guarantee waits for
 	// its start.
-	UrgentStart = 7200 * time.Millisecond
+	UrgentStartLimit = 7200 * time.Millisecond
 	// CheckpointTimeout bounds a checkpoint, StopTimeout a stop.
 	CheckpointTimeout = 4000 * time.Millisecond
 	StopTimeout       = 1500 * time.Millisecond
--- a/internal/reclaim/reclaim_test.go
+++ b/internal/reclaim/reclaim_test.go
@@ -60,5 +60,5 @@
 }
 
 func TestLimitsLeaveTimeToStartUrgentWork(t *testing.T) {
-	assert.Assert(t, CheckpointTimeout+StopTimeout < UrgentStart-time.Second)
+	assert.Assert(t, CheckpointTimeout+StopTimeout < UrgentStartLimit-time.Second)
 }
