--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -96,12 +96,12 @@
 func (s *Server) postJob(w http.ResponseWriter, r *http.Request) {
 	var job api.JobSubmission
 	if err := s.admitJob(w, r, &job); err != nil {
-		s.writeJob(w, jobs.Refused(api.JobAnswer{ID: request.NewID()}, err))
+		s.writeJob(w, jobs.RefusalAnswer(api.JobAnswer{ID: request.NewID()}, err))
 		return
 	}
 	answer, err := s.opts.Jobs.Submit(r.Context(), job)
 	if err != nil {
-		answer = jobs.Refused(answer, err)
+		answer = jobs.RefusalAnswer(answer, err)
 	}
 	s.writeJob(w, answer)
 }
--- a/internal/jobs/router.go
+++ b/internal/jobs/router.go
@@ -160,9 +160,9 @@
 	return answer, nil
 }
 
-// Refused returns the answer to a job call that failed with err. Its outcome is
+// RefusalAnswer returns the answer to a job call that failed with err. Its outcome is
 // unknown if the result of the call is unknown, and not_run otherwise.
-func Refused(answer api.JobAnswer, err error) api.JobAnswer {
+func RefusalAnswer(answer api.JobAnswer, err error) api.JobAnswer {
 	answer.Outcome = api.OutcomeNotRun
 	if api.IsKind(err, api.KindResultUnknown) {
 		answer.Outcome = api.OutcomeUnknown
@@ -301,9 +301,9 @@
 	return response.GetJob(), nil
 }
 
-// Handle answers a peer's job call with the local placer only, so that calls
+// HandleCall answers a peer's job call with the local placer only, so that calls
 // cannot be forwarded in a loop.
-func (r *Router) Handle(ctx context.Context, call *peerpb.JobCall) (*peerpb.JobReply, error) {
+func (r *Router) HandleCall(ctx context.Context, call *peerpb.JobCall) (*peerpb.JobReply, error) {
 	if r.Placer.Epoch() == 0 {
 		return nil, api.NewError(api.KindNoPlacer, "this instance does not hold the placer lease")
 	}
@@ -327,7 +327,7 @@
 		}
 		answer, err := r.submitLocal(ctx, call.GetJobId(), job)
 		if err != nil {
-			return Refused(answer, err), nil
+			return RefusalAnswer(answer, err), nil
 		}
 		return answer, nil
 	case opCheck:
--- a/internal/jobs/router_test.go
+++ b/internal/jobs/router_test.go
@@ -63,7 +63,7 @@
 func (f *fakeFleet) Zones() []string { return []string{"a", "b", "c"} }
 
 func (f *fakeFleet) Call(ctx context.Context, instance string, request *peerpb.Request) (*peerpb.Response, error) {
-	reply, err := f.routers[instance].Handle(ctx, request.GetJob())
+	reply, err := f.routers[instance].HandleCall(ctx, request.GetJob())
 	if f.lostAnswers[instance] {
 		return nil, api.NewError(api.KindResultUnknown, "the answer of %s was lost", instance)
 	}
@@ -151,7 +151,7 @@
 	answer, err := fleet.routers["a"].Submit(context.Background(), api.JobSubmission{AvailabilityZone: "b"})
 	assert.Assert(t, api.IsKind(err, api.KindRefusedByRule))
 	assert.Equal(t, api.RetryAfterS(err), 9.0)
-	assert.Equal(t, Refused(answer, err).Rule, "later")
+	assert.Equal(t, RefusalAnswer(answer, err).Rule, "later")
 }
 
 func TestGetFallsBackToStore(t *testing.T) {
@@ -191,11 +191,11 @@
 	}
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
-			_, err := fleet.routers["a"].Handle(context.Background(), call)
+			_, err := fleet.routers["a"].HandleCall(context.Background(), call)
 			assert.Assert(t, err != nil)
 		})
 	}
-	reply, err := fleet.routers["a"].Handle(context.Background(), &peerpb.JobCall{Op: opGet, JobId: "j~a"})
+	reply, err := fleet.routers["a"].HandleCall(context.Background(), &peerpb.JobCall{Op: opGet, JobId: "j~a"})
 	assert.NilError(t, err)
 	assert.Assert(t, json.Valid(reply.GetAnswer()))
 }
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -68,17 +68,17 @@
 	// to an earlier job of the account, it returns that job's record and true
 	// instead.
 	Accept(ctx context.Context, record Record) (Record, bool, error)
-	// Find returns the job with the account's idempotency key, or KindNotFound. It
+	// FindByKey returns the job with the account's idempotency key, or KindNotFound. It
 	// returns KindKeyReused if that job differs from the submission.
-	Find(ctx context.Context, submission api.JobSubmission) (Record, error)
+	FindByKey(ctx context.Context, submission api.JobSubmission) (Record, error)
 	// Update replaces the record if its row still has record.Version, and returns
 	// it with the new version, or with version zero if that could not be
 	// determined.
 	Update(ctx context.Context, record Record) (Record, error)
 	// Get returns the record of a job, or KindNotFound if the job does not exist.
 	Get(ctx context.Context, id string) (Record, error)
-	// Open returns all records of a zone that have not ended.
-	Open(ctx context.Context, zone string) ([]Record, error)
+	// ListOpen returns all records of a zone that have not ended.
+	ListOpen(ctx context.Context, zone string) ([]Record, error)
 	// List returns at most limit records of an account, newest first. An empty
 	// account selects all accounts.
 	List(ctx context.Context, account string, limit int) ([]Record, error)
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -117,8 +117,8 @@
 	return ops, nil
 }
 
-// Find implements Store.
-func (t *Tables) Find(ctx context.Context, submission api.JobSubmission) (Record, error) {
+// FindByKey implements Store.
+func (t *Tables) FindByKey(ctx context.Context, submission api.JobSubmission) (Record, error) {
 	wanted := Record{Submission: submission}
 	read, err := t.tables.Read(ctx, platform.PurposeSubmission, keyRef(wanted))
 	if err != nil {
@@ -207,8 +207,8 @@
 	return record, nil
 }
 
-// Open implements Store.
-func (t *Tables) Open(ctx context.Context, zone string) ([]Record, error) {
+// ListOpen implements Store.
+func (t *Tables) ListOpen(ctx context.Context, zone string) ([]Record, error) {
 	var records []Record
 	query := api.ScanQuery{Table: tableOpen, Prefix: zone + "/", Limit: scanPageSize}
 	for {
--- a/internal/measure/capacity/placer.go
+++ b/internal/measure/capacity/placer.go
@@ -154,7 +154,7 @@
 func newPlacer(z *simulatedZone, platform *fake.Platform) *placer.Placer {
 	return placer.New(placer.Options{
 		Zone: zoneName, Instance: "entry-0", Config: z, Fleet: z, Jobs: jobstore.New(platform),
-		Leases: lease.New(platform, placerLease), Workers: z, Runs: estimate.NewHistory(), Health: quarantine.NewTracker(),
+		Leases: lease.New(platform, placerLease), Workers: z, RunTimes: estimate.NewHistory(), Health: quarantine.NewTracker(),
 		Recorder: decision.NewRecorder(zap.NewNop(), "entry-0", 10000), Logger: zap.NewNop(),
 		PlacerLease: placerLease, WorkerLease: workerLease, Interval: placeInterval,
 		MaxJobs: 100000, MayPlace: func() bool { return true },
--- a/internal/placer/core.go
+++ b/internal/placer/core.go
@@ -183,7 +183,7 @@
 	ended             []string
 	jobsByKey         map[jobKey]*entry
 	workers           map[string]*workerState
-	runs              estimate.Source
+	runTimes          estimate.Source
 	health            *quarantine.Tracker
 	config            *config.Snapshot
 	recorder          *decision.Recorder
--- a/internal/placer/core_test.go
+++ b/internal/placer/core_test.go
@@ -26,7 +26,7 @@
 // newTestCore returns a core that holds epoch 1 and has recovered no jobs.
 func newTestCore(workers int) *core {
 	c := newCore(core{
-		zone: "z", instance: "i-1", runs: estimate.Declared{}, health: quarantine.NewTracker(),
+		zone: "z", instance: "i-1", runTimes: estimate.Declared{}, health: quarantine.NewTracker(),
 		recorder: decision.NewRecorder(zap.NewNop(), "i-1", 100), workerLease: testLease, maxJobs: 100,
 		config: &config.Snapshot{Version: 1, Document: &config.Document{Accounts: []model.ClientAccount{{Name: "acme"}}}},
 	})
@@ -207,7 +207,7 @@
 func TestNewPlacerLearnsRunTimesFromStore(t *testing.T) {
 	const runs = 50
 	c := newTestCore(2)
-	c.runs = estimate.NewHistory()
+	c.runTimes = estimate.NewHistory()
 	var recent []jobstore.Record
 	for range runs {
 		record := testRecord("j", jobstore.PhaseEnded, true)
@@ -217,7 +217,7 @@
 	failed := recent[0]
 	failed.ErrorKind, failed.EndedAt = api.KindJobFailed, testStart.Add(time.Hour)
 	c.learnRunTimes(append(recent, failed))
-	estimated := c.runs.Run("acme", "k", time.Minute)
+	estimated := c.runTimes.Run("acme", "k", time.Minute)
 	assert.Assert(t, estimated >= 5*time.Minute && estimated < 10*time.Minute, "%s", estimated)
 }
 
--- a/internal/placer/execute.go
+++ b/internal/placer/execute.go
@@ -156,7 +156,7 @@
 func (p *Placer) readOpenRecords(ctx context.Context, a reconcileAction) {
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	if records, err := p.opts.Jobs.Open(callCtx, p.opts.Zone); err == nil {
+	if records, err := p.opts.Jobs.ListOpen(callCtx, p.opts.Zone); err == nil {
 		p.post(ctx, reconciledEvent{epoch: a.epoch, records: records})
 	}
 }
@@ -166,7 +166,7 @@
 func (p *Placer) recover(ctx context.Context, a recoverAction) recoveredEvent {
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	records, err := p.opts.Jobs.Open(callCtx, p.opts.Zone)
+	records, err := p.opts.Jobs.ListOpen(callCtx, p.opts.Zone)
 	if err != nil {
 		return recoveredEvent{epoch: a.epoch, err: err}
 	}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -59,7 +59,7 @@
 	Jobs        jobstore.Store
 	Leases      lease.Leases
 	Workers     worker.Client
-	Runs        estimate.Source
+	RunTimes    estimate.Source
 	Health      *quarantine.Tracker
 	Recorder    *decision.Recorder
 	Logger      *zap.Logger
@@ -112,7 +112,7 @@
 		leaseLoopDone:  make(chan struct{}),
 		loopDone:       make(chan struct{}),
 		core: newCore(core{
-			zone: opts.Zone, instance: opts.Instance, runs: opts.Runs, health: opts.Health, recorder: opts.Recorder,
+			zone: opts.Zone, instance: opts.Instance, runTimes: opts.RunTimes, health: opts.Health, recorder: opts.Recorder,
 			workerLease: opts.WorkerLease, maxJobs: opts.MaxJobs,
 		}),
 	}
@@ -306,7 +306,7 @@
 	if s.Job.IdempotencyKey == "" || api.IsKind(refusal, api.KindNoPlacer) || api.IsKind(refusal, api.KindKeyReused) {
 		return api.JobAnswer{}, refusal
 	}
-	found, err := p.opts.Jobs.Find(ctx, s.Job)
+	found, err := p.opts.Jobs.FindByKey(ctx, s.Job)
 	switch {
 	case err == nil:
 		return p.existingAnswer(ctx, found), nil
--- a/internal/placer/recover.go
+++ b/internal/placer/recover.go
@@ -89,7 +89,7 @@
 // oldest first. Jobs that were stopped and resumed are left out, because their
 // rows do not record the run time of each attempt.
 func (c *core) learnRunTimes(recent []jobstore.Record) {
-	observer, ok := c.runs.(runObserver)
+	observer, ok := c.runTimes.(runObserver)
 	if !ok {
 		return
 	}
@@ -154,7 +154,7 @@
 		started = now
 	}
 	job := e.job()
-	return started.Add(c.runs.Run(job.Account, job.Kind, job.DeclaredRun) - job.Progress)
+	return started.Add(c.runTimes.Run(job.Account, job.Kind, job.DeclaredRun) - job.Progress)
 }
 
 // resumeAdopted sets the state of an adopted gang. A complete gang that runs
--- a/internal/placer/reports.go
+++ b/internal/placer/reports.go
@@ -264,7 +264,7 @@
 }
 
 func (c *core) observeRun(e *entry) {
-	if observer, ok := c.runs.(runObserver); ok {
+	if observer, ok := c.runTimes.(runObserver); ok {
 		submission := e.record.Submission
 		declared := seconds(submission.DeclaredRunS)
 		observer.Observe(submission.Account, submission.Kind, declared, seconds(e.record.ProgressS+e.longestRunSeconds()))
--- a/internal/placer/round.go
+++ b/internal/placer/round.go
@@ -12,7 +12,7 @@
 // snapshot returns the input of the placement decisions. Waiting jobs that must
 // not be placed yet are left out.
 func (c *core) snapshot(now time.Time) placement.Snapshot {
-	s := placement.Snapshot{Now: now, Zone: c.zone, RunTimes: c.runs, KeptRegions: c.keptRegions}
+	s := placement.Snapshot{Now: now, Zone: c.zone, RunTimes: c.runTimes, KeptRegions: c.keptRegions}
 	if c.config != nil {
 		s.Accounts = c.config.Document.Accounts
 		s.Objectives = c.config.Document.Objectives
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -21,7 +21,7 @@
 	case *peerpb.Request_Config:
 		return h.handleConfigQuery(body.Config), nil
 	case *peerpb.Request_Job:
-		reply, err := h.jobs.Handle(ctx, body.Job)
+		reply, err := h.jobs.HandleCall(ctx, body.Job)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -111,7 +111,7 @@
 		Zone: s.AvailabilityZone, Instance: s.Instance, Config: i.config, Fleet: i.fleet, Jobs: store,
 		Holder:  fmt.Sprintf("%s/%d", s.Instance, i.fleet.Self().Incarnation),
 		Leases:  lease.New(i.platform, settings.Duration(s.Timing.PlacerLeaseMS)),
-		Workers: worker.NewHTTP(), Runs: estimate.NewHistory(), Health: quarantine.NewTracker(),
+		Workers: worker.NewHTTP(), RunTimes: estimate.NewHistory(), Health: quarantine.NewTracker(),
 		Recorder: i.recorder, Logger: i.logger,
 		PlacerLease: settings.Duration(s.Timing.PlacerLeaseMS), WorkerLease: settings.Duration(s.Timing.WorkerLeaseMS),
 		Interval: settings.Duration(s.Timing.PlaceIntervalMS), MaxJobs: s.Limits.MaxJobs, MayPlace: i.mayPlace,
--- a/test/invariants/gang_world_test.go
+++ b/test/invariants/gang_world_test.go
@@ -181,7 +181,7 @@
 	running.placer = placer.New(placer.Options{
 		Zone: gangZone, Instance: instance, Holder: w.nextHolder(instance), Config: w, Fleet: w, Jobs: jobstore.New(tables),
 		Leases: lease.New(tables, gangPlacerLease), Workers: gangNetwork{w, instance},
-		Runs: estimate.NewHistory(), Health: quarantine.NewTracker(),
+		RunTimes: estimate.NewHistory(), Health: quarantine.NewTracker(),
 		Recorder: w.newRecorder(instance), Logger: zap.NewNop(),
 		PlacerLease: gangPlacerLease, WorkerLease: gangWorkerLease, Interval: gangInterval,
 		MaxJobs: 1000, MayPlace: func() bool { return true },
--- a/test/invariants/stop_world_test.go
+++ b/test/invariants/stop_world_test.go
@@ -137,7 +137,7 @@
 func newInstancePlacer(id string, fleet *membership.Fleet, store *fake.Platform) *placer.Placer {
 	return placer.New(placer.Options{
 		Zone: testZone, Instance: id, Config: fixedConfig{}, Fleet: fleet, Jobs: jobstore.New(store),
-		Leases: lease.New(store, placerLease), Workers: worker.NewHTTP(), Runs: estimate.NewHistory(),
+		Leases: lease.New(store, placerLease), Workers: worker.NewHTTP(), RunTimes: estimate.NewHistory(),
 		Health: quarantine.NewTracker(), Recorder: decision.NewRecorder(zap.NewNop(), id, 16), Logger: zap.NewNop(),
 		PlacerLease: placerLease, WorkerLease: 15 * time.Second, Interval: 200 * time.Millisecond, MaxJobs: 100,
 		MayPlace: func() bool { return false },
