--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -21,17 +21,17 @@
 	failures  int
 }
 
-// Failed records a failure and returns the wait before the next try. The longest
-// wait is Base, doubled for each earlier failure, up to Max; the result lies
-// between half of it and all of it, as chosen by fraction, a number from 0 to 1
-// from the caller's random source.
-func (b *Backoff) Failed(fraction float64) time.Duration {
+// RecordFailure records a failure and returns the wait before the next try. The
+// longest wait is Base, doubled for each earlier failure, up to Max; the result
+// lies between half of it and all of it, as chosen by fraction, a number from 0
+// to 1 from the caller's random source.
+func (b *Backoff) RecordFailure(fraction float64) time.Duration {
 	b.failures++
-	return Spread(b.maxWait(), fraction)
+	return Jitter(b.maxWait(), fraction)
 }
 
-// Succeeded resets the count of failures.
-func (b *Backoff) Succeeded() { b.failures = 0 }
+// Reset resets the count of failures.
+func (b *Backoff) Reset() { b.failures = 0 }
 
 // Failures returns the number of consecutive failures.
 func (b *Backoff) Failures() int { return b.failures }
@@ -44,8 +44,8 @@
 	return min(wait, b.Max)
 }
 
-// Spread maps fraction, from 0 to 1, to a duration from d/2 to d.
-func Spread(d time.Duration, fraction float64) time.Duration {
+// Jitter maps fraction, from 0 to 1, to a duration from d/2 to d.
+func Jitter(d time.Duration, fraction float64) time.Duration {
 	half := float64(d) / 2
 	return time.Duration(half + half*fraction)
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -14,10 +14,10 @@
 	b := backoff.Backoff{Base: 100 * time.Millisecond, Max: time.Second}
 	want := []time.Duration{100, 200, 400, 800, 1000, 1000}
 	for i, ms := range want {
-		assert.Equal(t, b.Failed(1), ms*time.Millisecond, "failure %d", i+1)
+		assert.Equal(t, b.RecordFailure(1), ms*time.Millisecond, "failure %d", i+1)
 	}
-	b.Succeeded()
-	assert.Equal(t, b.Failed(0), 50*time.Millisecond)
+	b.Reset()
+	assert.Equal(t, b.RecordFailure(0), 50*time.Millisecond)
 	assert.Equal(t, b.Failures(), 1)
 }
 
@@ -35,7 +35,7 @@
 	triesPerSecond := make(map[time.Duration]int)
 	for range instances {
 		b := backoff.Backoff{Base: 200 * time.Millisecond, Max: 5 * time.Second}
-		for at := time.Duration(0); at < outageDuration; at += b.Failed(random.Float64()) {
+		for at := time.Duration(0); at < outageDuration; at += b.RecordFailure(random.Float64()) {
 			triesPerSecond[at.Truncate(time.Second)]++
 		}
 	}
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -92,7 +92,7 @@
 		case result.answer != nil:
 			return nil, result.answer, nil
 		}
-		if !result.retryNow && !sleep(ctx, poll.Failed(rand.Float64())) {
+		if !result.retryNow && !sleep(ctx, poll.RecordFailure(rand.Float64())) {
 			return nil, unknownAnswer(request, "an earlier arrival of the key has not ended"), nil
 		}
 		current = s.reread(ctx, result.current)
--- a/internal/measure/requestload/path.go
+++ b/internal/measure/requestload/path.go
@@ -122,7 +122,7 @@
 		return
 	}
 	if refusal := e.queue.Offer(sim.admissionRequest(r), sim.wallTime()); refusal != nil {
-		if to := sim.rescueZone(r); to != "" {
+		if to := sim.overflowZone(r); to != "" {
 			sim.forward(r, to)
 			return
 		}
@@ -133,13 +133,13 @@
 	sim.dispatchQueued(e)
 }
 
-// rescueZone returns the zone to which to forward a request that would otherwise be
+// overflowZone returns the zone to which to forward a request that would otherwise be
 // refused, or an empty string.
-func (sim *simulation) rescueZone(r *request) string {
+func (sim *simulation) overflowZone(r *request) string {
 	if sim.policy.noSpill || r.forwarded {
 		return ""
 	}
-	return routing.Rescue(sim.otherLoads(r.handledBy.zone))
+	return routing.OverflowZone(sim.otherLoads(r.handledBy.zone))
 }
 
 // refuse answers that the request did not run, or that its outcome is unknown if an
@@ -173,7 +173,7 @@
 	}
 	usable := sim.usableSlots(e)
 	var unrouted []admission.Request
-	for e.table.Free(usable) {
+	for e.table.HasFreeSlot(usable) {
 		next, ok := e.queue.Next()
 		if !ok {
 			break
@@ -213,7 +213,7 @@
 
 func (sim *simulation) dispatch(e *entry, r *request, choice routing.Choice) {
 	a := &attempt{entry: e, request: r, choice: choice, server: e.zone.servers[choice.ID], started: sim.now}
-	e.table.Started(choice.ID)
+	e.table.RecordStart(choice.ID)
 	r.running = true
 	sim.after(intraZoneLatency, func() { sim.execute(a) })
 }
@@ -291,7 +291,7 @@
 func (sim *simulation) handleSuccess(a *attempt) {
 	elapsed := sim.now - a.started
 	sim.finishAttempt(a, routing.Result{Took: elapsed}, elapsed)
-	a.entry.budget.Answered(a.request.account)
+	a.entry.budget.RecordAnswer(a.request.account)
 	r := a.request
 	r.running = false
 	sim.answer(r, outcomeDone)
@@ -309,7 +309,7 @@
 	e := a.entry
 	result.Expected = e.queue.Expected(sim.admissionRequest(a.request))
 	result.Incarnation = a.choice.Incarnation
-	e.table.Finished(a.choice.ID, result)
+	e.table.RecordResult(a.choice.ID, result)
 	e.queue.Finish(a.request.id, service)
 }
 
@@ -329,10 +329,10 @@
 	r.tried = append(slices.Clone(r.tried), a.choice.ID)
 	decision := e.budget.Decide(retry.Attempt{
 		Account: r.account, Idempotent: r.kind.idempotent, NotRun: notRun, Retries: r.retries, MaxRetries: sim.maxRetries(),
-		Deadline: simulationStart.Add(r.deadline), Expected: e.queue.Expected(sim.admissionRequest(r)), Others: e.table.Takers(r.tried),
+		Deadline: simulationStart.Add(r.deadline), Expected: e.queue.Expected(sim.admissionRequest(r)), Others: e.table.AcceptingServers(r.tried),
 	}, sim.wallTime())
 	switch {
-	case decision.Again:
+	case decision.Retry:
 		r.retries++
 		e.waiting[r.id] = r
 		e.queue.Restore(sim.admissionRequest(r))
--- a/internal/measure/requestload/sharing.go
+++ b/internal/measure/requestload/sharing.go
@@ -60,7 +60,7 @@
 // waitingPerServer returns the number of the instance's waiting requests divided by
 // the number of servers, rounded up.
 func waitingPerServer(e *entry) int {
-	servers := max(1, e.table.Takers(nil))
+	servers := max(1, e.table.AcceptingServers(nil))
 	return (e.queue.Waiting() + servers - 1) / servers
 }
 
@@ -110,7 +110,7 @@
 
 func (sim *simulation) requestGrants(e *entry) {
 	sentAt := sim.wallTime()
-	wanted := e.sharing.need.Update(e.queue.InFlight()+e.queue.Waiting(), e.table.Takers(nil))
+	wanted := e.sharing.need.Update(e.queue.InFlight()+e.queue.Waiting(), e.table.AcceptingServers(nil))
 	for _, demand := range e.holder.Demands(sentAt, func(id string) (int, int) { return e.table.InFlight(id), wanted }) {
 		for _, owner := range e.zone.entries {
 			if owner.id != demand.Owner {
@@ -119,7 +119,7 @@
 			sim.after(intraZoneLatency, func() {
 				grants, serial := owner.owner.Demand(e.id, demand.Echo, demand.Wants, sim.wallTime())
 				sim.after(intraZoneLatency, func() {
-					e.holder.Granted(demand.Owner, serial, grants, sentAt)
+					e.holder.ApplyGrants(demand.Owner, serial, grants, sentAt)
 					sim.dispatchQueued(e)
 				})
 			})
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -116,11 +116,11 @@
 	}
 	retry := backoff.Backoff{Base: 2 * f.options.ListInterval, Max: maxListBackoffFactor * f.options.ListInterval}
 	for ctx.Err() == nil {
-		wait := backoff.Spread(f.options.ListInterval, rand.Float64())
+		wait := backoff.Jitter(f.options.ListInterval, rand.Float64())
 		if err := f.readList(ctx); err == nil {
-			retry.Succeeded()
+			retry.Reset()
 		} else {
-			wait = retry.Failed(rand.Float64())
+			wait = retry.RecordFailure(rand.Float64())
 			f.logger.Warn("instance list unavailable", zap.Int("failures", retry.Failures()), zap.Error(err))
 		}
 		select {
--- a/internal/membership/schedule.go
+++ b/internal/membership/schedule.go
@@ -90,7 +90,7 @@
 			next[peer.ID] = dueAt
 			continue
 		}
-		next[peer.ID] = now.Add(backoff.Spread(interval, random()) + interval/4)
+		next[peer.ID] = now.Add(backoff.Jitter(interval, random()) + interval/4)
 		if isUrgent || !known || s.initiates(now, peer, interval) {
 			due = append(due, peer)
 		}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -70,7 +70,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.establishedAt = now
-	l.dialBackoff.Succeeded()
+	l.dialBackoff.Reset()
 	l.nextDialAt = time.Time{}
 	old := l.current
 	if old == nil || old.IsClosed() {
@@ -178,7 +178,7 @@
 	defer l.mu.Unlock()
 	l.dialErr = err
 	if err != nil {
-		l.nextDialAt = time.Now().Add(l.dialBackoff.Failed(rand.Float64()))
+		l.nextDialAt = time.Now().Add(l.dialBackoff.RecordFailure(rand.Float64()))
 		n.logger.Debug("dial", zap.String("peer", l.instance), zap.Int("failures", l.dialBackoff.Failures()), zap.Error(err))
 	}
 	close(l.dialing)
--- a/internal/platform/breaker.go
+++ b/internal/platform/breaker.go
@@ -111,7 +111,7 @@
 // breaker, or Close is called.
 func (b *Breaker) probe() {
 	retry := backoff.Backoff{Base: probeBaseDelay, Max: probeMaxDelay}
-	for !b.Reachable() && sleep(b.ctx, retry.Failed(rand.Float64())) {
+	for !b.Reachable() && sleep(b.ctx, retry.RecordFailure(rand.Float64())) {
 		ctx, cancel := context.WithTimeout(b.ctx, callTimeout)
 		_, err := b.tables.Read(ctx, PurposeConfig, probeRef)
 		cancel()
--- a/internal/platform/resolve.go
+++ b/internal/platform/resolve.go
@@ -37,7 +37,7 @@
 	result := r.Tables.Commit(ctx, purpose, tx)
 	retry := backoff.Backoff{Base: resolveBaseDelay, Max: resolveMaxDelay}
 	for attempt := 1; result.State == CommitUnknown && attempt < resolveAttempts; attempt++ {
-		if !sleep(ctx, retry.Failed(rand.Float64())) {
+		if !sleep(ctx, retry.RecordFailure(rand.Float64())) {
 			return result
 		}
 		result = mergeRepeat(result, r.Tables.Commit(ctx, purpose, tx), tx.WriteID)
--- a/internal/request/attempt.go
+++ b/internal/request/attempt.go
@@ -73,7 +73,7 @@
 			request: r.admissionRequest, tried: slices.Clone(tried),
 		})
 		x.decide(r, "retry", retryChoice(decision), decision.Reason, result.err.Error())
-		if !decision.Again {
+		if !decision.Retry {
 			return r.answer, x.finishWithError(r, result.err, mayHaveRunErr)
 		}
 		countRetry(r.submission.Account)
@@ -113,7 +113,7 @@
 }
 
 func retryChoice(decision retry.Decision) string {
-	if decision.Again {
+	if decision.Retry {
 		return "again"
 	}
 	return "end"
--- a/internal/request/dispatcher.go
+++ b/internal/request/dispatcher.go
@@ -76,8 +76,8 @@
 	done         chan struct{}
 	// load is the load level in thousandths.
 	load atomic.Int64
-	// warm is set once there are slots to use or warmupTimeout has passed.
-	warm atomic.Bool
+	// warmedUp is set once there are slots to use or warmupTimeout has passed.
+	warmedUp atomic.Bool
 
 	// The fields below are owned by the event loop.
 	startedAt      time.Time
@@ -142,10 +142,10 @@
 // capacity.
 func (d *Dispatcher) Load() float64 { return float64(d.load.Load()) / 1000 }
 
-// Warm reports whether the instance has had slots to assign since its start. It
+// WarmedUp reports whether the instance has had slots to assign since its start. It
 // becomes true after warmupTimeout in any case, because a zone may have no backend
 // servers, and stays true.
-func (d *Dispatcher) Warm() bool { return d.warm.Load() }
+func (d *Dispatcher) WarmedUp() bool { return d.warmedUp.Load() }
 
 // Run is the event loop. It returns when ctx ends, and refuses the requests that
 // are waiting then.
@@ -200,7 +200,7 @@
 	}
 	usable := d.usableSlots(now)
 	var unassigned []admission.Request
-	for d.table.Free(usable) {
+	for d.table.HasFreeSlot(usable) {
 		next, ok := d.queue.Next()
 		if !ok {
 			break
@@ -215,7 +215,7 @@
 			}
 			continue
 		}
-		d.table.Started(choice.ID)
+		d.table.RecordStart(choice.ID)
 		d.reply(next.ID, assignment{choice: choice, expected: d.queue.Expected(next), waited: now.Sub(next.Arrived)})
 	}
 	for _, request := range unassigned {
@@ -258,7 +258,7 @@
 	capacity := d.table.Capacity(d.usableSlots(now))
 	d.queue.SetCapacity(capacity)
 	if capacity > 0 || now.Sub(d.startedAt) > warmupTimeout {
-		d.warm.Store(true)
+		d.warmedUp.Store(true)
 	}
 	d.recordTransitions(now)
 	if now.Sub(d.spillUpdatedAt) >= spillInterval {
--- a/internal/request/executor.go
+++ b/internal/request/executor.go
@@ -54,8 +54,8 @@
 	Caller peer.Caller
 	// PlatformReachable reports whether the last call to the store was answered.
 	PlatformReachable func() bool
-	// MaxAttempts bounds the calls to backend servers in flight.
-	MaxAttempts int
+	// MaxConcurrentAttempts bounds the calls to backend servers in flight.
+	MaxConcurrentAttempts int
 
 	poolOnce   sync.Once
 	pool       pond.Pool
@@ -110,7 +110,7 @@
 }
 
 func (x *Executor) execute(ctx context.Context, id string, submission api.RequestSubmission, forwarded bool) api.RequestAnswer {
-	x.poolOnce.Do(func() { x.pool = pond.NewPool(max(1, x.MaxAttempts)) })
+	x.poolOnce.Do(func() { x.pool = pond.NewPool(max(1, x.MaxConcurrentAttempts)) })
 	started := time.Now()
 	answer, err := x.run(ctx, id, submission, forwarded)
 	if err != nil {
--- a/internal/request/fakes_test.go
+++ b/internal/request/fakes_test.go
@@ -194,7 +194,7 @@
 		return nil, api.NewError(api.KindNotReady, "no such instance")
 	}
 	if demand := request.GetSlots(); demand != nil {
-		return &peerpb.Response{Body: &peerpb.Response_Slots{Slots: other.dispatcher.HandleSlots(request.GetFrom(), demand)}}, nil
+		return &peerpb.Response{Body: &peerpb.Response_Slots{Slots: other.dispatcher.AnswerSlotDemand(request.GetFrom(), demand)}}, nil
 	}
 	answer := other.executeForwarded(ctx, request.GetExecute())
 	if c.loseResponses {
@@ -268,7 +268,7 @@
 	})
 	i.executor = &Executor{
 		Zone: fleet.zone, Instance: id, Config: source, Fleet: fleet, Claims: i.claims, Backend: backend, Recorder: recorder,
-		Dispatcher: i.dispatcher, Caller: namedCaller{caller, id}, PlatformReachable: func() bool { return true }, MaxAttempts: 1000,
+		Dispatcher: i.dispatcher, Caller: namedCaller{caller, id}, PlatformReachable: func() bool { return true }, MaxConcurrentAttempts: 1000,
 	}
 	caller.add(id, i)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/request/sharing.go
+++ b/internal/request/sharing.go
@@ -116,12 +116,12 @@
 func (s *sharing) sendDemands(now time.Time) {
 	d := s.dispatcher
 	s.demandedAt, s.lastWaiting = now, d.queue.Waiting()
-	wanted := s.need.Update(d.queue.InFlight()+s.lastWaiting, d.table.Takers(nil))
+	wanted := s.need.Update(d.queue.InFlight()+s.lastWaiting, d.table.AcceptingServers(nil))
 	demands := d.holder.Demands(now, func(id string) (int, int) { return d.table.InFlight(id), wanted })
 	for _, demand := range demands {
 		if demand.Owner == d.options.Instance {
 			grants, serial := d.owner.Demand(d.options.Instance, demand.Echo, demand.Wants, now)
-			d.holder.Granted(demand.Owner, serial, grants, now)
+			d.holder.ApplyGrants(demand.Owner, serial, grants, now)
 			continue
 		}
 		s.startCall(demand, now)
@@ -178,7 +178,7 @@
 			Validity: time.Duration(grant.GetValidMs()) * time.Millisecond,
 		})
 	}
-	d.holder.Granted(e.owner, e.grants.GetSerial(), grants, e.sentAt)
+	d.holder.ApplyGrants(e.owner, e.grants.GetSerial(), grants, e.sentAt)
 	d.queue.SetCapacity(d.table.Capacity(d.usableSlots(now)))
 }
 
@@ -207,9 +207,9 @@
 	e.reply <- answer
 }
 
-// HandleSlots answers the slot demand of another instance. It returns nil if the
+// AnswerSlotDemand answers the slot demand of another instance. It returns nil if the
 // dispatcher has stopped.
-func (d *Dispatcher) HandleSlots(from string, call *peerpb.SlotDemand) *peerpb.SlotGrants {
+func (d *Dispatcher) AnswerSlotDemand(from string, call *peerpb.SlotDemand) *peerpb.SlotGrants {
 	reply := make(chan *peerpb.SlotGrants, 1)
 	d.postEvent(demandEvent{from: from, call: call, reply: reply})
 	select {
--- a/internal/request/spill.go
+++ b/internal/request/spill.go
@@ -16,7 +16,7 @@
 // updateSpill updates the spill decision from the load levels of the zones.
 func (d *Dispatcher) updateSpill(now time.Time) {
 	local := d.queue.Load()
-	if d.table.Takers(nil) == 0 {
+	if d.table.AcceptingServers(nil) == 0 {
 		local = math.Inf(1)
 	}
 	before, _ := d.spill.Active()
@@ -68,7 +68,7 @@
 func (q spillQuery) apply(d *Dispatcher, _ time.Time) {
 	zone := ""
 	if q.refusedHere {
-		zone = routing.Rescue(d.zoneLoads())
+		zone = routing.OverflowZone(d.zoneLoads())
 	} else {
 		zone = d.spill.Next()
 	}
--- a/internal/request/stop_test.go
+++ b/internal/request/stop_test.go
@@ -52,7 +52,7 @@
 			t.Fatal("no call was under way")
 		default:
 		}
-		assert.Assert(t, d.HandleSlots("i2", &peerpb.SlotDemand{}) == nil)
+		assert.Assert(t, d.AnswerSlotDemand("i2", &peerpb.SlotDemand{}) == nil)
 		close(caller.release)
 		<-stopped
 	})
--- a/internal/request/turns.go
+++ b/internal/request/turns.go
@@ -85,9 +85,9 @@
 
 func (e finishedEvent) apply(d *Dispatcher, _ time.Time) {
 	if !e.result.Failed {
-		d.budget.Answered(e.account)
+		d.budget.RecordAnswer(e.account)
 	}
-	d.table.Finished(e.choice.ID, e.result)
+	d.table.RecordResult(e.choice.ID, e.result)
 	service := time.Duration(0)
 	if e.chargeable {
 		service = e.result.Took
@@ -105,7 +105,7 @@
 }
 
 func (q retryQuery) apply(d *Dispatcher, now time.Time) {
-	q.attempt.Others = d.table.Takers(q.tried)
+	q.attempt.Others = d.table.AcceptingServers(q.tried)
 	q.attempt.Expected = d.queue.Expected(q.request)
 	q.reply <- d.budget.Decide(q.attempt, now)
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -50,7 +50,7 @@
 
 // Decision is the result of Budget.Decide and its reason.
 type Decision struct {
-	Again  bool
+	Retry  bool
 	Reason string
 }
 
@@ -69,9 +69,9 @@
 // measurements.
 func NewUnlimited() *Budget { return &Budget{tokens: make(map[string]float64), unlimited: true} }
 
-// Answered credits the account with RetriesPerAnswer for a whole answer that
+// RecordAnswer credits the account with RetriesPerAnswer for a whole answer that
 // reports no failure.
-func (b *Budget) Answered(account string) {
+func (b *Budget) RecordAnswer(account string) {
 	b.tokens[account] = min(b.Tokens(account)+RetriesPerAnswer, Burst)
 }
 
@@ -102,5 +102,5 @@
 	if !b.unlimited {
 		b.tokens[attempt.Account] = b.Tokens(attempt.Account) - 1
 	}
-	return Decision{Again: true, Reason: "another backend server may answer in time"}
+	return Decision{Retry: true, Reason: "another backend server may answer in time"}
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -37,7 +37,7 @@
 			attempt := retryableAttempt()
 			c.change(&attempt)
 			decision := NewBudget().Decide(attempt, now)
-			assert.Equal(t, decision.Again, c.retried, decision.Reason)
+			assert.Equal(t, decision.Retry, c.retried, decision.Reason)
 			assert.Assert(t, decision.Reason != "")
 		})
 	}
@@ -49,10 +49,10 @@
 	retries := 0
 	for i := range attempts {
 		if i%failEvery != 0 {
-			budget.Answered("a")
+			budget.RecordAnswer("a")
 			continue
 		}
-		if budget.Decide(retryableAttempt(), now).Again {
+		if budget.Decide(retryableAttempt(), now).Retry {
 			retries++
 		}
 	}
@@ -82,5 +82,5 @@
 	countRetries(budget, 1000, 1)
 	other := retryableAttempt()
 	other.Account = "b"
-	assert.Assert(t, budget.Decide(other, now).Again)
+	assert.Assert(t, budget.Decide(other, now).Retry)
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -290,8 +290,8 @@
 	return t.turns % n, (t.turns + 1) % n
 }
 
-// Free reports whether any backend server that accepts work has a free slot.
-func (t *Table) Free(usable func(id string) int) bool {
+// HasFreeSlot reports whether any backend server that accepts work has a free slot.
+func (t *Table) HasFreeSlot(usable func(id string) int) bool {
 	for _, s := range t.servers {
 		if (s.State == model.BackendReady || s.State == model.BackendRamping) && s.inFlight < usable(s.ID) {
 			return true
@@ -300,8 +300,8 @@
 	return false
 }
 
-// Started records the dispatch of a request to a backend server.
-func (t *Table) Started(id string) {
+// RecordStart records the dispatch of a request to a backend server.
+func (t *Table) RecordStart(id string) {
 	if s, ok := t.byID[id]; ok {
 		s.inFlight++
 	}
@@ -319,9 +319,9 @@
 	Incarnation int64
 }
 
-// Finished records the end of an attempt. Results of an earlier incarnation only
+// RecordResult records the end of an attempt. Results of an earlier incarnation only
 // free the slot.
-func (t *Table) Finished(id string, result Result) {
+func (t *Table) RecordResult(id string, result Result) {
 	s, ok := t.byID[id]
 	if !ok {
 		return
@@ -351,9 +351,9 @@
 	return 0
 }
 
-// Takers returns the number of backend servers that accept work, except those in
-// tried.
-func (t *Table) Takers(tried []string) int {
+// AcceptingServers returns the number of backend servers that accept work, except
+// those in tried.
+func (t *Table) AcceptingServers(tried []string) int {
 	count := 0
 	for _, s := range t.servers {
 		if (s.State == model.BackendReady || s.State == model.BackendRamping) && !slices.Contains(tried, s.ID) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -45,9 +45,9 @@
 			continue
 		}
 		got[choice.ID]++
-		t.Started(choice.ID)
+		t.RecordStart(choice.ID)
 		took, failed := run(choice.ID)
-		t.Finished(choice.ID, Result{Took: took, Failed: failed, Expected: 50 * time.Millisecond, Incarnation: choice.Incarnation})
+		t.RecordResult(choice.ID, Result{Took: took, Failed: failed, Expected: 50 * time.Millisecond, Incarnation: choice.Incarnation})
 	}
 	return got, now
 }
@@ -160,7 +160,7 @@
 		if !ok {
 			break
 		}
-		table.Started(choice.ID)
+		table.RecordStart(choice.ID)
 		got[choice.ID]++
 	}
 	assert.DeepEqual(t, got, map[string]int{"b00": 1, "b01": 2})
@@ -175,7 +175,7 @@
 		assert.Assert(t, ok)
 		assert.Equal(t, choice.ID, "b01")
 	}
-	assert.Equal(t, table.Takers([]string{"b00"}), 2)
+	assert.Equal(t, table.AcceptingServers([]string{"b00"}), 2)
 	_, ok := table.Pick(start, random, allSlots, []string{"b00", "b01", "b02"})
 	assert.Assert(t, !ok)
 }
@@ -229,7 +229,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		choice, _ := table.Pick(start, random, allSlots, nil)
-		table.Started(choice.ID)
-		table.Finished(choice.ID, Result{Took: 50 * time.Millisecond, Expected: 50 * time.Millisecond, Incarnation: choice.Incarnation})
+		table.RecordStart(choice.ID)
+		table.RecordResult(choice.ID, Result{Took: 50 * time.Millisecond, Expected: 50 * time.Millisecond, Incarnation: choice.Incarnation})
 	}
 }
--- a/internal/routing/spill.go
+++ b/internal/routing/spill.go
@@ -107,11 +107,11 @@
 	return s.zone
 }
 
-// Rescue returns the zone for a request that would otherwise be refused in this
+// OverflowZone returns the zone for a request that would otherwise be refused in this
 // zone, or "" if no zone has free capacity. It is independent of the spilled
 // share: a zone that sheds load has a short queue, so its load level does not
 // show the refused requests.
-func Rescue(remotes []ZoneLoad) string {
+func OverflowZone(remotes []ZoneLoad) string {
 	best, found := leastLoaded(remotes)
 	if !found || best.Load >= remoteStartLoad {
 		return ""
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -27,7 +27,7 @@
 		}
 		return &peerpb.Response{Body: &peerpb.Response_Job{Job: reply}}, nil
 	case *peerpb.Request_Slots:
-		grants := h.dispatch.HandleSlots(request.GetFrom(), body.Slots)
+		grants := h.dispatch.AnswerSlotDemand(request.GetFrom(), body.Slots)
 		if grants == nil {
 			return nil, api.NewError(api.KindStopping, "instance %s grants no slots any more", h.settings.Instance)
 		}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -129,7 +129,7 @@
 		Zone: s.AvailabilityZone, Instance: s.Instance, Config: i.config, Fleet: i.fleet,
 		Claims: i.claims, Backend: backend.NewClient(s.Limits.MaxBackendConnections, i.fleet.ObserveBackend),
 		Recorder: i.recorder, PlatformReachable: i.platform.Reachable,
-		Dispatcher: i.dispatch, Caller: i.node, MaxAttempts: s.Limits.MaxRequests,
+		Dispatcher: i.dispatch, Caller: i.node, MaxConcurrentAttempts: s.Limits.MaxRequests,
 	}
 }
 
@@ -204,7 +204,7 @@
 	if i.config.Current() == nil {
 		return api.NewError(api.KindNotReady, "instance %s has no configuration yet", i.settings.Instance)
 	}
-	if !i.dispatch.Warm() {
+	if !i.dispatch.WarmedUp() {
 		return api.NewError(api.KindNotReady, "instance %s has no slots of backend servers yet", i.settings.Instance)
 	}
 	i.lifecycle.Configured()
--- a/internal/slots/holder.go
+++ b/internal/slots/holder.go
@@ -139,9 +139,9 @@
 	return state
 }
 
-// Granted applies an owner's answer to the demand that was sent at sentAt.
+// ApplyGrants applies an owner's answer to the demand that was sent at sentAt.
 // Answers to demands other than the last one are ignored.
-func (h *Holder) Granted(owner string, serial uint64, grants []Grant, sentAt time.Time) {
+func (h *Holder) ApplyGrants(owner string, serial uint64, grants []Grant, sentAt time.Time) {
 	state := h.ownerState(owner)
 	if sentAt.Before(state.lastSent) {
 		return
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -111,7 +111,7 @@
 	}
 	z.send(func() {
 		if z.running(n) {
-			n.holder.Granted(demand.Owner, serial, grants, sentAt)
+			n.holder.ApplyGrants(demand.Owner, serial, grants, sentAt)
 		}
 	})
 }
--- a/test/invariants/fleet_world_test.go
+++ b/test/invariants/fleet_world_test.go
@@ -228,7 +228,7 @@
 		return nil, api.NewError(api.KindNotReady, "not started")
 	}
 	if slots := message.GetSlots(); slots != nil {
-		if grants := dispatcher.HandleSlots(w.from, slots); grants != nil {
+		if grants := dispatcher.AnswerSlotDemand(w.from, slots); grants != nil {
 			return &peerpb.Response{Body: &peerpb.Response_Slots{Slots: grants}}, nil
 		}
 		return nil, api.NewError(api.KindStopping, "stopped")
--- a/test/invariants/leaving_test.go
+++ b/test/invariants/leaving_test.go
@@ -283,9 +283,9 @@
 	loops.Go(func() { dispatcher.Run(ctx) })
 	return &request.Executor{
 		Zone: testZone, Instance: id, Config: fixedConfig{}, Fleet: view, Dispatcher: dispatcher, Caller: peerCaller{w, id},
-		Backend:     backendClient{fleetWorld: w, random: rand.New(rand.NewPCG(seed, 3)), observe: observe, mu: new(sync.Mutex)},
-		Recorder:    recorder,
-		MaxAttempts: 1000, PlatformReachable: func() bool { return true },
+		Backend:               backendClient{fleetWorld: w, random: rand.New(rand.NewPCG(seed, 3)), observe: observe, mu: new(sync.Mutex)},
+		Recorder:              recorder,
+		MaxConcurrentAttempts: 1000, PlatformReachable: func() bool { return true },
 	}
 }
 
--- a/test/invariants/request_world_test.go
+++ b/test/invariants/request_world_test.go
@@ -161,7 +161,7 @@
 	})
 	node.executor = &request.Executor{
 		Zone: node.zone, Instance: node.zone, Config: source, Fleet: node, Claims: claims, Backend: node,
-		Recorder: recorder, Dispatcher: dispatcher, Caller: node, PlatformReachable: node.stack.Reachable, MaxAttempts: 1000,
+		Recorder: recorder, Dispatcher: dispatcher, Caller: node, PlatformReachable: node.stack.Reachable, MaxConcurrentAttempts: 1000,
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
 	node.stop = cancel
--- a/test/invariants/whole_answer_test.go
+++ b/test/invariants/whole_answer_test.go
@@ -254,7 +254,7 @@
 	loops.Go(func() { dispatcher.Run(ctx) })
 	executor := &request.Executor{
 		Zone: testZone, Instance: "entry-0", Config: fixedConfig{}, Fleet: fleet, Dispatcher: dispatcher, Backend: client,
-		Recorder: recorder, MaxAttempts: 100, PlatformReachable: func() bool { return true },
+		Recorder: recorder, MaxConcurrentAttempts: 100, PlatformReachable: func() bool { return true },
 	}
 	limits := settings.Default()
 	store := fake.New()
