--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -27,14 +27,14 @@
 	Holder string
 }
 
-// Held is a claim held by this arrival. It is settled or given up exactly once.
+// Held is a claim held by this arrival. It is settled or released exactly once.
 type Held interface {
 	// Settle records the final answer for later arrivals of the key. An error
 	// means that the record may be missing; the answer stays valid.
 	Settle(ctx context.Context, answer api.RequestAnswer) error
-	// GiveUp releases the claim, so that a later arrival may run the work. The
+	// Release releases the claim, so that a later arrival may run the work. The
 	// holder must not have dispatched it, and must not dispatch it afterwards.
-	GiveUp(ctx context.Context) error
+	Release(ctx context.Context) error
 }
 
 // Claims grants claims. Implementations are safe for concurrent use.
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -86,11 +86,11 @@
 			assert.Equal(t, answer.Outcome, api.OutcomeUnknown)
 		},
 		"claim given up can be taken by another arrival": func(t *testing.T, _ *fake.Platform, a, b instance) {
-			assert.NilError(t, mustClaim(t, a, "r1").GiveUp(t.Context()))
+			assert.NilError(t, mustClaim(t, a, "r1").Release(t.Context()))
 			mustClaim(t, b, "r2")
 		},
 		"arrival that claims again after giving up holds a new claim": func(t *testing.T, _ *fake.Platform, a, b instance) {
-			assert.NilError(t, mustClaim(t, a, "r1").GiveUp(t.Context()))
+			assert.NilError(t, mustClaim(t, a, "r1").Release(t.Context()))
 			mustClaim(t, a, "r1")
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
@@ -102,7 +102,7 @@
 		"claim ends once": func(t *testing.T, _ *fake.Platform, a, b instance) {
 			held := mustClaim(t, a, "r1")
 			assert.NilError(t, held.Settle(t.Context(), doneAnswer))
-			assert.Assert(t, api.IsKind(held.GiveUp(t.Context()), api.KindConflict))
+			assert.Assert(t, api.IsKind(held.Release(t.Context()), api.KindConflict))
 			_, answer, err := b.Claim(t.Context(), request("r2", "d"))
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Outcome, api.OutcomeDone)
--- a/internal/claim/unsettled.go
+++ b/internal/claim/unsettled.go
@@ -41,8 +41,8 @@
 	return h.finish(ctx, outcomeRow{Answer: &answer})
 }
 
-// GiveUp implements Held.
-func (h *held) GiveUp(ctx context.Context) error {
+// Release implements Held.
+func (h *held) Release(ctx context.Context) error {
 	return h.finish(ctx, outcomeRow{Released: true})
 }
 
--- a/internal/deployment/instance.go
+++ b/internal/deployment/instance.go
@@ -87,7 +87,7 @@
 	role          role
 	counts        pendingCounts
 	peerCalls     pond.Pool
-	lifecycle     *lifecycle.Life
+	lifecycle     *lifecycle.Lifecycle
 	configuration atomic.Pointer[workload.Configuration]
 	configRow     atomic.Pointer[workload.Row]
 	configMu      sync.Mutex
@@ -293,7 +293,7 @@
 		return err
 	}
 	i.lifecycle = lifecycle.New(lifecycle.Options{
-		StopWithin: time.Duration(i.settings.StopWithinMS) * time.Millisecond, Linger: stopLinger, Logger: i.logger,
+		StopTimeout: time.Duration(i.settings.StopWithinMS) * time.Millisecond, Linger: stopLinger, Logger: i.logger,
 		Announce: func(context.Context) error { servers.Announce(); return nil },
 		HandOver: i.handOver,
 		Drain:    servers.Drain,
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -36,13 +36,13 @@
 // one.
 type Step func(ctx context.Context) error
 
-// Options configures a Life. A nil step is skipped.
+// Options configures a Lifecycle. A nil step is skipped.
 type Options struct {
 	Logger *zap.Logger
-	// StopWithin bounds the shutdown up to the end of Drain. Close has a short
+	// StopTimeout bounds the shutdown up to the end of Drain. Close has a short
 	// time limit of its own.
-	StopWithin time.Duration
-	// Linger is the minimum time, within StopWithin, between the start of the
+	StopTimeout time.Duration
+	// Linger is the minimum time, within StopTimeout, between the start of the
 	// shutdown and Drain. During it the instance, no longer ready, answers new
 	// calls with a refusal that marks them as not run, so that the platform's
 	// load balancer can notice. Zero means DefaultLinger; a negative value
@@ -59,9 +59,9 @@
 	Close Step
 }
 
-// Life runs the state chart of one instance's process. It is safe for
+// Lifecycle runs the state chart of one instance's process. It is safe for
 // concurrent use.
-type Life struct {
+type Lifecycle struct {
 	options  Options
 	logger   *zap.Logger
 	machine  *chart.Chart
@@ -89,8 +89,8 @@
 	closeTimeout = 2 * time.Second
 )
 
-// New returns a Life in its initial state.
-func New(options Options) *Life {
+// New returns a Lifecycle in its initial state.
+func New(options Options) *Lifecycle {
 	machine := chart.MustLoad("instance")
 	if options.Linger == 0 {
 		options.Linger = DefaultLinger
@@ -99,7 +99,7 @@
 	if logger == nil {
 		logger = zap.NewNop()
 	}
-	return &Life{
+	return &Lifecycle{
 		options:  options,
 		logger:   logger.Named("lifecycle"),
 		machine:  machine,
@@ -110,19 +110,19 @@
 }
 
 // State returns the current state.
-func (l *Life) State() chart.State {
+func (l *Lifecycle) State() chart.State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
 // Ready reports whether the instance accepts callers' requests.
-func (l *Life) Ready() bool { return l.State() == Ready }
+func (l *Lifecycle) Ready() bool { return l.State() == Ready }
 
 // Refusal returns the error with which callers' work is refused in the current
 // state: KindNotReady in Starting, nil in Ready, and KindStopping from the start
 // of a shutdown.
-func (l *Life) Refusal() error {
+func (l *Lifecycle) Refusal() error {
 	switch l.State() {
 	case Ready:
 		return nil
@@ -134,13 +134,13 @@
 }
 
 // Stopping returns a channel that is closed when a shutdown begins.
-func (l *Life) Stopping() <-chan struct{} { return l.stopping }
+func (l *Lifecycle) Stopping() <-chan struct{} { return l.stopping }
 
 // Configured records that a configuration is in force.
-func (l *Life) Configured() { l.transition(eventConfigured) }
+func (l *Lifecycle) Configured() { l.transition(eventConfigured) }
 
 // transition sends an event to the chart and reports whether the state changed.
-func (l *Life) transition(event chart.Event) bool {
+func (l *Lifecycle) transition(event chart.Event) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next, err := l.machine.Next(l.state, event)
@@ -159,7 +159,7 @@
 // Stop shuts the instance down and waits until it has stopped. Further calls,
 // also concurrent ones, wait for the same shutdown and return the same error.
 // The error is nil if every request in flight was finished.
-func (l *Life) Stop() error {
+func (l *Lifecycle) Stop() error {
 	if l.transition(eventStop) {
 		close(l.stopping)
 		l.result = l.shutdown()
@@ -172,14 +172,14 @@
 
 // StopOnSignal calls Stop at the first signal and returns its result. Further
 // signals are logged and have no effect.
-func (l *Life) StopOnSignal(signals <-chan os.Signal) error {
+func (l *Lifecycle) StopOnSignal(signals <-chan os.Signal) error {
 	first := <-signals
 	l.logger.Info("signal", zap.Stringer("signal", first))
 	go l.logSignals(signals)
 	return l.Stop()
 }
 
-func (l *Life) logSignals(signals <-chan os.Signal) {
+func (l *Lifecycle) logSignals(signals <-chan os.Signal) {
 	for {
 		select {
 		case repeated := <-signals:
@@ -194,14 +194,14 @@
 // the state Ready. Peers are notified first, so that none forwards work here;
 // then the roles are released, so that their next holder can start while
 // requests finish here.
-func (l *Life) shutdown() error {
+func (l *Lifecycle) shutdown() error {
 	started := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), l.options.StopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), l.options.StopTimeout)
 	defer cancel()
-	l.runStep(ctx, "announce", l.options.StopWithin/announceDivisor, l.options.Announce)
-	l.runStep(ctx, "hand over", l.options.StopWithin/handOverDivisor, l.options.HandOver)
+	l.runStep(ctx, "announce", l.options.StopTimeout/announceDivisor, l.options.Announce)
+	l.runStep(ctx, "hand over", l.options.StopTimeout/handOverDivisor, l.options.HandOver)
 	l.linger(ctx, started)
-	err := l.runStep(ctx, "drain", l.options.StopWithin, l.options.Drain)
+	err := l.runStep(ctx, "drain", l.options.StopTimeout, l.options.Drain)
 	l.runStep(context.Background(), "close", closeTimeout, l.options.Close)
 	l.logger.Info("shutdown", zap.Duration("took", time.Since(started)), zap.Error(err))
 	return err
@@ -209,7 +209,7 @@
 
 // linger waits until the linger time, counted from started, has passed or ctx
 // ends.
-func (l *Life) linger(ctx context.Context, started time.Time) {
+func (l *Lifecycle) linger(ctx context.Context, started time.Time) {
 	select {
 	case <-time.After(l.options.Linger - time.Since(started)):
 	case <-ctx.Done():
@@ -218,7 +218,7 @@
 
 // runStep runs one step with a time limit. A step that ignores its context is
 // abandoned.
-func (l *Life) runStep(ctx context.Context, name string, timeout time.Duration, step Step) error {
+func (l *Lifecycle) runStep(ctx context.Context, name string, timeout time.Duration, step Step) error {
 	if step == nil {
 		return nil
 	}
@@ -257,7 +257,7 @@
 
 var errPanic = errors.New("the step panicked")
 
-func (l *Life) callStep(ctx context.Context, step Step) (err error) {
+func (l *Lifecycle) callStep(ctx context.Context, step Step) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			l.logger.Error("shutdown step panicked", zap.Any("cause", cause), zap.Stack("stack"))
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -72,21 +72,21 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var steps recorder
-				life := lifecycle.New(lifecycle.Options{
-					StopWithin: 30 * time.Second,
-					Linger:     cmp.Or(test.linger, noLinger),
-					Announce:   steps.step("announce", test.announce, nil),
-					HandOver:   steps.step("hand over", test.handOver, test.handOverErr),
-					Drain:      steps.step("drain", test.drain, nil),
-					Close:      steps.step("close", 0, nil),
+				l := lifecycle.New(lifecycle.Options{
+					StopTimeout: 30 * time.Second,
+					Linger:      cmp.Or(test.linger, noLinger),
+					Announce:    steps.step("announce", test.announce, nil),
+					HandOver:    steps.step("hand over", test.handOver, test.handOverErr),
+					Drain:       steps.step("drain", test.drain, nil),
+					Close:       steps.step("close", 0, nil),
 				})
-				life.Configured()
+				l.Configured()
 				start := time.Now()
-				err := life.Stop()
+				err := l.Stop()
 				assert.Equal(t, err != nil, test.wantErr, "%v", err)
 				assert.Equal(t, time.Since(start), test.wantDuration)
 				assert.Assert(t, slices.Equal(steps.names, all), "%v", steps.names)
-				assert.Equal(t, life.State(), lifecycle.Stopped)
+				assert.Equal(t, l.State(), lifecycle.Stopped)
 			})
 		})
 	}
@@ -96,37 +96,37 @@
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
 		var stateDuringAnnounce chart.State
-		var life *lifecycle.Life
-		life = lifecycle.New(lifecycle.Options{StopWithin: time.Minute, Announce: func(context.Context) error {
-			stateDuringAnnounce = life.State()
+		var l *lifecycle.Lifecycle
+		l = lifecycle.New(lifecycle.Options{StopTimeout: time.Minute, Announce: func(context.Context) error {
+			stateDuringAnnounce = l.State()
 			<-release
 			return nil
 		}})
-		assert.Equal(t, life.State(), lifecycle.Starting)
-		life.Configured()
-		assert.Assert(t, life.Ready())
-		go func() { _ = life.Stop() }()
+		assert.Equal(t, l.State(), lifecycle.Starting)
+		l.Configured()
+		assert.Assert(t, l.Ready())
+		go func() { _ = l.Stop() }()
 		synctest.Wait()
 		assert.Equal(t, stateDuringAnnounce, lifecycle.Draining)
-		life.Configured()
-		assert.Assert(t, !life.Ready(), "a draining instance never becomes ready again")
+		l.Configured()
+		assert.Assert(t, !l.Ready(), "a draining instance never becomes ready again")
 		close(release)
-		assert.NilError(t, life.Stop())
+		assert.NilError(t, l.Stop())
 	})
 }
 
 func TestRepeatedStopsAndSignalsHaveNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var steps recorder
-		life := lifecycle.New(lifecycle.Options{StopWithin: time.Minute, Linger: time.Second, Drain: steps.step("drain", 10*time.Second, nil)})
-		life.Configured()
+		l := lifecycle.New(lifecycle.Options{StopTimeout: time.Minute, Linger: time.Second, Drain: steps.step("drain", 10*time.Second, nil)})
+		l.Configured()
 		signals := make(chan os.Signal, 4)
 		signals <- syscall.SIGTERM
 		results := make(chan error, 3)
 		start := time.Now()
-		go func() { results <- life.StopOnSignal(signals) }()
-		go func() { results <- life.Stop() }()
-		go func() { results <- life.Stop() }()
+		go func() { results <- l.StopOnSignal(signals) }()
+		go func() { results <- l.Stop() }()
+		go func() { results <- l.Stop() }()
 		time.Sleep(time.Second)
 		signals <- syscall.SIGTERM
 		signals <- syscall.SIGINT
@@ -142,13 +142,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		var steps recorder
 		hang := make(chan struct{})
-		life := lifecycle.New(lifecycle.Options{
-			StopWithin: 10 * time.Second,
-			Announce:   func(context.Context) error { panic("planted") },
-			HandOver:   func(context.Context) error { <-hang; return nil },
-			Drain:      steps.step("drain", time.Second, nil),
+		l := lifecycle.New(lifecycle.Options{
+			StopTimeout: 10 * time.Second,
+			Announce:    func(context.Context) error { panic("planted") },
+			HandOver:    func(context.Context) error { <-hang; return nil },
+			Drain:       steps.step("drain", time.Second, nil),
 		})
-		assert.NilError(t, life.Stop())
+		assert.NilError(t, l.Stop())
 		assert.Assert(t, slices.Equal(steps.names, []string{"drain"}), "%v", steps.names)
 		close(hang)
 	})
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -311,11 +311,11 @@
 }
 
 // PeerStates returns the latest state message of each peer that has sent one.
-func (f *Fleet) PeerStates() map[string]HeardState {
+func (f *Fleet) PeerStates() map[string]ReceivedState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, intervals := time.Now(), f.state.intervals()
-	states := make(map[string]HeardState, len(f.state.instances))
+	states := make(map[string]ReceivedState, len(f.state.instances))
 	for id, entry := range f.state.instances {
 		if entry.lastState.State != nil {
 			latest := entry.lastState
--- a/internal/membership/instance.go
+++ b/internal/membership/instance.go
@@ -8,11 +8,11 @@
 	"github.com/corianderbank/corianderbank/internal/model"
 )
 
-// HeardState is the latest state message received from a peer.
-type HeardState struct {
+// ReceivedState is the latest state message received from a peer.
+type ReceivedState struct {
 	State *peerpb.State
-	// HeardAt is the local time at which it arrived.
-	HeardAt time.Time
+	// ReceivedAt is the local time at which it arrived.
+	ReceivedAt time.Time
 	// Fresh reports whether it is no older than the timeout for a peer.
 	Fresh bool
 }
@@ -34,7 +34,7 @@
 	listedAt time.Time
 	// seed reports that the settings name it. A seed is never removed.
 	seed         bool
-	lastState    HeardState
+	lastState    ReceivedState
 	flapDamper   flapDamper
 	unresponsive bool
 }
@@ -83,7 +83,7 @@
 	}
 	entry.Leaving = entry.Leaving || message.GetLeaving()
 	entry.LastSeen = now
-	entry.lastState = HeardState{State: message, HeardAt: now, Fresh: true}
+	entry.lastState = ReceivedState{State: message, ReceivedAt: now, Fresh: true}
 	if entry.unresponsive && !entry.flapDamper.heldDown(now) {
 		entry.unresponsive = false
 		s.recordChange(subjectInstance, id, entry.Incarnation, instanceUnresponsive, instanceLive)
--- a/internal/request/claimed.go
+++ b/internal/request/claimed.go
@@ -71,8 +71,8 @@
 		return answer, err
 	}
 	if err != nil && !mayHaveRun(err) {
-		if giveUpErr := held.GiveUp(ctx); giveUpErr != nil {
-			x.decide(r, "claim", "kept", giveUpErr.Error(), "")
+		if releaseErr := held.Release(ctx); releaseErr != nil {
+			x.decide(r, "claim", "kept", releaseErr.Error(), "")
 		}
 		return answer, err
 	}
--- a/internal/request/dispatcher.go
+++ b/internal/request/dispatcher.go
@@ -45,7 +45,7 @@
 	// ZoneMembers returns the instances of a zone that may be running.
 	ZoneMembers(zone string) []string
 	// PeerStates returns the latest state message of each peer.
-	PeerStates() map[string]membership.HeardState
+	PeerStates() map[string]membership.ReceivedState
 }
 
 // DispatcherOptions configures a Dispatcher.
--- a/internal/request/executor_test.go
+++ b/internal/request/executor_test.go
@@ -265,8 +265,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				caller := &fakeCaller{loseResponses: c.loseResponses}
 				remote := start(t, "i2", &fakeFleet{zone: "z2", members: []string{"i2"}, servers: twoServers()}, &fakeBackend{run: answersAfter(time.Millisecond)}, caller, configuration())
-				remoteState := membership.HeardState{State: &peerpb.State{Instance: "i2", AvailabilityZone: "z2"}, HeardAt: time.Now(), Fresh: true}
-				fleet := &fakeFleet{zone: "z1", members: []string{"i1"}, peers: map[string]membership.HeardState{"i2": remoteState}}
+				remoteState := membership.ReceivedState{State: &peerpb.State{Instance: "i2", AvailabilityZone: "z2"}, ReceivedAt: time.Now(), Fresh: true}
+				fleet := &fakeFleet{zone: "z1", members: []string{"i1"}, peers: map[string]membership.ReceivedState{"i2": remoteState}}
 				local := start(t, "i1", fleet, &fakeBackend{run: answersAfter(0)}, caller, configuration())
 				time.Sleep(slots.ViewWindow + time.Second)
 				answer, _ := local.execute("r1", time.Second, c.submission)
--- a/internal/request/fakes_test.go
+++ b/internal/request/fakes_test.go
@@ -88,7 +88,7 @@
 	zone    string
 	members []string
 	servers []model.BackendServer
-	peers   map[string]membership.HeardState
+	peers   map[string]membership.ReceivedState
 }
 
 func (f *fakeFleet) Instances() []model.Instance {
@@ -111,7 +111,7 @@
 
 func (f *fakeFleet) Workers(string) []model.Worker { return nil }
 
-func (f *fakeFleet) PeerStates() map[string]membership.HeardState { return f.peers }
+func (f *fakeFleet) PeerStates() map[string]membership.ReceivedState { return f.peers }
 
 func (f *fakeFleet) setLeaving(index int) {
 	f.mu.Lock()
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (h *fakeHeld) GiveUp(context.Context) error {
+func (h *fakeHeld) Release(context.Context) error {
 	h.claims.mu.Lock()
 	defer h.claims.mu.Unlock()
 	delete(h.claims.rows, h.key)
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -148,7 +148,7 @@
 func (f fleetView) peerStatuses() []api.InstanceStatus {
 	var list []api.InstanceStatus
 	for _, peerState := range f.fleet.PeerStates() {
-		list = append(list, instanceStatus(peerState.State, peerState.HeardAt))
+		list = append(list, instanceStatus(peerState.State, peerState.ReceivedAt))
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].ID < list[b].ID })
 	return list
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -57,7 +57,7 @@
 	executor  *request.Executor
 	dispatch  *request.Dispatcher
 	server    *entry.Server
-	lifecycle *lifecycle.Life
+	lifecycle *lifecycle.Lifecycle
 }
 
 // Run runs an entry instance with the settings of a file until SIGTERM or SIGINT,
@@ -173,11 +173,11 @@
 
 // newLifecycle defines the steps of a graceful shutdown; package lifecycle
 // determines their order.
-func (i *instance) newLifecycle() *lifecycle.Life {
+func (i *instance) newLifecycle() *lifecycle.Lifecycle {
 	return lifecycle.New(lifecycle.Options{
-		Logger:     i.logger,
-		StopWithin: settings.Duration(i.settings.Timing.StopWithinMS),
-		Announce:   i.fleet.AnnounceLeaving,
+		Logger:      i.logger,
+		StopTimeout: settings.Duration(i.settings.Timing.StopWithinMS),
+		Announce:    i.fleet.AnnounceLeaving,
 		HandOver: func(ctx context.Context) error {
 			i.placer.Leave(ctx)
 			return nil
--- a/test/invariants/claims_order_test.go
+++ b/test/invariants/claims_order_test.go
@@ -187,7 +187,7 @@
 	time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
 	call = int64(time.Since(r.started))
 	if random.IntN(3) > 0 {
-		err = heldClaim.GiveUp(ctx)
+		err = heldClaim.Release(ctx)
 		r.add(claimOp{kind: opReleased, id: id, unresolved: err != nil}, call)
 		return
 	}
--- a/test/invariants/request_world_test.go
+++ b/test/invariants/request_world_test.go
@@ -201,8 +201,8 @@
 func (n *requestNode) ZoneMembers(string) []string { return []string{n.zone} }
 
 // PeerStates implements request.Fleet.
-func (n *requestNode) PeerStates() map[string]membership.HeardState {
-	states := make(map[string]membership.HeardState)
+func (n *requestNode) PeerStates() map[string]membership.ReceivedState {
+	states := make(map[string]membership.ReceivedState)
 	for i := range requestInstances {
 		if zone := fmt.Sprintf("z%d", i); zone != n.zone {
 			load := int64(100)
@@ -210,7 +210,7 @@
 				load = 5000
 			}
 			state := &peerpb.State{Instance: zone, AvailabilityZone: zone, Incarnation: 1, LoadPermille: load}
-			states[zone] = membership.HeardState{State: state, HeardAt: time.Now(), Fresh: true}
+			states[zone] = membership.ReceivedState{State: state, ReceivedAt: time.Now(), Fresh: true}
 		}
 	}
 	return states
--- a/test/invariants/stop_world_test.go
+++ b/test/invariants/stop_world_test.go
@@ -99,7 +99,7 @@
 	executor  *request.Executor
 	placer    *placer.Placer
 	server    *entry.Server
-	lifecycle *lifecycle.Life
+	lifecycle *lifecycle.Lifecycle
 	listener  *pipeListener
 	client    *http.Client
 	cancel    context.CancelFunc
@@ -146,10 +146,10 @@
 
 // newLifecycle connects the shutdown steps as package serve does, except for
 // the planted fault.
-func (i *entryInstance) newLifecycle(fault stopFault) *lifecycle.Life {
+func (i *entryInstance) newLifecycle(fault stopFault) *lifecycle.Lifecycle {
 	options := lifecycle.Options{
-		StopWithin: stopTimeout,
-		Announce:   i.fleet.AnnounceLeaving,
+		StopTimeout: stopTimeout,
+		Announce:    i.fleet.AnnounceLeaving,
 		HandOver: func(ctx context.Context) error {
 			i.placer.Leave(ctx)
 			return nil
--- a/test/invariants/whole_answer_test.go
+++ b/test/invariants/whole_answer_test.go
@@ -196,11 +196,11 @@
 // servers.
 type singleInstanceFleet struct{ servers []model.BackendServer }
 
-func (f singleInstanceFleet) Instances() []model.Instance                  { return nil }
-func (f singleInstanceFleet) BackendServers(string) []model.BackendServer  { return f.servers }
-func (f singleInstanceFleet) Workers(string) []model.Worker                { return nil }
-func (f singleInstanceFleet) ZoneMembers(string) []string                  { return []string{"entry-0"} }
-func (f singleInstanceFleet) PeerStates() map[string]membership.HeardState { return nil }
+func (f singleInstanceFleet) Instances() []model.Instance                     { return nil }
+func (f singleInstanceFleet) BackendServers(string) []model.BackendServer     { return f.servers }
+func (f singleInstanceFleet) Workers(string) []model.Worker                   { return nil }
+func (f singleInstanceFleet) ZoneMembers(string) []string                     { return []string{"entry-0"} }
+func (f singleInstanceFleet) PeerStates() map[string]membership.ReceivedState { return nil }
 
 // runWholeAnswers sends the requests of all callers, and returns every
 // violation and the number of done answers.
