--- a/internal/decision/recorder.go
+++ b/internal/decision/recorder.go
@@ -40,7 +40,7 @@
 func (r *Recorder) Record(d api.Decision) {
 	d.Instance = r.instance
 	if r.keep(d) {
-		logging.Decision(r.logger, d)
+		logging.LogDecision(r.logger, d)
 	}
 }
 
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -20,11 +20,11 @@
 
 var metricDropped = metrics.NewCounter("corianderbank_log_lines_dropped_total")
 
-// Bounded writes lines to an io.Writer from a goroutine of its own, so that
+// BoundedWriter writes lines to an io.Writer from a goroutine of its own, so that
 // callers never wait for the log. A line that arrives while the queue is full,
 // because the log is not read or too much is logged, is dropped and counted.
 // The number of dropped lines is logged once there is space again.
-type Bounded struct {
+type BoundedWriter struct {
 	w       io.Writer
 	lines   *ring.Refusing[[]byte]
 	dropped atomic.Int64
@@ -32,15 +32,15 @@
 	stopped chan struct{}
 }
 
-// NewBounded returns a Bounded for w and starts its goroutine; Close stops it.
-func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{w: w, lines: ring.NewRefusing[[]byte](maxPendingLines), stop: make(chan struct{}), stopped: make(chan struct{})}
+// NewBoundedWriter returns a BoundedWriter for w and starts its goroutine; Close stops it.
+func NewBoundedWriter(w io.Writer) *BoundedWriter {
+	b := &BoundedWriter{w: w, lines: ring.NewRefusing[[]byte](maxPendingLines), stop: make(chan struct{}), stopped: make(chan struct{})}
 	go b.run()
 	return b
 }
 
 // Write queues a copy of line. It never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	if !b.lines.Offer(append([]byte(nil), line...)) {
 		b.dropped.Add(1)
 		metricDropped.Inc()
@@ -49,7 +49,7 @@
 }
 
 // run writes queued lines until Close, at most maxLinesPerSecond in the long term.
-func (b *Bounded) run() {
+func (b *BoundedWriter) run() {
 	defer close(b.stopped)
 	for {
 		select {
@@ -77,7 +77,7 @@
 // collector may read only a part and see a line split in two.
 const maxWriteBytes = 4096
 
-func (b *Bounded) writeBatch(first []byte) {
+func (b *BoundedWriter) writeBatch(first []byte) {
 	text := first
 	for range maxBatchLines - 1 {
 		select {
@@ -97,16 +97,16 @@
 }
 
 // write writes whole lines. It ignores errors, as there is nowhere to report them.
-func (b *Bounded) write(text []byte) { _, _ = b.w.Write(text) }
+func (b *BoundedWriter) write(text []byte) { _, _ = b.w.Write(text) }
 
-func (b *Bounded) reportDropped() {
+func (b *BoundedWriter) reportDropped() {
 	if n := b.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(b.w, "ts=%s level=warn msg=\"log lines dropped\" lines=%d\n", time.Now().UTC().Format(time.RFC3339Nano), n)
 	}
 }
 
 // flush writes the remaining lines.
-func (b *Bounded) flush() {
+func (b *BoundedWriter) flush() {
 	for b.lines.Len() > 0 {
 		b.writeBatch(<-b.lines.C())
 	}
@@ -118,7 +118,7 @@
 
 // Close flushes the remaining lines and stops the goroutine. It waits at most
 // closeTimeout and must be called only once.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	close(b.stop)
 	select {
 	case <-b.stopped:
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -13,7 +13,7 @@
 
 func TestUnreadLogDoesNotBlockWriters(t *testing.T) {
 	reader, writer := io.Pipe() // unbuffered: a write waits for its reader
-	b := NewBounded(writer)
+	b := NewBoundedWriter(writer)
 	const lines = 3 * maxPendingLines
 	for n := range lines {
 		_, err := fmt.Fprintf(b, "line=%d\n", n)
@@ -37,7 +37,7 @@
 
 func TestLinesStayInOrderAndDroppedLinesAreReported(t *testing.T) {
 	var out lockedBuffer
-	b := NewBounded(&out)
+	b := NewBoundedWriter(&out)
 	for n := range 3 {
 		_, _ = fmt.Fprintf(b, "line=%d\n", n)
 	}
@@ -63,7 +63,7 @@
 
 func TestEachWriteIsOfWholeLinesAndFitsAPipe(t *testing.T) {
 	var out recordingWriter
-	b := NewBounded(&out)
+	b := NewBoundedWriter(&out)
 	const lines = 200
 	for n := range lines {
 		_, _ = fmt.Fprintf(b, "line=%d %s\n", n, strings.Repeat("x", 250))
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -27,8 +27,8 @@
 	return zap.New(core).With(zap.String("instance", instance), zap.String("availability_zone", zone)), nil
 }
 
-// Decision logs a routing or placement decision.
-func Decision(logger *zap.Logger, d api.Decision) {
+// LogDecision logs a routing or placement decision.
+func LogDecision(logger *zap.Logger, d api.Decision) {
 	logger.Info("decision",
 		zap.Time("at", d.At.Truncate(time.Microsecond)),
 		zap.String("step", d.Step),
--- a/internal/measure/gangload/baseline.go
+++ b/internal/measure/gangload/baseline.go
@@ -31,8 +31,8 @@
 	var extra []int
 	for i := range s.Waiting {
 		job := &s.Waiting[i]
-		expectedEnd := s.Now.Add(max(time.Second, job.DeclaredRun-job.Progress))
-		usable, outlasts := freeByWorker, !shadowTime.IsZero() && expectedEnd.After(shadowTime)
+		expectedCompletion := s.Now.Add(max(time.Second, job.DeclaredRunTime-job.Progress))
+		usable, outlasts := freeByWorker, !shadowTime.IsZero() && expectedCompletion.After(shadowTime)
 		if outlasts {
 			usable = minVector(freeByWorker, extra)
 		}
@@ -50,7 +50,7 @@
 		if outlasts {
 			allocate(s.Workers, extra, tasks)
 		}
-		plan.Placements = append(plan.Placements, placement.Placement{JobID: job.ID, Tasks: tasks, ExpectedCompletion: expectedEnd})
+		plan.Placements = append(plan.Placements, placement.Placement{JobID: job.ID, Tasks: tasks, ExpectedCompletion: expectedCompletion})
 	}
 	return plan
 }
@@ -66,7 +66,7 @@
 		}
 	}
 	for i, worker := range s.Workers {
-		if worker.Takes() {
+		if worker.AcceptsTasks() {
 			free[i] = worker.Accelerators - used[worker.ID]
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 	var releases []release
 	for _, gang := range s.Gangs {
-		releases = append(releases, release{gang.ExpectedEnd, gang.Placements})
+		releases = append(releases, release{gang.ExpectedCompletion, gang.Placements})
 	}
 	for _, p := range plan.Placements {
 		releases = append(releases, release{p.ExpectedCompletion, p.Tasks})
--- a/internal/measure/gangload/claims.go
+++ b/internal/measure/gangload/claims.go
@@ -16,7 +16,7 @@
 	} else {
 		job.claimsGuarantee = fitsGuaranteedShape(job, account)
 	}
-	if !job.spec.Urgent && job.spec.Stoppable() {
+	if !job.spec.Urgent && job.spec.Preemptible() {
 		return
 	}
 	if sim.requestedAccelerators(job.spec.Account, true) > guaranteed {
@@ -47,7 +47,7 @@
 	total := 0
 	for _, jobs := range [][]*simulatedJob{sim.queue, sim.active} {
 		for _, job := range jobs {
-			if job.spec.Account == account && (!urgentOnly || job.spec.Urgent || !job.spec.Stoppable()) {
+			if job.spec.Account == account && (!urgentOnly || job.spec.Urgent || !job.spec.Preemptible()) {
 				total += job.spec.Shape.Accelerators()
 			}
 		}
--- a/internal/measure/gangload/gangload_test.go
+++ b/internal/measure/gangload/gangload_test.go
@@ -73,7 +73,7 @@
 	for _, p := range Patterns() {
 		work := 0.0
 		for _, a := range generate(p, &d, testSeed).arrivals {
-			assert.Assert(t, a.runTime > 0 && a.at >= 0 && a.at <= horizon && a.spec.DeclaredRun > 0)
+			assert.Assert(t, a.runTime > 0 && a.at >= 0 && a.at <= horizon && a.spec.DeclaredRunTime > 0)
 			work += float64(a.spec.Shape.Accelerators()) * a.runTime.Seconds()
 		}
 		offered := work / (float64(d.capacity()) * horizon.Seconds())
--- a/internal/measure/gangload/gangs.go
+++ b/internal/measure/gangload/gangs.go
@@ -20,7 +20,7 @@
 	}
 	job.gang = model.Gang{
 		Job: job.spec, State: model.GangRunning, Placements: p.Tasks, StartedAt: simulationStart.Add(at),
-		ExpectedEnd: p.ExpectedCompletion, Borrowed: p.Borrowed,
+		ExpectedCompletion: p.ExpectedCompletion, Borrowed: p.Borrowed,
 	}
 	if worker := sim.failingWorker(job); worker != "" {
 		sim.scheduleForAttempt(job, at+failureDelay, func() { sim.fail(job, worker) })
@@ -54,7 +54,7 @@
 }
 
 func (sim *simulation) finish(job *simulatedJob) {
-	sim.history.Observe(job.spec.Account, job.spec.Kind, job.spec.DeclaredRun, job.runTime)
+	sim.history.Observe(job.spec.Account, job.spec.Kind, job.spec.DeclaredRunTime, job.runTime)
 	for _, p := range job.gang.Placements {
 		sim.tracker.TaskSucceeded(p.Worker, job.spec.ID, sim.wallTime())
 	}
@@ -64,7 +64,7 @@
 // fail handles a gang that failed on its own, on the given worker.
 func (sim *simulation) fail(job *simulatedJob, worker string) {
 	job.failures++
-	abandon := job.failures >= maxFailures || !job.spec.Stoppable()
+	abandon := job.failures >= maxFailures || !job.spec.Preemptible()
 	if sim.policy.UsesQuarantine() {
 		verdict := sim.tracker.TaskFailed(worker, job.spec.ID, sim.wallTime())
 		abandon = abandon || verdict.FaultyJob != ""
@@ -125,7 +125,7 @@
 // is requeued with the progress of its last periodic checkpoint, if it has
 // checkpoints; otherwise the job is lost.
 func (sim *simulation) interruptGang(job *simulatedJob) {
-	if !job.spec.Stoppable() {
+	if !job.spec.Preemptible() {
 		sim.endJob(job, lost)
 		return
 	}
--- a/internal/measure/gangload/pattern.go
+++ b/internal/measure/gangload/pattern.go
@@ -191,7 +191,7 @@
 		Account: g.deployment.Accounts[account].Name, Kind: fmt.Sprintf("kind-%d", kind), Shape: shape,
 		Idempotent: draw < 0.9, Checkpointable: draw < 0.6, Urgent: g.random.Float64() < 0.1,
 		SubmittedAt: simulationStart.Add(at), MayBorrow: true,
-		DeclaredRun: time.Duration(float64(runTime) / g.drawRunTimeRatio(account, kind)),
+		DeclaredRunTime: time.Duration(float64(runTime) / g.drawRunTimeRatio(account, kind)),
 	}
 	if g.random.Float64() < 0.4 {
 		slack := time.Duration((1.5 + 4.5*g.random.Float64()) * float64(runTime))
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -36,8 +36,8 @@
 	LastReport time.Time
 }
 
-// Takes reports whether new tasks may be placed on the worker.
-func (w Worker) Takes() bool { return w.Health == WorkerHealthy }
+// AcceptsTasks reports whether new tasks may be placed on the worker.
+func (w Worker) AcceptsTasks() bool { return w.Health == WorkerHealthy }
 
 // GangState is a state of charts/gang.json.
 type GangState string
@@ -62,8 +62,8 @@
 	Urgent         bool
 	SubmittedAt    time.Time
 	// Deadline is zero if the job has none.
-	Deadline    time.Time
-	DeclaredRun time.Duration
+	Deadline        time.Time
+	DeclaredRunTime time.Duration
 	// Progress is the run time that the last checkpoint covers.
 	Progress time.Duration
 	// Priority is set by the rule; within an account, jobs of higher priority
@@ -81,9 +81,9 @@
 	Avoid []string
 }
 
-// Stoppable reports whether the scheduler may stop the job to reclaim its
+// Preemptible reports whether the scheduler may stop the job to reclaim its
 // accelerators: it can be resumed from a checkpoint or run again.
-func (j Job) Stoppable() bool { return j.Idempotent || j.Checkpointable }
+func (j Job) Preemptible() bool { return j.Idempotent || j.Checkpointable }
 
 // Gang is a job that holds accelerators.
 type Gang struct {
@@ -91,8 +91,8 @@
 	State      GangState
 	Placements []api.TaskPlacement
 	StartedAt  time.Time
-	// ExpectedEnd is the corrected estimate of the completion time.
-	ExpectedEnd time.Time
+	// ExpectedCompletion is the corrected estimate of the completion time.
+	ExpectedCompletion time.Time
 	// Borrowed is true if the gang runs beyond its account's guarantee.
 	Borrowed bool
 }
--- a/internal/placement/admit.go
+++ b/internal/placement/admit.go
@@ -47,8 +47,8 @@
 func (d *decider) neverFits(job *model.Job) string {
 	emptyZone := newZone(d.snapshot.Workers, true)
 	usable := emptyZone.capacity
-	if !job.Stoppable() {
-		usable = d.unstoppableCapacity(emptyZone, job)
+	if !job.Preemptible() {
+		usable = d.nonPreemptibleCapacity(emptyZone, job)
 	}
 	if emptyZone.fit(usable, nil, job.Shape) != nil {
 		return ""
@@ -56,10 +56,10 @@
 	return "no placement in the empty zone holds " + describeShape(job.Shape)
 }
 
-// unstoppableCapacity returns the accelerators by worker that a job that cannot be
+// nonPreemptibleCapacity returns the accelerators by worker that a job that cannot be
 // stopped may use in the empty zone: those of its account's guaranteed shapes and
 // those that belong to no shape.
-func (d *decider) unstoppableCapacity(emptyZone *zone, job *model.Job) []int {
+func (d *decider) nonPreemptibleCapacity(emptyZone *zone, job *model.Job) []int {
 	emptyPacking := emptyZone.pack(newHoldings(emptyZone, len(d.snapshot.Accounts)), d.guarantees)
 	usable := append([]int(nil), emptyZone.capacity...)
 	for account, cells := range emptyPacking.cells {
--- a/internal/placement/avoid_test.go
+++ b/internal/placement/avoid_test.go
@@ -34,7 +34,7 @@
 			}
 			s.Waiting = []model.Job{{
 				ID: "j", Account: "acme", Shape: api.Shape{Tasks: test.tasks, AcceleratorsPerTask: 8}, Idempotent: true,
-				SubmittedAt: s.Now, DeclaredRun: time.Minute, MayBorrow: true, Avoid: test.avoid,
+				SubmittedAt: s.Now, DeclaredRunTime: time.Minute, MayBorrow: true, Avoid: test.avoid,
 			}}
 			plan := Decide(s)
 			assert.Equal(t, len(plan.Placements), 1)
@@ -56,13 +56,13 @@
 	for _, id := range []string{"a", "b"} {
 		s.Workers = append(s.Workers, model.Worker{ID: id, Rack: "r", Zone: "z1", Accelerators: 8, Health: model.WorkerHealthy})
 		s.Gangs = append(s.Gangs, model.Gang{
-			Job:        model.Job{ID: "borrower-" + id, Account: "orbit", Shape: shape, Idempotent: true, MayBorrow: true, DeclaredRun: time.Hour},
+			Job:        model.Job{ID: "borrower-" + id, Account: "orbit", Shape: shape, Idempotent: true, MayBorrow: true, DeclaredRunTime: time.Hour},
 			State:      model.GangRunning,
 			Placements: []api.TaskPlacement{{Worker: id, Tasks: 1, Accelerators: 8}},
-			StartedAt:  s.Now, ExpectedEnd: s.Now.Add(time.Hour), Borrowed: true,
+			StartedAt:  s.Now, ExpectedCompletion: s.Now.Add(time.Hour), Borrowed: true,
 		})
 	}
-	s.Waiting = []model.Job{{ID: "j", Account: "acme", Shape: shape, Idempotent: true, SubmittedAt: s.Now, DeclaredRun: time.Minute, Urgent: true, Avoid: []string{"a"}}}
+	s.Waiting = []model.Job{{ID: "j", Account: "acme", Shape: shape, Idempotent: true, SubmittedAt: s.Now, DeclaredRunTime: time.Minute, Urgent: true, Avoid: []string{"a"}}}
 	plan := Decide(s)
 	assert.Equal(t, len(plan.Reclaims), 1)
 	assert.Equal(t, plan.Reclaims[0].JobID, "borrower-b")
--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -138,8 +138,8 @@
 	if h.stopping {
 		return d.snapshot.Now
 	}
-	if h.gang.ExpectedEnd.After(d.snapshot.Now) {
-		return h.gang.ExpectedEnd
+	if h.gang.ExpectedCompletion.After(d.snapshot.Now) {
+		return h.gang.ExpectedCompletion
 	}
 	return d.snapshot.Now.Add(d.snapshot.Now.Sub(h.gang.StartedAt) / overdueDivisor)
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -26,7 +26,7 @@
 	}
 	s = applyPlan(s, Decide(s))
 	for i := range s.Gangs {
-		s.Gangs[i].ExpectedEnd = s.Now.Add(time.Duration(1+random.IntN(7200)) * time.Second)
+		s.Gangs[i].ExpectedCompletion = s.Now.Add(time.Duration(1+random.IntN(7200)) * time.Second)
 	}
 	s.Waiting = nil
 	for i := range workers * 500 / 640 {
@@ -41,7 +41,7 @@
 	job.Shape = benchShape(random)
 	job.Idempotent = random.IntN(10) > 0
 	job.Checkpointable = job.Idempotent && random.IntN(2) > 0
-	job.DeclaredRun = time.Duration(60+random.IntN(7200)) * time.Second
+	job.DeclaredRunTime = time.Duration(60+random.IntN(7200)) * time.Second
 	job.SubmittedAt = testNow.Add(-time.Duration(random.IntN(3600)) * time.Second)
 	return job
 }
--- a/internal/placement/claim.go
+++ b/internal/placement/claim.go
@@ -40,7 +40,7 @@
 // guarantee. It runs after the claims of all accounts, because accelerators that it
 // took from their shapes would have to be reclaimed from it in the next round.
 func (d *decider) borrowUrgent(e *entry) {
-	if !e.job.Urgent || !e.job.Stoppable() || !e.job.MayBorrow || d.overLimit(e) || !d.withinGuarantee(e.account, e.job) {
+	if !e.job.Urgent || !e.job.Preemptible() || !e.job.MayBorrow || d.overLimit(e) || !d.withinGuarantee(e.account, e.job) {
 		return
 	}
 	if parts := d.fit(e, d.free, nil); parts != nil {
@@ -93,7 +93,7 @@
 func claimKey(e *entry) placementKey {
 	return placementKey{
 		account: e.account, avoidingJob: avoidingJob(e.job), shape: e.job.Shape, claim: true, urgent: e.job.Urgent,
-		stoppable: e.job.Stoppable() && e.job.MayBorrow,
+		preemptible: e.job.Preemptible() && e.job.MayBorrow,
 	}
 }
 
@@ -117,7 +117,7 @@
 func (d *decider) withinGuarantee(account int, job *model.Job) bool {
 	inside := d.fixedUse[account] - d.packed.outside[account]
 	if job.Urgent {
-		inside -= d.stoppableByUrgent[account]
+		inside -= d.preemptibleByUrgent[account]
 	}
 	return inside+job.Shape.Accelerators() <= d.guaranteed[account]
 }
@@ -183,7 +183,7 @@
 // canBorrow reports whether a job would start as a borrower on the given accelerators.
 // Urgent jobs do not borrow where they can claim.
 func (d *decider) canBorrow(e *entry, usable []int) bool {
-	return !e.job.Urgent && e.job.Stoppable() && e.job.MayBorrow && d.fit(e, usable, nil) != nil
+	return !e.job.Urgent && e.job.Preemptible() && e.job.MayBorrow && d.fit(e, usable, nil) != nil
 }
 
 // borrowOn places a job as a borrower on the given accelerators and reports whether it
@@ -207,7 +207,7 @@
 // Elsewhere such a job would occupy part of another whole shape of its account for as
 // long as it runs.
 func (d *decider) claimPartlyUsedShapes(e *entry) bool {
-	if (e.job.Stoppable() && !e.job.Urgent) || d.disabled.Reclaim {
+	if (e.job.Preemptible() && !e.job.Urgent) || d.disabled.Reclaim {
 		return false
 	}
 	parts := d.fit(e, d.packed.partlyUsedCells[e.account], sumVectors(d.free, d.releasing))
@@ -239,7 +239,7 @@
 		}
 		d.held.add(h.account, h.parts, -sign*h.gang.Job.Shape.AcceleratorsPerTask)
 		d.fixedUse[h.account] -= sign * h.gang.Job.Shape.Accelerators()
-		d.stoppableByUrgent[h.account] -= sign * h.gang.Job.Shape.Accelerators()
+		d.preemptibleByUrgent[h.account] -= sign * h.gang.Job.Shape.Accelerators()
 	}
 }
 
@@ -248,7 +248,7 @@
 	if h.stopping {
 		return false
 	}
-	return !h.fixed || (d.mayStopOwn && h.account == e.account && h.stoppableByUrgent())
+	return !h.fixed || (d.mayStopOwn && h.account == e.account && h.preemptibleByUrgent())
 }
 
 // isFree reports whether the job can start on the parts now.
@@ -338,7 +338,7 @@
 func (d *decider) ownShapes(account int) []int {
 	usable := slices.Clone(d.packed.cells[account])
 	for i := range d.holders {
-		if h := &d.holders[i]; h.account == account && h.stoppableByUrgent() {
+		if h := &d.holders[i]; h.account == account && h.preemptibleByUrgent() {
 			addParts(usable, h.parts, h.gang.Job.Shape.AcceleratorsPerTask)
 		}
 	}
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -20,10 +20,10 @@
 	stopping bool
 }
 
-// stoppableByUrgent reports whether urgent jobs of the same account may stop a fixed
+// preemptibleByUrgent reports whether urgent jobs of the same account may stop a fixed
 // gang.
-func (h *holder) stoppableByUrgent() bool {
-	return h.fixed && h.gang.Job.Stoppable() && !h.gang.Job.Urgent
+func (h *holder) preemptibleByUrgent() bool {
+	return h.fixed && h.gang.Job.Preemptible() && !h.gang.Job.Urgent
 }
 
 // decider is the state of one decision: what is held, what is free and what has been
@@ -45,9 +45,9 @@
 	// use counts the accelerators of each account, fixedUse those of its fixed gangs,
 	// guaranteed those of its guarantee.
 	use, fixedUse, guaranteed []int
-	// stoppableByUrgent is the part of fixedUse that urgent jobs of the account may
+	// preemptibleByUrgent is the part of fixedUse that urgent jobs of the account may
 	// stop.
-	stoppableByUrgent []int
+	preemptibleByUrgent []int
 	// onWorker lists, by worker, the indices of the holders that can be stopped.
 	onWorker [][]int
 	// placedReleases are the releases of the gangs that this decision places.
@@ -71,10 +71,10 @@
 	// avoidingJob is the ID of a job that avoids workers, see func avoidingJob.
 	avoidingJob string
 	shape       api.Shape
-	// stoppable jobs beyond a guarantee fail alike for every account.
-	stoppable bool
-	claim     bool
-	urgent    bool
+	// preemptible jobs beyond a guarantee fail alike for every account.
+	preemptible bool
+	claim       bool
+	urgent      bool
 	// outlasted is the number of reservations that the job outlasts, which are those
 	// with the earliest starts.
 	outlasted int
@@ -90,7 +90,7 @@
 	q := newQueue(d)
 	q.forEach(d.use, d.refuseExpired)
 	d.findHeads(q)
-	d.indexStoppable()
+	d.indexPreemptible()
 	d.reserve(q)
 	d.resumeKept(q)
 	q.forEach(d.use, d.claimUrgent)
@@ -107,18 +107,18 @@
 	z.firstFit = disabled.BestFit
 	d := &decider{
 		snapshot: s, disabled: disabled, zone: z,
-		accounts:          make(map[string]int, len(s.Accounts)),
-		guarantees:        guaranteesOf(s.Zone, s.Accounts),
-		held:              newHoldings(z, len(s.Accounts)),
-		free:              append([]int(nil), z.capacity...),
-		releasing:         z.zeroVector(),
-		use:               make([]int, len(s.Accounts)),
-		fixedUse:          make([]int, len(s.Accounts)),
-		stoppableByUrgent: make([]int, len(s.Accounts)),
-		guaranteed:        make([]int, len(s.Accounts)),
-		onWorker:          make([][]int, len(z.workers)),
-		heads:             make([]head, len(s.Accounts)),
-		failed:            make(map[placementKey]bool),
+		accounts:            make(map[string]int, len(s.Accounts)),
+		guarantees:          guaranteesOf(s.Zone, s.Accounts),
+		held:                newHoldings(z, len(s.Accounts)),
+		free:                append([]int(nil), z.capacity...),
+		releasing:           z.zeroVector(),
+		use:                 make([]int, len(s.Accounts)),
+		fixedUse:            make([]int, len(s.Accounts)),
+		preemptibleByUrgent: make([]int, len(s.Accounts)),
+		guaranteed:          make([]int, len(s.Accounts)),
+		onWorker:            make([][]int, len(z.workers)),
+		heads:               make([]head, len(s.Accounts)),
+		failed:              make(map[placementKey]bool),
 	}
 	for i := range s.Accounts {
 		d.accounts[s.Accounts[i].Name] = i
@@ -149,7 +149,7 @@
 	}
 	h := holder{gang: gang, account: account, parts: d.zone.partsOf(gang.Placements)}
 	h.stopping = gang.State == model.GangStopping
-	h.fixed = !h.stopping && (!gang.Borrowed || !gang.Job.Stoppable())
+	h.fixed = !h.stopping && (!gang.Borrowed || !gang.Job.Preemptible())
 	perTask := gang.Job.Shape.AcceleratorsPerTask
 	addParts(d.free, h.parts, -perTask)
 	if h.stopping {
@@ -164,17 +164,17 @@
 	if known && h.fixed {
 		d.fixedUse[account] += gang.Job.Shape.Accelerators()
 	}
-	if known && h.stoppableByUrgent() {
-		d.stoppableByUrgent[account] += gang.Job.Shape.Accelerators()
+	if known && h.preemptibleByUrgent() {
+		d.preemptibleByUrgent[account] += gang.Job.Shape.Accelerators()
 	}
 	d.holders = append(d.holders, h)
 }
 
-// indexStoppable fills onWorker with the gangs that can be stopped.
-func (d *decider) indexStoppable() {
+// indexPreemptible fills onWorker with the gangs that can be stopped.
+func (d *decider) indexPreemptible() {
 	for i := range d.holders {
 		h := &d.holders[i]
-		if h.stopping || !h.gang.Job.Stoppable() {
+		if h.stopping || !h.gang.Job.Preemptible() {
 			continue
 		}
 		for _, p := range h.parts {
@@ -190,9 +190,9 @@
 	if d.confinedToGuarantee(e) {
 		return
 	}
-	stoppable := e.job.Stoppable()
-	key := placementKey{account: e.account, avoidingJob: avoidingJob(e.job), shape: e.job.Shape, stoppable: stoppable, outlasted: d.countOutlasted(e)}
-	if stoppable {
+	preemptible := e.job.Preemptible()
+	key := placementKey{account: e.account, avoidingJob: avoidingJob(e.job), shape: e.job.Shape, preemptible: preemptible, outlasted: d.countOutlasted(e)}
+	if preemptible {
 		key.account = -1
 	}
 	if d.failed[key] || (d.disabled.Backfill && d.blocked) {
@@ -200,7 +200,7 @@
 	}
 	parts := d.fit(e, d.available(e), nil)
 	switch {
-	case parts != nil && stoppable:
+	case parts != nil && preemptible:
 		d.place(e, parts, true, "borrows free accelerators")
 	case parts != nil && d.addFixed(e.account, e.job, parts, false):
 		d.place(e, parts, false, "fits beside every guarantee")
@@ -213,7 +213,7 @@
 // confinedToGuarantee reports whether a job may not exceed the guarantee of its
 // account.
 func (d *decider) confinedToGuarantee(e *entry) bool {
-	return d.overLimit(e) || (e.job.Stoppable() && !e.job.MayBorrow)
+	return d.overLimit(e) || (e.job.Preemptible() && !e.job.MayBorrow)
 }
 
 // overLimit reports whether the job would take its account over its MaxAccelerators.
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -37,11 +37,11 @@
 	return model.ClientAccount{Name: name, Guarantees: map[string][]model.GuaranteedShape{testZone: {shape}}}
 }
 
-// testJob returns a stoppable job that may borrow.
+// testJob returns a preemptible job that may borrow.
 func testJob(id, account string, tasks, perTask int) model.Job {
 	return model.Job{
 		ID: id, Account: account, Kind: "k", Shape: api.Shape{Tasks: tasks, AcceleratorsPerTask: perTask, SameRack: true},
-		Idempotent: true, Checkpointable: true, SubmittedAt: testNow, DeclaredRun: time.Hour, MayBorrow: true,
+		Idempotent: true, Checkpointable: true, SubmittedAt: testNow, DeclaredRunTime: time.Hour, MayBorrow: true,
 	}
 }
 
@@ -70,7 +70,7 @@
 	for _, p := range plan.Placements {
 		gangs = append(gangs, model.Gang{
 			Job: jobs[p.JobID], State: model.GangRunning, Placements: p.Tasks, StartedAt: s.Now,
-			ExpectedEnd: p.ExpectedCompletion, Borrowed: p.Borrowed,
+			ExpectedCompletion: p.ExpectedCompletion, Borrowed: p.Borrowed,
 		})
 		delete(jobs, p.JobID)
 	}
@@ -124,7 +124,7 @@
 	assert.NilError(t, Recheck(completeStops(s), plan.Placements[0]))
 }
 
-func TestUnstoppableJobsBreakNoGuarantee(t *testing.T) {
+func TestNonPreemptibleJobsBreakNoGuarantee(t *testing.T) {
 	s := testSnapshot(2, 2, testAccount("a", 1, 2), testAccount("b", 1, 2))
 	for i := range 4 {
 		job := testJob(fmt.Sprintf("a%d", i), "a", 1, 8)
--- a/internal/placement/invariant_test.go
+++ b/internal/placement/invariant_test.go
@@ -38,7 +38,7 @@
 		if gang.Job.Shape.SameRack && len(spread) > 1 {
 			report("gang %s is spread over racks", gang.Job.ID)
 		}
-		if gang.Borrowed && !gang.Job.Stoppable() {
+		if gang.Borrowed && !gang.Job.Preemptible() {
 			report("gang %s borrows and cannot be stopped", gang.Job.ID)
 		}
 	}
@@ -77,7 +77,7 @@
 	placed := func(worker string, tasks int) api.TaskPlacement {
 		return api.TaskPlacement{Worker: worker, Tasks: tasks, Accelerators: 8 * tasks}
 	}
-	unstoppable := func(job model.Job) model.Job {
+	nonPreemptible := func(job model.Job) model.Job {
 		job.Idempotent, job.Checkpointable = false, false
 		return job
 	}
@@ -98,12 +98,12 @@
 			"worker r00-w00 holds 16 accelerators",
 		},
 		"a borrower that cannot be stopped": {
-			model.Gang{Job: unstoppable(testJob("j", "a", 1, 8)), Borrowed: true, Placements: []api.TaskPlacement{placed("r00-w00", 1)}},
+			model.Gang{Job: nonPreemptible(testJob("j", "a", 1, 8)), Borrowed: true, Placements: []api.TaskPlacement{placed("r00-w00", 1)}},
 			"gang j borrows and cannot be stopped",
 		},
 		"a gang that cannot be stopped on another account's shape": {
 			model.Gang{
-				Job:        unstoppable(testJob("j", "a", 3, 8)),
+				Job:        nonPreemptible(testJob("j", "a", 3, 8)),
 				Placements: []api.TaskPlacement{placed("r00-w00", 1), placed("r00-w01", 1), placed("r01-w00", 1)},
 			},
 			"1 shapes of account b cannot be reclaimed",
@@ -148,7 +148,7 @@
 		ID: id, Account: account.Name, Kind: "k", SubmittedAt: s.Now, MayBorrow: rapid.Bool().Draw(t, "may borrow"),
 		Idempotent: rapid.Bool().Draw(t, "idempotent"), Checkpointable: rapid.Bool().Draw(t, "checkpointable"),
 		Urgent: rapid.Bool().Draw(t, "urgent"), Priority: rapid.IntRange(0, 2).Draw(t, "priority"),
-		DeclaredRun: time.Duration(rapid.IntRange(1, 600).Draw(t, "run")) * time.Second,
+		DeclaredRunTime: time.Duration(rapid.IntRange(1, 600).Draw(t, "run")) * time.Second,
 		Shape: api.Shape{
 			Tasks:               rapid.IntRange(1, 6).Draw(t, "tasks"),
 			AcceleratorsPerTask: rapid.SampledFrom([]int{1, 2, 4, 8}).Draw(t, "per task"),
@@ -177,8 +177,8 @@
 	for _, r := range plan.Reclaims {
 		gang, claimant := gangs[r.JobID], jobs[r.ClaimantID]
 		own := claimant.Urgent && !gang.Job.Urgent && claimant.Account == gang.Job.Account
-		if (!gang.Borrowed && !own) || !gang.Job.Stoppable() || gang.State != model.GangRunning {
-			t.Fatalf("gang %s is stopped: borrowed %v, stoppable %v", r.JobID, gang.Borrowed, gang.Job.Stoppable())
+		if (!gang.Borrowed && !own) || !gang.Job.Preemptible() || gang.State != model.GangRunning {
+			t.Fatalf("gang %s is stopped: borrowed %v, preemptible %v", r.JobID, gang.Borrowed, gang.Job.Preemptible())
 		}
 		if r.Timeout <= 0 {
 			t.Fatalf("gang %s is stopped without a time limit", r.JobID)
--- a/internal/placement/kept_test.go
+++ b/internal/placement/kept_test.go
@@ -82,13 +82,13 @@
 	large := api.Shape{Tasks: 3, AcceleratorsPerTask: 4, SameRack: true}
 	spread := api.Shape{Tasks: 4, AcceleratorsPerTask: 2}
 	s := testSnapshot(3, 2, guarantee("claims", large, 1), guarantee("scattered", spread, 2), model.ClientAccount{Name: "other"})
-	running := func(account string, shape api.Shape, worker string, stoppable, borrowed bool) {
+	running := func(account string, shape api.Shape, worker string, preemptible, borrowed bool) {
 		job := testJob(fmt.Sprintf("j%d", len(s.Gangs)), account, 1, 1)
-		job.Shape, job.Idempotent, job.Checkpointable = shape, stoppable, stoppable
+		job.Shape, job.Idempotent, job.Checkpointable = shape, preemptible, preemptible
 		task := api.TaskPlacement{Worker: worker, Tasks: shape.Tasks, Accelerators: shape.Accelerators()}
 		s.Gangs = append(s.Gangs, model.Gang{
 			Job: job, State: model.GangRunning, Borrowed: borrowed, StartedAt: testNow,
-			Placements: []api.TaskPlacement{task}, ExpectedEnd: testNow.Add(time.Hour),
+			Placements: []api.TaskPlacement{task}, ExpectedCompletion: testNow.Add(time.Hour),
 		})
 	}
 	one := api.Shape{Tasks: 1, AcceleratorsPerTask: 1}
--- a/internal/placement/planted_test.go
+++ b/internal/placement/planted_test.go
@@ -16,7 +16,7 @@
 func TestViolationsCatchesPlantedFaults(t *testing.T) {
 	whole := api.Shape{Tasks: 2, AcceleratorsPerTask: 8, SameRack: true}
 	guaranteed := model.ClientAccount{Name: "a", Guarantees: map[string][]model.GuaranteedShape{testZone: {{Shape: whole, Count: 1}}}}
-	makeUnstoppable := func(job *model.Job) { job.Idempotent, job.Checkpointable = false, false }
+	makeNonPreemptible := func(job *model.Job) { job.Idempotent, job.Checkpointable = false, false }
 	cases := map[string]struct {
 		gang func(workers []model.Worker) model.Gang
 		want string
@@ -34,10 +34,10 @@
 			return runningGang(testJob("j", "b", 2, 8), time.Hour, true, placedOn(w[0].ID, 1, 8), placedOn(w[2].ID, 1, 8))
 		}, "is spread over racks"},
 		"a job that cannot be stopped borrows": {func(w []model.Worker) model.Gang {
-			return runningGang(modified(testJob("j", "b", 1, 8), makeUnstoppable), time.Hour, true, placedOn(w[0].ID, 1, 8))
+			return runningGang(modified(testJob("j", "b", 1, 8), makeNonPreemptible), time.Hour, true, placedOn(w[0].ID, 1, 8))
 		}, "cannot be stopped"},
 		"a guarantee is fragmented by a fixed gang": {func(w []model.Worker) model.Gang {
-			job := modified(testJob("j", "b", 2, 8), makeUnstoppable)
+			job := modified(testJob("j", "b", 2, 8), makeNonPreemptible)
 			job.Shape.SameRack = false
 			return runningGang(job, time.Hour, false, placedOn(w[0].ID, 1, 8), placedOn(w[2].ID, 1, 8))
 		}, "cannot be reclaimed"},
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -87,7 +87,7 @@
 
 // remainingRun returns the corrected run time that a job still needs.
 func remainingRun(s *Snapshot, job *model.Job) time.Duration {
-	runTime := s.RunTimes.Run(job.Account, job.Kind, job.DeclaredRun)
+	runTime := s.RunTimes.Run(job.Account, job.Kind, job.DeclaredRunTime)
 	return max(time.Second, runTime-job.Progress)
 }
 
--- a/internal/placement/recheck.go
+++ b/internal/placement/recheck.go
@@ -30,7 +30,7 @@
 			return api.NewError(api.KindNoCapacity, "worker %s lacks free accelerators", d.zone.workers[part.worker].ID)
 		}
 	}
-	if p.Borrowed && job.Stoppable() {
+	if p.Borrowed && job.Preemptible() {
 		return nil
 	}
 	if !d.addFixed(account, job, parts, false) {
--- a/internal/placement/scenario_test.go
+++ b/internal/placement/scenario_test.go
@@ -15,7 +15,7 @@
 func runningGang(job model.Job, end time.Duration, borrowed bool, tasks ...api.TaskPlacement) model.Gang {
 	return model.Gang{
 		Job: job, State: model.GangRunning, Placements: tasks, StartedAt: testNow.Add(-time.Minute),
-		ExpectedEnd: testNow.Add(end), Borrowed: borrowed,
+		ExpectedCompletion: testNow.Add(end), Borrowed: borrowed,
 	}
 }
 
@@ -70,8 +70,8 @@
 		"a short job precedes a long one": {
 			accounts: []model.ClientAccount{noGuarantee},
 			waiting: []model.Job{
-				modified(testJob("long", "c", 2, 8), func(j *model.Job) { j.DeclaredRun = 10 * time.Hour }),
-				modified(testJob("short", "c", 2, 8), func(j *model.Job) { j.DeclaredRun = time.Minute }),
+				modified(testJob("long", "c", 2, 8), func(j *model.Job) { j.DeclaredRunTime = 10 * time.Hour }),
+				modified(testJob("short", "c", 2, 8), func(j *model.Job) { j.DeclaredRunTime = time.Minute }),
 			},
 			want: []string{"short"},
 		},
@@ -88,8 +88,8 @@
 			gangs:    []model.Gang{runningGang(testJob("r", "c", 1, 8), time.Hour, true, placedOn("r00-w00", 1, 8))},
 			waiting: []model.Job{
 				modified(testJob("large", "c", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-9 * time.Hour) }),
-				modified(testJob("long", "c", 1, 8), func(j *model.Job) { j.DeclaredRun = 2 * time.Hour }),
-				modified(testJob("short", "c", 1, 8), func(j *model.Job) { j.DeclaredRun = 30 * time.Minute }),
+				modified(testJob("long", "c", 1, 8), func(j *model.Job) { j.DeclaredRunTime = 2 * time.Hour }),
+				modified(testJob("short", "c", 1, 8), func(j *model.Job) { j.DeclaredRunTime = 30 * time.Minute }),
 			},
 			want: []string{"short"},
 		},
@@ -98,8 +98,8 @@
 			gangs:    []model.Gang{runningGang(testJob("r", "a", 1, 4), time.Hour, false, placedOn("r00-w00", 1, 4))},
 			waiting: []model.Job{
 				modified(testJob("large", "a", 2, 8), func(j *model.Job) { j.SubmittedAt = testNow.Add(-9 * time.Hour) }),
-				modified(testJob("long", "a", 1, 4), func(j *model.Job) { j.DeclaredRun, j.MayBorrow = 2*time.Hour, false }),
-				modified(testJob("short", "a", 1, 4), func(j *model.Job) { j.DeclaredRun, j.MayBorrow = time.Minute, false }),
+				modified(testJob("long", "a", 1, 4), func(j *model.Job) { j.DeclaredRunTime, j.MayBorrow = 2*time.Hour, false }),
+				modified(testJob("short", "a", 1, 4), func(j *model.Job) { j.DeclaredRunTime, j.MayBorrow = time.Minute, false }),
 			},
 			want: []string{"short"},
 		},
@@ -299,9 +299,9 @@
 // gang.
 func TestUrgentJobBorrowsReservedAccelerators(t *testing.T) {
 	s := testSnapshot(1, 4, testAccount("a", 2, 1), model.ClientAccount{Name: "c"})
-	urgent := func(id string, tasks, perTask int, stoppable bool) model.Job {
+	urgent := func(id string, tasks, perTask int, preemptible bool) model.Job {
 		return modified(testJob(id, "a", tasks, perTask), func(j *model.Job) {
-			j.Urgent, j.Idempotent, j.Checkpointable = true, stoppable, stoppable
+			j.Urgent, j.Idempotent, j.Checkpointable = true, preemptible, preemptible
 		})
 	}
 	s.Gangs = []model.Gang{
--- a/internal/placement/zone.go
+++ b/internal/placement/zone.go
@@ -44,7 +44,7 @@
 	for i := range z.workers {
 		w := &z.workers[i]
 		z.index[w.ID] = i
-		if includeUnavailable || w.Takes() {
+		if includeUnavailable || w.AcceptsTasks() {
 			z.capacity[i] = w.Accelerators
 		}
 		if i == 0 || w.Rack != z.workers[i-1].Rack {
--- a/internal/placer/core.go
+++ b/internal/placer/core.go
@@ -79,13 +79,13 @@
 
 // entry is one job in the placer's memory.
 type entry struct {
-	record      jobstore.Record
-	state       chart.State
-	ref         api.GangRef
-	parts       []part
-	reports     map[string]partReport
-	borrowed    bool
-	expectedEnd time.Time
+	record             jobstore.Record
+	state              chart.State
+	ref                api.GangRef
+	parts              []part
+	reports            map[string]partReport
+	borrowed           bool
+	expectedCompletion time.Time
 	// notBefore is the earliest time at which a waiting job may be placed again.
 	notBefore time.Time
 	// mayHaveStarted reports whether any part of the current attempt may have
--- a/internal/placer/execute.go
+++ b/internal/placer/execute.go
@@ -97,7 +97,7 @@
 		if err != nil && result.err == nil {
 			result.worker, result.err = a.parts[i].worker, err
 		}
-		if err == nil || !worker.Refused(err) {
+		if err == nil || !worker.NotExecuted(err) {
 			result.mayHaveStarted = true
 		}
 	}
--- a/internal/placer/gangs.go
+++ b/internal/placer/gangs.go
@@ -23,7 +23,7 @@
 	c.setParts(e, parts)
 	e.reports = make(map[string]partReport)
 	e.borrowed = p.Borrowed
-	e.expectedEnd = p.ExpectedCompletion
+	e.expectedCompletion = p.ExpectedCompletion
 	e.mayHaveStarted, e.stopInFlight, e.checkpointed = false, false, false
 	e.leasesExpireAt = time.Time{}
 	c.emit(reserveAction{ref: e.ref, account: e.record.Submission.Account, parts: parts, ttl: c.workerLease})
--- a/internal/placer/recover.go
+++ b/internal/placer/recover.go
@@ -131,7 +131,7 @@
 	c.setParts(e, parts)
 	e.borrowed = c.wasBorrowed(e)
 	c.markUnsaved(e)
-	e.expectedEnd = c.estimateEnd(e, now)
+	e.expectedCompletion = c.estimateEnd(e, now)
 	c.resumeAdopted(e, tasks == record.Submission.Shape.Tasks, now)
 }
 
@@ -143,7 +143,7 @@
 	if e.record.Phase == jobstore.PhaseStarted && e.record.Attempt == e.ref.Attempt {
 		return e.record.Borrowed
 	}
-	return e.job().Stoppable()
+	return e.job().Preemptible()
 }
 
 // estimateEnd estimates the end of an adopted gang. A gang whose start was not
@@ -154,7 +154,7 @@
 		started = now
 	}
 	job := e.job()
-	return started.Add(c.runTimes.Run(job.Account, job.Kind, job.DeclaredRun) - job.Progress)
+	return started.Add(c.runTimes.Run(job.Account, job.Kind, job.DeclaredRunTime) - job.Progress)
 }
 
 // resumeAdopted sets the state of an adopted gang. A complete gang that runs
--- a/internal/placer/reports.go
+++ b/internal/placer/reports.go
@@ -51,7 +51,7 @@
 func (c *core) unreportedWorkers() int {
 	count := 0
 	for _, w := range c.workers {
-		if w.Accelerators == 0 && w.Takes() {
+		if w.Accelerators == 0 && w.AcceptsTasks() {
 			count++
 		}
 	}
--- a/internal/placer/round.go
+++ b/internal/placer/round.go
@@ -71,7 +71,7 @@
 	job := model.Job{
 		ID: e.record.ID, Account: submission.Account, Kind: submission.Kind, Shape: submission.Shape,
 		Idempotent: submission.Idempotent, Checkpointable: submission.Checkpointable, Urgent: submission.Urgent,
-		SubmittedAt: e.record.SubmittedAt, DeclaredRun: seconds(submission.DeclaredRunS),
+		SubmittedAt: e.record.SubmittedAt, DeclaredRunTime: seconds(submission.DeclaredRunS),
 		Progress: seconds(e.record.ProgressS), Priority: e.record.Priority, MayBorrow: e.record.Borrow,
 		MaxWait: time.Duration(e.record.MaxWaitMS) * time.Millisecond, Attempt: e.record.Attempt,
 		Avoid: e.record.FailedOn,
@@ -89,7 +89,7 @@
 func (e *entry) gang() model.Gang {
 	gang := model.Gang{
 		Job: e.job(), State: model.GangState(e.state), StartedAt: e.record.StartedAt,
-		ExpectedEnd: e.expectedEnd, Borrowed: e.borrowed,
+		ExpectedCompletion: e.expectedCompletion, Borrowed: e.borrowed,
 	}
 	if e.state == stCancelling {
 		gang.State = model.GangStopping
@@ -124,7 +124,7 @@
 		}
 		job := e.job()
 		covered[job.Account] -= job.Shape.Accelerators()
-		if covered[job.Account] < 0 && job.Stoppable() {
+		if covered[job.Account] < 0 && job.Preemptible() {
 			covered[job.Account] += job.Shape.Accelerators()
 			e.borrowed = true
 			e.record.Borrowed = true
@@ -206,7 +206,7 @@
 // left by the placements before it. A wrong placement would keep another account
 // from its guarantee until the gang ends.
 func (c *core) recheck(e *entry, p placement.Placement, now time.Time) error {
-	if e.job().Stoppable() {
+	if e.job().Preemptible() {
 		return nil
 	}
 	return placement.Recheck(c.snapshot(now), p)
@@ -226,7 +226,7 @@
 		answer.RetryAfterS = api.DefaultRetryAfterS(r.ErrorKind)
 		return answer
 	}
-	answer.EstimatedFinish = timeOrNil(e.expectedEnd)
+	answer.EstimatedFinish = timeOrNil(e.expectedCompletion)
 	for _, p := range e.parts {
 		answer.Placements = append(answer.Placements, p.task)
 	}
@@ -248,7 +248,7 @@
 	}
 	capacity, wanted := 0, 0
 	for _, w := range c.workers {
-		if w.Takes() {
+		if w.AcceptsTasks() {
 			capacity += w.Accelerators
 		}
 	}
@@ -267,7 +267,7 @@
 	free := make(map[string]int)
 	for _, w := range s.Workers {
 		zone.Workers++
-		if !w.Takes() {
+		if !w.AcceptsTasks() {
 			zone.WorkersSick++
 			continue
 		}
--- a/internal/placer/watch.go
+++ b/internal/placer/watch.go
@@ -58,7 +58,7 @@
 // a worker with a gang that is about to end. The interval of other workers is
 // three times as long.
 func (c *core) renewalInterval(w *workerState, endingSoon bool) time.Duration {
-	if endingSoon || !w.Takes() {
+	if endingSoon || !w.AcceptsTasks() {
 		return c.workerLease / frequentRenewalDivisor
 	}
 	return c.workerLease / steadyRenewalDivisor
@@ -68,8 +68,8 @@
 // renewal. A gang that is overdue by more than a tenth of its run time does not
 // count: its declared run time was wrong.
 func (c *core) endsSoon(e *entry, now time.Time) bool {
-	overdue := e.expectedEnd.Sub(e.record.StartedAt) / overdueDivisor
-	return now.After(e.expectedEnd.Add(-c.workerLease/steadyRenewalDivisor)) && now.Before(e.expectedEnd.Add(overdue+c.workerLease/steadyRenewalDivisor))
+	overdue := e.expectedCompletion.Sub(e.record.StartedAt) / overdueDivisor
+	return now.After(e.expectedCompletion.Add(-c.workerLease/steadyRenewalDivisor)) && now.Before(e.expectedCompletion.Add(overdue+c.workerLease/steadyRenewalDivisor))
 }
 
 // renewalLoop renews the leases of all gangs and posts the workers' reports.
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -111,9 +111,9 @@
 	return api.NewError(failure.Kind, "worker %s: %s", addr, failure.Message)
 }
 
-// Refused reports whether err shows that the worker definitely did not carry out
+// NotExecuted reports whether err shows that the worker definitely did not carry out
 // the call: the worker refused it, or the call was never sent.
-func Refused(err error) bool {
+func NotExecuted(err error) bool {
 	switch api.KindOf(err) {
 	case api.KindNotReady, api.KindStaleEpoch, api.KindNoCapacity, api.KindConflict, api.KindNotFound, api.KindInvalidField:
 		return true
