--- a/cmd/corianderbank/main.go
+++ b/cmd/corianderbank/main.go
@@ -11,5 +11,5 @@
 )
 
 func main() {
-	os.Exit(cli.Run(os.Args[1:], os.Stdout, os.Stderr, cli.Serve{Zone: serve.Run, Deployment: platform.Run, Stored: platform.Decoder{}.Configuration}))
+	os.Exit(cli.Run(os.Args[1:], os.Stdout, os.Stderr, cli.Functions{ServeZone: serve.Run, ServeDeployment: platform.Run, DecodeStored: platform.Decoder{}.Configuration}))
 }
--- a/cmd/measure/experiment.go
+++ b/cmd/measure/experiment.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	drawn, err := emulator.Drawn(userDeployments, e.drawnCount, e.seed)
+	drawn, err := emulator.RandomDeployments(userDeployments, e.drawnCount, e.seed)
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 		days, err = emulator.Days()
 	}
 	deployments := append(append(userDeployments, fromFiles...), drawn...)
-	return &emulator.Plan{Deployments: deployments, Days: days, Plays: e.simulations, Seed: e.seed}, err
+	return &emulator.Plan{Deployments: deployments, Days: days, Simulations: e.simulations, Seed: e.seed}, err
 }
 
 func readFiles[T any](names []string, read func(name string, data []byte) (T, error)) ([]T, error) {
@@ -160,10 +160,10 @@
 		if deployment == "" {
 			deployment = "all"
 		}
-		if d.Certain() {
+		if d.Significant() {
 			mark = "*"
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%s\n", d.Variant, deployment, d.Plays, d.Base, d.Mean, d.Change, d.Interval, mark)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%s\n", d.Variant, deployment, d.Simulations, d.BaseMean, d.VariantMean, d.Change, d.HalfWidth, mark)
 	}
 	return w.Flush()
 }
@@ -175,7 +175,7 @@
 		if d.Deployment == "" {
 			changes.Names = append(changes.Names, d.Variant)
 			changes.Values = append(changes.Values, d.Change)
-			changes.Intervals = append(changes.Intervals, d.Interval)
+			changes.Intervals = append(changes.Intervals, d.HalfWidth)
 		}
 	}
 	return changes.WriteSVG(path)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -53,21 +53,21 @@
 	usagePrinted bool
 }
 
-// Serve holds the functions that run an instance with a settings file until it is
+// Functions holds the functions that run an instance with a settings file until it is
 // stopped, and the decoder of stored configurations.
-type Serve struct {
-	// Zone runs an entry instance, which schedules its availability zone.
-	Zone func(settingsFile string) error
-	// Deployment runs an instance that schedules a whole deployment on the platform.
-	Deployment func(settingsFile string) error
-	// Stored decodes a configuration as operators store it on the platform.
-	Stored func(data []byte) (*workload.Configuration, error)
+type Functions struct {
+	// ServeZone runs an entry instance, which schedules its availability zone.
+	ServeZone func(settingsFile string) error
+	// ServeDeployment runs an instance that schedules a whole deployment on the platform.
+	ServeDeployment func(settingsFile string) error
+	// DecodeStored decodes a configuration as operators store it on the platform.
+	DecodeStored func(data []byte) (*workload.Configuration, error)
 }
 
 // Run parses args, which exclude the program's name, runs the command and returns its
-// exit code. Commands that run an instance call serve.
-func Run(args []string, stdout, stderr io.Writer, serve Serve) int {
-	inv := newInvocation(stdout, stderr, serve)
+// exit code. Commands that run an instance call one of functions.
+func Run(args []string, stdout, stderr io.Writer, functions Functions) int {
+	inv := newInvocation(stdout, stderr, functions)
 	name, err := inv.app.Parse(args)
 	if inv.usagePrinted && slices.ContainsFunc(args, isHelpArg) {
 		return ExitDone
@@ -89,10 +89,10 @@
 // App returns the command line without running it, for tests that compare it with the
 // documentation.
 func App() *kingpin.Application {
-	return newInvocation(io.Discard, io.Discard, Serve{}).app
+	return newInvocation(io.Discard, io.Discard, Functions{}).app
 }
 
-func newInvocation(stdout, stderr io.Writer, serve Serve) *invocation {
+func newInvocation(stdout, stderr io.Writer, functions Functions) *invocation {
 	inv := &invocation{
 		app:    kingpin.New("corianderbank", "Schedules multi-accelerator jobs and requests under client account guarantees."),
 		stdout: stdout, stderr: stderr, commands: make(map[string]func() error),
@@ -103,11 +103,11 @@
 	inv.app.Flag("output", "Output for people (text) or programs (json).").Default(outputText).EnumVar(&inv.output, outputText, outputJSON)
 	inv.app.Flag("addr", "IP number and port of an entry instance.").Default(DefaultAddr).Envar("CORIANDERBANK_ADDR").StringVar(&inv.addr)
 	inv.app.Flag("timeout", "Time limit of a call to the entry instance.").Default(defaultTimeout.String()).DurationVar(&inv.timeout)
-	inv.addServe(serve)
+	inv.addServe(functions)
 	inv.addSettings()
 	inv.addRules()
 	inv.addConfig()
-	inv.addStored(serve)
+	inv.addStored(functions)
 	inv.addJob()
 	inv.addStatus()
 	inv.addLosses()
@@ -120,13 +120,13 @@
 	inv.commands[command.FullCommand()] = run
 }
 
-func (inv *invocation) addServe(serve Serve) {
+func (inv *invocation) addServe(functions Functions) {
 	zone := inv.app.Command("serve", "Run an entry instance until SIGTERM.")
 	zoneFile := zone.Flag("settings", "Settings file.").Required().PlaceHolder("FILE").String()
-	inv.addAction(zone, func() error { return serve.Zone(*zoneFile) })
+	inv.addAction(zone, func() error { return functions.ServeZone(*zoneFile) })
 	deployment := inv.app.Command("deployment", "Run an instance of a deployment-wide scheduler on the platform until SIGTERM.")
 	deploymentFile := deployment.Flag("settings", "Settings file.").Required().PlaceHolder("FILE").String()
-	inv.addAction(deployment, func() error { return serve.Deployment(*deploymentFile) })
+	inv.addAction(deployment, func() error { return functions.ServeDeployment(*deploymentFile) })
 }
 
 // print writes value as JSON, or as the text that the function renders.
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -38,7 +38,7 @@
 	server := httptest.NewServer(e)
 	defer server.Close()
 	var out, errs bytes.Buffer
-	code = Run(append([]string{"--addr", strings.TrimPrefix(server.URL, "http://")}, args...), &out, &errs, Serve{})
+	code = Run(append([]string{"--addr", strings.TrimPrefix(server.URL, "http://")}, args...), &out, &errs, Functions{})
 	return code, out.String(), errs.String()
 }
 
@@ -125,13 +125,13 @@
 
 func TestNoAnswerIsAFailure(t *testing.T) {
 	var out, errs bytes.Buffer
-	assert.Equal(t, Run([]string{"--addr", "127.0.0.1:1", "--timeout", "2s", "status"}, &out, &errs, Serve{}), ExitFailed)
+	assert.Equal(t, Run([]string{"--addr", "127.0.0.1:1", "--timeout", "2s", "status"}, &out, &errs, Functions{}), ExitFailed)
 	assert.Assert(t, strings.Contains(errs.String(), "no answer from 127.0.0.1:1"))
 }
 
 func TestServeIsCalledWithTheSettingsFile(t *testing.T) {
 	called := ""
-	code := Run([]string{"serve", "--settings", "s.json"}, io.Discard, io.Discard, Serve{Zone: func(name string) error {
+	code := Run([]string{"serve", "--settings", "s.json"}, io.Discard, io.Discard, Functions{ServeZone: func(name string) error {
 		called = name
 		return nil
 	}})
--- a/internal/cli/stored.go
+++ b/internal/cli/stored.go
@@ -39,7 +39,7 @@
 	Accelerators int64  `json:"guaranteed_accelerators"`
 }
 
-func (inv *invocation) addStored(serve Serve) {
+func (inv *invocation) addStored(functions Functions) {
 	command := inv.app.GetCommand("config").Command("stored", "Explain a configuration as operators store it on the platform, without a network.")
 	file := command.Arg("file", "The stored document.").Required().String()
 	inv.addAction(command, func() error {
@@ -47,7 +47,7 @@
 		if err != nil {
 			return err
 		}
-		configuration, err := serve.Stored(data)
+		configuration, err := functions.DecodeStored(data)
 		if err != nil {
 			return api.NewError(api.KindConfigInvalid, "%s: %v", *file, err)
 		}
--- a/internal/cli/stored_test.go
+++ b/internal/cli/stored_test.go
@@ -16,7 +16,7 @@
 // runWithDecoder runs the command line with a decoder of stored configurations.
 func runWithDecoder(decode func([]byte) (*workload.Configuration, error), args ...string) (int, string, string) {
 	var out, errs bytes.Buffer
-	code := Run(args, &out, &errs, Serve{Stored: decode})
+	code := Run(args, &out, &errs, Functions{DecodeStored: decode})
 	return code, out.String(), errs.String()
 }
 
--- a/internal/config/manager.go
+++ b/internal/config/manager.go
@@ -97,9 +97,9 @@
 	return time.Since(current.activatedAt), confirmed
 }
 
-// Highest returns the version in force with the bytes of its document, to be sent to
-// peers; version zero means that there is none.
-func (m *Manager) Highest() (number int64, digest string, document []byte) {
+// CurrentDocument returns the version in force with the bytes of its document, to be
+// sent to peers; version zero means that there is none.
+func (m *Manager) CurrentDocument() (number int64, digest string, document []byte) {
 	current := m.current.Load()
 	if current == nil {
 		return 0, "", nil
--- a/internal/config/manager_test.go
+++ b/internal/config/manager_test.go
@@ -32,7 +32,7 @@
 	}{
 		"the next version is accepted": {expect: 1, data: document("b")},
 		"a conflict carries the version in force": {expect: 0, data: document("b"), kind: api.KindConfigConflict, check: func(t *testing.T, err error) {
-			assert.Equal(t, Winner(err), int64(1))
+			assert.Equal(t, ConflictingVersion(err), int64(1))
 		}},
 		"a document with errors is refused with all problems": {
 			expect: 1, data: []byte(`{"client_accounts": [{"name": "a"}, {"name": "a"}], "rules": [{"name": "r", "when": {"urgent": true}, "then": {}}]}`),
@@ -98,7 +98,7 @@
 		assert.Assert(t, (err == nil) == (offer.kind == "") && (err == nil || api.IsKind(err, offer.kind)), "%v", err)
 		assert.Equal(t, manager.Version(), offer.after)
 	}
-	version, digest, data := manager.Highest()
+	version, digest, data := manager.CurrentDocument()
 	assert.Equal(t, version, int64(5))
 	assert.Equal(t, digest, digestOf(data))
 	assert.Equal(t, manager.Current().Document.Accounts[0].Name, "e")
--- a/internal/config/publish.go
+++ b/internal/config/publish.go
@@ -158,8 +158,9 @@
 	return api.NewError(api.KindConfigConflict, "%w", &ConflictError{Version: number})
 }
 
-// Winner returns the version in force that an error of KindConfigConflict carries.
-func Winner(err error) int64 {
+// ConflictingVersion returns the version in force that an error of KindConfigConflict
+// carries.
+func ConflictingVersion(err error) int64 {
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
 		return conflict.Version
--- a/internal/emulator/draw.go
+++ b/internal/emulator/draw.go
@@ -7,11 +7,11 @@
 	"slices"
 )
 
-// Drawn returns deployments drawn at random around those of the users, with other
-// speeds, stop times, racks, job mixes, objectives and guarantees. The same seed
+// RandomDeployments returns deployments drawn at random around those of the users, with
+// other speeds, stop times, racks, job mixes, objectives and guarantees. The same seed
 // returns the same deployments. They reveal decisions that are overfitted to the users'
 // own deployments.
-func Drawn(base []Deployment, count int, seed uint64) ([]Deployment, error) {
+func RandomDeployments(base []Deployment, count int, seed uint64) ([]Deployment, error) {
 	random := rand.New(rand.NewPCG(seed, 31))
 	var list []Deployment
 	for n := range count {
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -18,12 +18,12 @@
 	Tuning dispatch.Tuning
 }
 
-// Plan describes an experiment: every day is simulated Plays times on every deployment,
-// with different seeds derived from Seed.
+// Plan describes an experiment: every day is simulated on every deployment as often as
+// Simulations states, with different seeds derived from Seed.
 type Plan struct {
 	Deployments []Deployment
 	Days        []Day
-	Plays       int
+	Simulations int
 	Seed        uint64
 }
 
@@ -32,15 +32,15 @@
 	// Deployment is empty for the result over all deployments.
 	Deployment string
 	Variant    string
-	// Plays is the number of simulations of each of the two variants.
-	Plays int
-	// Base and Mean are the mean values of the base and the variant, Change is their
-	// difference and Interval half the width of its confidence interval.
-	Base, Mean, Change, Interval float64
+	// Simulations is the number of simulations of each of the two variants.
+	Simulations int
+	// BaseMean and VariantMean are the mean values of the base and the variant, Change is
+	// their difference and HalfWidth half the width of its confidence interval.
+	BaseMean, VariantMean, Change, HalfWidth float64
 }
 
-// Certain reports whether the confidence interval excludes zero.
-func (d Difference) Certain() bool { return math.Abs(d.Change) > d.Interval }
+// Significant reports whether the confidence interval excludes zero.
+func (d Difference) Significant() bool { return math.Abs(d.Change) > d.HalfWidth }
 
 // Compare simulates the base and the variants with the same seeds and returns the
 // differences of each variant over all deployments and on each deployment.
@@ -66,10 +66,10 @@
 	for v := range variants {
 		values[v] = make([][]float64, len(p.Deployments))
 		for d := range p.Deployments {
-			values[v][d] = make([]float64, len(p.Days)*p.Plays)
+			values[v][d] = make([]float64, len(p.Days)*p.Simulations)
 			for i := range values[v][d] {
 				group.Submit(func() {
-					day := &p.Days[i/p.Plays]
+					day := &p.Days[i/p.Simulations]
 					values[v][d][i] = simulate(&p.Deployments[d], day, variants[v].Tuning, p.Seed+uint64(i)).value
 				})
 			}
@@ -95,20 +95,20 @@
 const normalQuantile = 1.96
 
 func compareValues(variant, deployment string, base, other []float64) Difference {
-	d := Difference{Deployment: deployment, Variant: variant, Plays: len(base)}
+	d := Difference{Deployment: deployment, Variant: variant, Simulations: len(base)}
 	n := float64(len(base))
 	for i := range base {
-		d.Base += base[i] / n
-		d.Mean += other[i] / n
+		d.BaseMean += base[i] / n
+		d.VariantMean += other[i] / n
 	}
-	d.Change = d.Mean - d.Base
+	d.Change = d.VariantMean - d.BaseMean
 	squares := 0.0
 	for i := range base {
 		deviation := other[i] - base[i] - d.Change
 		squares += deviation * deviation
 	}
 	if n > 1 {
-		d.Interval = normalQuantile * math.Sqrt(squares/(n-1)/n)
+		d.HalfWidth = normalQuantile * math.Sqrt(squares/(n-1)/n)
 	}
 	return d
 }
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -31,7 +31,7 @@
 	}
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	ctx, cancel := context.WithTimeout(r.Context(), settings.Duration(submission.DeadlineMS))
+	ctx, cancel := context.WithTimeout(r.Context(), settings.Milliseconds(submission.DeadlineMS))
 	defer cancel()
 	s.writeRequest(w, s.opts.Requests.Execute(ctx, id, submission))
 }
@@ -186,7 +186,7 @@
 	if err != nil || ms < 0 || ms > maxJobWait.Milliseconds() {
 		return 0, api.NewError(api.KindInvalidField, "wait_ms must be 0 to %d", maxJobWait.Milliseconds())
 	}
-	return settings.Duration(ms), nil
+	return settings.Milliseconds(ms), nil
 }
 
 func (s *Server) cancelJob(w http.ResponseWriter, r *http.Request) {
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -32,12 +32,12 @@
 func writeOperatorError(w http.ResponseWriter, err error) {
 	setRetryAfter(w, api.RetryAfterS(err))
 	writeJSON(w, api.AnswerFor(api.KindOf(err)).Status, api.OperatorError{
-		ErrorBody: api.BodyOf(err), Problems: config.Problems(err), Version: config.Winner(err),
+		ErrorBody: api.BodyOf(err), Problems: config.Problems(err), Version: config.ConflictingVersion(err),
 	})
 }
 
 func (s *Server) showConfig(w http.ResponseWriter, _ *http.Request) {
-	number, digest, document := s.opts.Config.Highest()
+	number, digest, document := s.opts.Config.CurrentDocument()
 	if number == 0 {
 		writeError(w, api.NewError(api.KindNotFound, "no configuration has been accepted yet"))
 		return
@@ -61,7 +61,7 @@
 func (s *Server) configStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 	defer cancel()
-	number, _, _ := s.opts.Config.Highest()
+	number, _, _ := s.opts.Config.CurrentDocument()
 	status := api.ConfigStatus{Head: number, Everywhere: true, Instances: s.opts.Fleet.Status(ctx).Instances}
 	for _, instance := range status.Instances {
 		status.Head = max(status.Head, instance.ConfigVersion)
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -41,7 +41,7 @@
 }
 
 func (h peerHandler) handleConfigQuery(query *peerpb.ConfigQuery) *peerpb.Response {
-	number, digest, document := h.config.Highest()
+	number, digest, document := h.config.CurrentDocument()
 	version := &peerpb.ConfigVersion{}
 	if number > query.GetHave() {
 		version = &peerpb.ConfigVersion{Version: number, Digest: digest, Document: config.Pack(document)}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -93,7 +93,7 @@
 		Self:  model.Instance{ID: s.Instance, Addr: s.Listen, PeerAddr: s.PeerListen, Zone: s.AvailabilityZone, Incarnation: incarnation},
 		Seeds: s.Peers, Lister: client, Caller: i.node, Local: i.localState, Logger: logger,
 		Prober:       membership.NewHTTPProber(),
-		PeerInterval: settings.Duration(s.Timing.PeerIntervalMS), ListInterval: settings.Duration(s.Timing.ListPollMS),
+		PeerInterval: settings.Milliseconds(s.Timing.PeerIntervalMS), ListInterval: settings.Milliseconds(s.Timing.ListPollMS),
 	})
 	i.buildExecution(incarnation)
 	i.server = entry.New(entry.Options{
@@ -110,11 +110,11 @@
 	i.placer = placer.New(placer.Options{
 		Zone: s.AvailabilityZone, Instance: s.Instance, Config: i.config, Fleet: i.fleet, Jobs: store,
 		Holder:  fmt.Sprintf("%s/%d", s.Instance, i.fleet.Self().Incarnation),
-		Leases:  lease.New(i.platform, settings.Duration(s.Timing.PlacerLeaseMS)),
+		Leases:  lease.New(i.platform, settings.Milliseconds(s.Timing.PlacerLeaseMS)),
 		Workers: worker.NewHTTP(), RunTimes: estimate.NewHistory(), Health: quarantine.NewTracker(),
 		Recorder: i.recorder, Logger: i.logger,
-		PlacerLease: settings.Duration(s.Timing.PlacerLeaseMS), WorkerLease: settings.Duration(s.Timing.WorkerLeaseMS),
-		Interval: settings.Duration(s.Timing.PlaceIntervalMS), MaxJobs: s.Limits.MaxJobs, MayPlace: i.mayPlace,
+		PlacerLease: settings.Milliseconds(s.Timing.PlacerLeaseMS), WorkerLease: settings.Milliseconds(s.Timing.WorkerLeaseMS),
+		Interval: settings.Milliseconds(s.Timing.PlaceIntervalMS), MaxJobs: s.Limits.MaxJobs, MayPlace: i.mayPlace,
 	})
 	i.jobs = &jobs.Router{
 		Zone: s.AvailabilityZone, Placer: i.placer, Peers: zonePeers{i}, Caller: i.node, Store: store, Evaluate: i.evaluateJob,
@@ -147,7 +147,7 @@
 	defer cancel()
 	var loops sync.WaitGroup
 	loops.Go(func() { i.fleet.Run(ctx) })
-	loops.Go(func() { i.config.Run(ctx, settings.Duration(i.settings.Timing.ConfigPollMS)) })
+	loops.Go(func() { i.config.Run(ctx, settings.Milliseconds(i.settings.Timing.ConfigPollMS)) })
 	loops.Go(func() { i.syncConfigFromPeers(ctx) })
 	loops.Go(func() { i.placer.Run(ctx) })
 	loops.Go(func() { i.dispatch.Run(ctx) })
@@ -176,7 +176,7 @@
 func (i *instance) newLifecycle() *lifecycle.Lifecycle {
 	return lifecycle.New(lifecycle.Options{
 		Logger:      i.logger,
-		StopTimeout: settings.Duration(i.settings.Timing.StopWithinMS),
+		StopTimeout: settings.Milliseconds(i.settings.Timing.StopWithinMS),
 		Announce:    i.fleet.AnnounceLeaving,
 		HandOver: func(ctx context.Context) error {
 			i.placer.Leave(ctx)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Duration converts milliseconds to a time.Duration.
-func Duration(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
+// Milliseconds converts a number of milliseconds to a time.Duration.
+func Milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 //go:embed schema.json
 var schemaJSON []byte
--- a/test/invariants/configuration_test.go
+++ b/test/invariants/configuration_test.go
@@ -189,7 +189,7 @@
 func (w *configWorld) gossip(ctx context.Context, node *configNode) {
 	for ctx.Err() == nil {
 		for _, peer := range w.reachablePeers(node) {
-			version, digest, document := peer.manager.Highest()
+			version, digest, document := peer.manager.CurrentDocument()
 			if version > 0 && node.awaitAlive() {
 				_, err := node.manager.Offer(version, digest, document)
 				w.reportIf(err != nil, "offering version %d failed: %v", version, err)
@@ -216,7 +216,7 @@
 // observe checks that the node's version never decreases and that a version is
 // the same document everywhere.
 func (w *configWorld) observe(node *configNode) {
-	version, digest, _ := node.manager.Highest()
+	version, digest, _ := node.manager.CurrentDocument()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if version < node.highestVersion {
