--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -104,7 +104,7 @@
 		}
 		config := standin.WorkerConfig{ID: m.id, Zone: m.zone, Rack: *rack, Incarnation: time.Now().UnixMilli(), Accelerators: *accelerators}
 		announcer := m.newAnnouncer(api.RoleWorker, listener.Addr(), config.Incarnation, logger)
-		worker := standin.NewWorker(config, standin.NewObjectCheckpoints(m.platform), announcer.SetLeaving)
+		worker := standin.NewWorker(config, standin.NewObjectCheckpointStore(m.platform), announcer.SetLeaving)
 		return m.announceWhile(ctx, announcer, func() error {
 			return standin.Serve(ctx, listener, worker.Handler(), logger, m.leaveFunc(worker.Leave), stopGracePeriod)
 		})
@@ -143,7 +143,7 @@
 	err := serve()
 	if ctx.Err() != nil {
 		<-announcerDone
-		announcer.Leave()
+		announcer.Remove()
 	}
 	return err
 }
--- a/internal/jobstore/store_test.go
+++ b/internal/jobstore/store_test.go
@@ -150,7 +150,7 @@
 		kind  api.Kind
 	}{
 		"store down, nothing written":      {fake.Fault{Down: true}, api.KindStoreUnavailable},
-		"all answers lost, result unknown": {fake.Fault{LostAfter: true}, api.KindResultUnknown},
+		"all answers lost, result unknown": {fake.Fault{LoseAnswer: true}, api.KindResultUnknown},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lease/store_test.go
+++ b/internal/lease/store_test.go
@@ -70,7 +70,7 @@
 			assert.Assert(t, api.IsKind(err, api.KindStoreUnavailable))
 		},
 		"store clock may differ widely from the local clock": func(t *testing.T, service *fake.Platform, a, b *lease.Store) {
-			service.SetSkew(-time.Hour)
+			service.SetClockSkew(-time.Hour)
 			first := acquire(t, a, "a")
 			time.Sleep(leaseDuration)
 			assert.Equal(t, acquire(t, b, "b").Epoch, first.Epoch+1)
--- a/internal/platform/contract_test.go
+++ b/internal/platform/contract_test.go
@@ -151,13 +151,13 @@
 func TestTablesContractUnderFaults(t *testing.T) {
 	cases := map[string]func(t *testing.T, service *fake.Platform, port ports){
 		"a commit whose answer is lost after the write is unknown and the row is written": func(t *testing.T, service *fake.Platform, port ports) {
-			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LostAfter: true} })
+			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LoseAnswer: true} })
 			assert.Equal(t, commit(t, port, put("w1", "a", 0, `1`)).State, platform.CommitUnknown)
 			service.SetFault(nil)
 			assert.Equal(t, readOne(t, port, "a").WriteID, "w1")
 		},
 		"a commit that is lost before the write is unknown and nothing is written": func(t *testing.T, service *fake.Platform, port ports) {
-			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LostBefore: true} })
+			service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LoseRequest: true} })
 			assert.Equal(t, commit(t, port, put("w1", "a", 0, `1`)).State, platform.CommitUnknown)
 			service.SetFault(nil)
 			assert.Equal(t, readOne(t, port, "a").Version, int64(0))
--- a/internal/platform/fake/fake.go
+++ b/internal/platform/fake/fake.go
@@ -31,11 +31,11 @@
 	Delay time.Duration
 	// Down refuses the call at once. The call has no effect.
 	Down bool
-	// LostBefore loses the call before it takes effect. The result is unknown to
+	// LoseRequest loses the call before it takes effect. The result is unknown to
 	// the caller.
-	LostBefore bool
-	// LostAfter loses the answer after the call has taken effect.
-	LostAfter bool
+	LoseRequest bool
+	// LoseAnswer loses the answer after the call has taken effect.
+	LoseAnswer bool
 	// AppliesAfter loses the answer at once and applies a commit after this time
 	// if its conditions hold then. A put takes effect at once.
 	AppliesAfter time.Duration
@@ -80,19 +80,19 @@
 	p.chooseFault = choose
 }
 
-// SetSkew sets the time by which the store's clock is ahead of the local clock.
-func (p *Platform) SetSkew(skew time.Duration) {
+// SetClockSkew sets the time by which the store's clock is ahead of the local clock.
+func (p *Platform) SetClockSkew(skew time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.clockSkew = skew
 }
 
-// SetForgetful sets whether the tables ignore the write ids that they have
+// SetForgetsWriteIDs sets whether the tables ignore the write ids that they have
 // applied, so that a repeated write is not recognized.
-func (p *Platform) SetForgetful(forgetful bool) {
+func (p *Platform) SetForgetsWriteIDs(forgets bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forgetsWriteIDs = forgetful
+	p.forgetsWriteIDs = forgets
 }
 
 // SetInstances sets the instance list.
@@ -146,12 +146,12 @@
 	case err != nil || fault.AppliesAfter > 0:
 		time.AfterFunc(fault.AppliesAfter, func() { p.apply(tx) })
 		return lostAnswer
-	case fault.LostBefore:
+	case fault.LoseRequest:
 		return lostAnswer
 	}
 	answer := p.apply(tx)
 	switch {
-	case fault.LostAfter:
+	case fault.LoseAnswer:
 		return lostAnswer
 	case answer.Done:
 		return platform.CommitResult{State: platform.CommitDone, Now: answer.Now}
@@ -221,7 +221,7 @@
 // failure.
 func (p *Platform) beginQuery(ctx context.Context, call Call) error {
 	fault, err := p.beginCall(ctx, call)
-	if err != nil || fault.LostBefore || fault.LostAfter || fault.AppliesAfter > 0 {
+	if err != nil || fault.LoseRequest || fault.LoseAnswer || fault.AppliesAfter > 0 {
 		return api.NewError(api.KindStoreUnavailable, "%s: no answer", call.Op)
 	}
 	return nil
@@ -250,7 +250,7 @@
 // Put implements platform.Objects.
 func (p *Platform) Put(ctx context.Context, name string, data []byte) error {
 	fault, err := p.beginCall(ctx, Call{Op: "put"})
-	if err != nil || fault.LostBefore {
+	if err != nil || fault.LoseRequest {
 		return api.NewError(api.KindStoreUnavailable, "put: no answer")
 	}
 	p.mu.Lock()
@@ -259,7 +259,7 @@
 		return api.NewError(api.KindConflict, "object %s has other bytes", name)
 	}
 	p.objects[name] = bytes.Clone(data)
-	if fault.LostAfter || fault.AppliesAfter > 0 {
+	if fault.LoseAnswer || fault.AppliesAfter > 0 {
 		return api.NewError(api.KindStoreUnavailable, "put: the answer was lost")
 	}
 	return nil
--- a/internal/platform/fake/random.go
+++ b/internal/platform/fake/random.go
@@ -20,9 +20,9 @@
 	case 1:
 		return Fault{Delay: delay}
 	case 2:
-		return Fault{LostBefore: true}
+		return Fault{LoseRequest: true}
 	case 3:
-		return Fault{LostAfter: true}
+		return Fault{LoseAnswer: true}
 	default:
 		return Fault{AppliesAfter: delay}
 	}
--- a/internal/platform/stack_test.go
+++ b/internal/platform/stack_test.go
@@ -33,12 +33,12 @@
 		rowExists bool
 		want      platform.CommitState
 	}{
-		"lost before the write: the repeat writes":     {faultFirst(1, fake.Fault{LostBefore: true}), false, platform.CommitDone},
-		"lost after the write: the repeat reads back":  {faultFirst(1, fake.Fault{LostAfter: true}), false, platform.CommitDone},
-		"lost twice after the write":                   {faultFirst(2, fake.Fault{LostAfter: true}), false, platform.CommitDone},
+		"lost before the write: the repeat writes":     {faultFirst(1, fake.Fault{LoseRequest: true}), false, platform.CommitDone},
+		"lost after the write: the repeat reads back":  {faultFirst(1, fake.Fault{LoseAnswer: true}), false, platform.CommitDone},
+		"lost twice after the write":                   {faultFirst(2, fake.Fault{LoseAnswer: true}), false, platform.CommitDone},
 		"a delayed write: the repeat is applied first": {faultFirst(1, fake.Fault{AppliesAfter: time.Minute}), false, platform.CommitDone},
-		"a conflict after a lost answer is not done":   {faultFirst(1, fake.Fault{LostBefore: true}), true, platform.CommitNotDone},
-		"always lost: unknown":                         {faultFirst(1000, fake.Fault{LostBefore: true}), false, platform.CommitUnknown},
+		"a conflict after a lost answer is not done":   {faultFirst(1, fake.Fault{LoseRequest: true}), true, platform.CommitNotDone},
+		"always lost: unknown":                         {faultFirst(1000, fake.Fault{LoseRequest: true}), false, platform.CommitUnknown},
 		"down from the start: not done":                {faultFirst(1000, fake.Fault{Down: true}), false, platform.CommitNotDone},
 		"lost, then down: unknown, may be written":     {lostThenDown(), false, platform.CommitUnknown},
 	}
@@ -75,7 +75,7 @@
 			return fake.Fault{Down: true}
 		}
 		commits++
-		return fake.Fault{LostAfter: commits == 1, Down: commits > 1}
+		return fake.Fault{LoseAnswer: commits == 1, Down: commits > 1}
 	}
 }
 
@@ -87,8 +87,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := fake.New()
-				service.SetForgetful(true)
-				service.SetFault(faultFirst(1, fake.Fault{LostAfter: true}))
+				service.SetForgetsWriteIDs(true)
+				service.SetFault(faultFirst(1, fake.Fault{LoseAnswer: true}))
 				stack := platform.NewStack(service)
 				defer stack.Close()
 				states := make([]platform.CommitState, transactions)
@@ -193,7 +193,7 @@
 			stacks[i] = platform.NewStack(service)
 			defer stacks[i].Close()
 		}
-		service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LostBefore: true} })
+		service.SetFault(func(fake.Call) fake.Fault { return fake.Fault{LoseRequest: true} })
 		for _, stack := range stacks {
 			for range 3 {
 				_, _ = stack.Read(t.Context(), platform.PurposeClaim, ref("a"))
--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Leave removes the instance from the list.
-func (a *Announcer) Leave() {
+// Remove removes the instance from the list.
+func (a *Announcer) Remove() {
 	instance := a.currentInstance()
 	body := LeaveRequest{ID: instance.ID, Incarnation: instance.Incarnation}
 	if _, err := a.client.R().SetBody(body).Post("/v1/leave"); err != nil {
--- a/internal/standin/checkpoint.go
+++ b/internal/standin/checkpoint.go
@@ -17,25 +17,25 @@
 	ProgressMS int64 `json:"progress_ms"`
 }
 
-// Checkpoints stores progress under names that are written once.
-type Checkpoints interface {
+// CheckpointStore stores progress under names that are written once.
+type CheckpointStore interface {
 	Save(ctx context.Context, name string, progress Progress) error
 	Load(ctx context.Context, name string) (Progress, error)
 }
 
-// ObjectCheckpoints stores checkpoints in the platform's object store.
-type ObjectCheckpoints struct {
+// ObjectCheckpointStore stores checkpoints in the platform's object store.
+type ObjectCheckpointStore struct {
 	client *resty.Client
 }
 
-// NewObjectCheckpoints returns checkpoints that are stored at the platform at
+// NewObjectCheckpointStore returns a store that keeps checkpoints at the platform at
 // addr.
-func NewObjectCheckpoints(addr string) *ObjectCheckpoints {
-	return &ObjectCheckpoints{client: resty.New().SetBaseURL("http://" + addr).SetTimeout(checkpointTimeout)}
+func NewObjectCheckpointStore(addr string) *ObjectCheckpointStore {
+	return &ObjectCheckpointStore{client: resty.New().SetBaseURL("http://" + addr).SetTimeout(checkpointTimeout)}
 }
 
-// Save implements Checkpoints.
-func (c *ObjectCheckpoints) Save(ctx context.Context, name string, progress Progress) error {
+// Save implements CheckpointStore.
+func (c *ObjectCheckpointStore) Save(ctx context.Context, name string, progress Progress) error {
 	response, err := c.client.R().SetContext(ctx).SetBody(progress).Put("/v1/objects/" + name)
 	if err != nil || response.IsError() {
 		return api.NewError(api.KindStoreUnavailable, "checkpoint %s not written", name)
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// Load implements Checkpoints.
-func (c *ObjectCheckpoints) Load(ctx context.Context, name string) (Progress, error) {
+// Load implements CheckpointStore.
+func (c *ObjectCheckpointStore) Load(ctx context.Context, name string) (Progress, error) {
 	var progress Progress
 	response, err := c.client.R().SetContext(ctx).SetResult(&progress).ForceContentType("application/json").Get("/v1/objects/" + name)
 	if err != nil || response.IsError() {
--- a/internal/standin/drive/check.go
+++ b/internal/standin/drive/check.go
@@ -14,10 +14,10 @@
 	// MissingAnswers allows missing answers, for runs in which an instance was
 	// killed or suspended.
 	MissingAnswers bool
-	// StoppedParts allows attempts in which only a part of the gang was started
+	// IncompleteGangs allows attempts in which only a part of the gang was started
 	// and all started tasks were stopped or expired, for runs in which a placer or
 	// worker was disturbed.
-	StoppedParts bool
+	IncompleteGangs bool
 }
 
 // Check compares the answers with the records and returns all problems found,
@@ -160,7 +160,7 @@
 			stopped = stopped && (start.State == api.TaskStopped || start.State == api.TaskLapsed)
 		}
 		complete := tasks == job.Shape.Tasks && accelerators == job.Shape.Accelerators()
-		if !complete && !(stopped && c.tolerance.StoppedParts) {
+		if !complete && !(stopped && c.tolerance.IncompleteGangs) {
 			c.addProblem(a.Name, "attempt %d ran %d of %d tasks", number, tasks, job.Shape.Tasks)
 		}
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -157,20 +157,20 @@
 	assert.Equal(t, len(backend.Executions()), 0)
 }
 
-// memoryCheckpoints stores checkpoints in a map.
-type memoryCheckpoints map[string]Progress
+// memoryCheckpointStore stores checkpoints in a map.
+type memoryCheckpointStore map[string]Progress
 
-func (m memoryCheckpoints) Save(_ context.Context, name string, progress Progress) error {
+func (m memoryCheckpointStore) Save(_ context.Context, name string, progress Progress) error {
 	m[name] = progress
 	return nil
 }
 
-func (m memoryCheckpoints) Load(_ context.Context, name string) (Progress, error) {
+func (m memoryCheckpointStore) Load(_ context.Context, name string) (Progress, error) {
 	return m[name], nil
 }
 
 func newTestWorker() *Worker {
-	return NewWorker(WorkerConfig{ID: "w", Zone: "z", Rack: "r", Incarnation: 1, Accelerators: 8}, memoryCheckpoints{}, nil)
+	return NewWorker(WorkerConfig{ID: "w", Zone: "z", Rack: "r", Incarnation: 1, Accelerators: 8}, memoryCheckpointStore{}, nil)
 }
 
 func ref(epoch int64, gang string) api.GangRef {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -84,7 +84,7 @@
 // Worker simulates a worker. It is safe for concurrent use.
 type Worker struct {
 	config      WorkerConfig
-	checkpoints Checkpoints
+	checkpoints CheckpointStore
 	now         func() time.Time
 	onLeave     func(leaving bool)
 
@@ -102,7 +102,7 @@
 // NewWorker returns a worker that stores its checkpoints in checkpoints. onLeave
 // is called after each SetFaults and Leave with whether the worker is leaving;
 // it may be nil.
-func NewWorker(config WorkerConfig, checkpoints Checkpoints, onLeave func(leaving bool)) *Worker {
+func NewWorker(config WorkerConfig, checkpoints CheckpointStore, onLeave func(leaving bool)) *Worker {
 	if onLeave == nil {
 		onLeave = func(bool) {}
 	}
--- a/test/invariants/gang_network_test.go
+++ b/test/invariants/gang_network_test.go
@@ -36,7 +36,7 @@
 // delivery is the outcome of one call in the network: whether the call or its
 // answer is lost.
 type delivery struct {
-	lostBefore, lostAfter bool
+	loseRequest, loseAnswer bool
 }
 
 func (n gangNetwork) drawDelivery(addr string) delivery {
@@ -48,14 +48,14 @@
 	n.world.mu.Lock()
 	defer n.world.mu.Unlock()
 	if n.world.partitioned[[2]string{n.instance, addr}] {
-		return delivery{lostBefore: true}
+		return delivery{loseRequest: true}
 	}
 	draw := n.world.random.IntN(100)
 	switch {
 	case draw < n.world.lossPercent/2:
-		return delivery{lostBefore: true}
+		return delivery{loseRequest: true}
 	case draw < n.world.lossPercent:
-		return delivery{lostAfter: true}
+		return delivery{loseAnswer: true}
 	}
 	return delivery{}
 }
@@ -64,12 +64,12 @@
 // its answer is lost, the caller waits for its whole timeout.
 func (n gangNetwork) send(addr string, call func() error) error {
 	outcome := n.drawDelivery(addr)
-	if outcome.lostBefore {
+	if outcome.loseRequest {
 		time.Sleep(gangCallTimeout)
 		return api.NewError(api.KindResultUnknown, "no answer from %s", addr)
 	}
 	err := call()
-	if outcome.lostAfter {
+	if outcome.loseAnswer {
 		time.Sleep(gangCallTimeout)
 		return api.NewError(api.KindResultUnknown, "no answer from %s", addr)
 	}
--- a/test/invariants/gang_test.go
+++ b/test/invariants/gang_test.go
@@ -273,9 +273,9 @@
 func (h *gangHistory) drawStoreFault(fake.Call) fake.Fault {
 	switch h.intN(10) {
 	case 0:
-		return fake.Fault{LostAfter: true}
+		return fake.Fault{LoseAnswer: true}
 	case 1:
-		return fake.Fault{LostBefore: true}
+		return fake.Fault{LoseRequest: true}
 	}
 	return fake.Fault{}
 }
--- a/test/invariants/lease_test.go
+++ b/test/invariants/lease_test.go
@@ -94,7 +94,7 @@
 	var periods []leasePeriod
 	synctest.Test(t, func(t *testing.T) {
 		service := fake.New()
-		service.SetSkew(test.clockSkew)
+		service.SetClockSkew(test.clockSkew)
 		faults := rand.New(rand.NewPCG(seed, 60))
 		service.SetFault(func(fake.Call) fake.Fault { return fake.RandomFault(faults, test.storeFaults) })
 		ctx, cancel := context.WithTimeout(t.Context(), leaseHistoryLength)
--- a/test/invariants/request_world_test.go
+++ b/test/invariants/request_world_test.go
@@ -222,21 +222,21 @@
 	if execute == nil || !n.awaitAlive() {
 		return nil, api.NewError(api.KindNotReady, "no peer")
 	}
-	lostBefore, lostAfter := n.world.drawPeerFault()
+	loseRequest, loseAnswer := n.world.drawPeerFault()
 	errLost := api.NewError(api.KindResultUnknown, "the response was lost")
-	if lostBefore {
+	if loseRequest {
 		return nil, errLost
 	}
 	answer := n.world.executeForwarded(ctx, instance, execute)
 	switch {
-	case answer == nil || lostAfter || !n.awaitAlive() || ctx.Err() != nil:
+	case answer == nil || loseAnswer || !n.awaitAlive() || ctx.Err() != nil:
 		return nil, errLost
 	default:
 		return &peerpb.Response{Body: &peerpb.Response_Execute{Execute: &peerpb.ExecuteReply{Answer: answer}}}, nil
 	}
 }
 
-func (w *requestWorld) drawPeerFault() (lostBefore, lostAfter bool) {
+func (w *requestWorld) drawPeerFault() (loseRequest, loseAnswer bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.networkRandom.Float64() >= w.test.peerFaults {
--- a/test/process/promises_test.go
+++ b/test/process/promises_test.go
@@ -162,7 +162,7 @@
 			tc.inject(c, placer)
 			tc.heal(c, placer)
 			answers := waitAnswers()
-			assertNoViolations(t, drive.Check(answers, c.collectRecords(), drive.Tolerance{StoppedParts: true}))
+			assertNoViolations(t, drive.Check(answers, c.collectRecords(), drive.Tolerance{IncompleteGangs: true}))
 			c.waitSettled(dimensions)
 		})
 	}
