--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -114,9 +114,10 @@
 	// guarantee covers; zero means 1.
 	Weight int `json:"weight,omitempty"`
 	// MaxInFlight bounds the requests dispatched at the same time by one
-	// availability zone; zero takes the default of the admission package.
+	// availability zone; zero means no limit. The zone's live instances share
+	// it evenly, with at least one request each.
 	MaxInFlight int `json:"max_in_flight,omitempty"`
-	// MaxQueued bounds the requests that wait in one instance.
+	// MaxQueued bounds the requests that wait in one instance; zero means 2000.
 	MaxQueued int `json:"max_queued,omitempty"`
 	// MaxJobs bounds the waiting and running jobs in one availability zone.
 	MaxJobs int `json:"max_jobs,omitempty"`
