--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -64,7 +64,7 @@
 var _ Claims = (*Store)(nil)
 
 // New returns a Store that keeps claims in tables, whose Commit must resolve
-// lost answers (see platform.Resolving). Run records the outcomes that could
+// lost answers (see platform.ResolvingTables). Run records the outcomes that could
 // not be stored at first.
 func New(tables platform.Tables) *Store {
 	return &Store{tables: tables, unsettled: make(map[api.Ref]*held)}
@@ -92,7 +92,7 @@
 		case result.answer != nil:
 			return nil, result.answer, nil
 		}
-		if !result.retryNow && !sleep(ctx, poll.Failed(rand.Float64())) {
+		if !result.retryNow && !sleep(ctx, poll.RecordFailure(rand.Float64())) {
 			return nil, unknownAnswer(request, "an earlier arrival of the key has not ended"), nil
 		}
 		current = s.reread(ctx, result.current)
--- a/internal/cli/stored.go
+++ b/internal/cli/stored.go
@@ -39,7 +39,7 @@
 	Accelerators int64  `json:"guaranteed_accelerators"`
 }
 
-func (inv *invocation) addStored(serve Serve) {
+func (inv *invocation) addStored(functions Functions) {
 	command := inv.app.GetCommand("config").Command("stored", "Explain a configuration as operators store it on the platform, without a network.")
 	file := command.Arg("file", "The stored document.").Required().String()
 	inv.addAction(command, func() error {
@@ -47,7 +47,7 @@
 		if err != nil {
 			return err
 		}
-		configuration, err := serve.Stored(data)
+		configuration, err := functions.DecodeStored(data)
 		if err != nil {
 			return api.NewError(api.KindConfigInvalid, "%s: %v", *file, err)
 		}
@@ -64,10 +64,10 @@
 	slices.SortStableFunc(queues, func(a, b workload.Queue) int { return cmp.Compare(a.Priority, b.Priority) })
 	for i := range queues {
 		q := &queues[i]
-		grace := time.Duration(q.GraceMS) * time.Millisecond
+		grace := time.Duration(q.GracePeriodMS) * time.Millisecond
 		result.Queues = append(result.Queues, storedQueue{
 			Name: q.Name, Address: q.Host + q.Prefix, Pool: q.Pool, Priority: q.Priority, Attempts: q.Attempts,
-			Objective: fmt.Sprintf("%g times its work and %v", q.Stretch, grace), Public: q.Public, Advisor: q.Advice != nil,
+			Objective: fmt.Sprintf("%g times its work and %v", q.LatencyFactor, grace), Public: q.Public, Advisor: q.Advice != nil,
 		})
 		result.Problems = append(result.Problems, problemsOf(q)...)
 	}
--- a/internal/deployment/instance.go
+++ b/internal/deployment/instance.go
@@ -42,9 +42,9 @@
 	Advisor workload.Advisor
 	Decoder Decoder
 	Logger  *zap.Logger
-	// Reload reads the settings again. Changed is called with settings that differ.
-	Reload  func() (*Settings, error)
-	Changed func(*Settings)
+	// Reload reads the settings again. SettingsChanged is called with settings that differ.
+	Reload          func() (*Settings, error)
+	SettingsChanged func(*Settings)
 }
 
 // Servers serve the callers.
@@ -87,7 +87,7 @@
 	role          role
 	counts        pendingCounts
 	peerCalls     pond.Pool
-	lifecycle     *lifecycle.Life
+	lifecycle     *lifecycle.Lifecycle
 	configuration atomic.Pointer[workload.Configuration]
 	configRow     atomic.Pointer[workload.Row]
 	configMu      sync.Mutex
@@ -149,7 +149,7 @@
 		i.store.hedgeDelay = routeTimeout
 	}
 	i.store.onAnswer = i.markReconnected
-	retention := 2 * s.bounds().LongestLease
+	retention := 2 * s.bounds().MaxLease
 	i.workers = newRoster(o.Decoder, retention, o.Logger)
 	i.drains = newDrains(o.Decoder, o.Logger)
 	i.lease = &lease{
@@ -251,7 +251,7 @@
 func (i *Instance) workersChanged() {
 	if leader := i.leader.Load(); leader != nil {
 		leader.post(func(core *dispatch.Core, now time.Time, wallMS int64) {
-			core.Listed(i.listedWorkers(), now, wallMS)
+			core.WorkersListed(i.listedWorkers(), now, wallMS)
 		})
 	}
 }
@@ -293,7 +293,7 @@
 		return err
 	}
 	i.lifecycle = lifecycle.New(lifecycle.Options{
-		StopWithin: time.Duration(i.settings.StopWithinMS) * time.Millisecond, Linger: stopLinger, Logger: i.logger,
+		StopTimeout: time.Duration(i.settings.StopWithinMS) * time.Millisecond, Linger: stopLinger, Logger: i.logger,
 		Announce: func(context.Context) error { servers.Announce(); return nil },
 		HandOver: i.handOver,
 		Drain:    servers.Drain,
@@ -341,8 +341,8 @@
 		return
 	}
 	i.liveSettings.Store(settings)
-	if i.options.Changed != nil {
-		i.options.Changed(settings)
+	if i.options.SettingsChanged != nil {
+		i.options.SettingsChanged(settings)
 	}
 	i.logger.Info("settings in force", zap.String("store", settings.Store), zap.Strings("seeds", settings.Seeds))
 }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -14,22 +14,22 @@
 	ActStart ActionKind = iota
 	ActStop
 	ActPoll
-	// ActAsk sends a question to the placement advisor.
-	ActAsk
+	// ActAskAdvisor sends a request to the placement advisor.
+	ActAskAdvisor
 	// ActReason is only logged: the reason why a step waits.
 	ActReason
-	// ActGaveUp is only logged: a job failed permanently, and why.
-	ActGaveUp
+	// ActJobAbandoned is only logged: a job failed permanently, and why.
+	ActJobAbandoned
 	// ActLost is only logged: a run ended because its worker was lost.
 	ActLost
 )
 
 // Action is an operation for the driver to perform. Its answer is passed back as an event.
 type Action struct {
-	Kind  ActionKind
-	Order workload.Order
-	Poll  workload.Poll
-	Ask   workload.Question
+	Kind          ActionKind
+	Order         workload.Order
+	Poll          workload.Poll
+	AdviceRequest workload.AdviceRequest
 	// Sequence is the event sequence at which a poll was sent. Its answer is reliable only for runs
 	// whose last order had been answered by then.
 	Sequence uint64
@@ -52,8 +52,8 @@
 	Cause LossCause
 	// Ran is the time since the run started, or since this epoch adopted it.
 	Ran time.Duration
-	// Beside is the number of other runs that were lost with it.
-	Beside int
+	// OthersLost is the number of other runs that were lost with it.
+	OthersLost int
 }
 
 // LossCause states how a leader learned that the runs on a worker are over.
@@ -151,7 +151,7 @@
 	// waiting counts the steps that waited in the last round, by priority.
 	waiting   map[int]int
 	estimates estimates
-	// advisorCalls counts the questions to the advisor in flight.
+	// advisorCalls counts the requests to the advisor in flight.
 	advisorCalls int
 	// watching is set while polls must not extend leases.
 	watching bool
@@ -185,7 +185,7 @@
 	}
 	if !earlierOrdersUntil.IsZero() {
 		c.earlierOrdersUntil = earlierOrdersUntil
-		c.definitelyStoppedAt = earlierOrdersUntil.Add(maxElapsed(bounds.LongestLease) + bounds.StopTime)
+		c.definitelyStoppedAt = earlierOrdersUntil.Add(maxElapsed(bounds.MaxLease) + bounds.MaxStopTime)
 	}
 	return c
 }
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -53,7 +53,7 @@
 		runTime:   2 * time.Second,
 		table:     make(map[string]Record),
 	}
-	c.core.StoreBegins(true)
+	c.core.StoreStartIntents(true)
 	return c
 }
 
@@ -68,14 +68,14 @@
 		c.restartWorkers()
 		c.endStops()
 		c.runTasks()
-		c.core.Stored(c.core.Unstored(len(c.workers)))
+		c.core.WorkersStored(c.core.UnstoredWorkers(len(c.workers)))
 		for _, a := range c.core.Decide(c.now, c.wallMS) {
 			if a.Kind == ActStart {
 				c.startsOf[a.Order.Task]++
 			}
 			if a.Kind == ActStart && c.dropAnswer != nil && c.dropAnswer(a.Order) {
 				c.startRun(c.workers[a.Order.Worker], a.Order)
-				c.core.StartAnswered(a.Order, workload.Receipt{Verdict: workload.VerdictUnknown}, c.now, c.wallMS)
+				c.core.StartAnswered(a.Order, workload.OrderResult{Verdict: workload.VerdictUnknown}, c.now, c.wallMS)
 				continue
 			}
 			c.execute(a)
@@ -87,21 +87,21 @@
 }
 
 func (c *crashBench) persist() {
-	list := c.core.Unpersisted(50)
+	list := c.core.UnstoredRecords(50)
 	for _, u := range list {
 		record, err := DecodeRecord(u.Record)
 		assert.NilError(c.t, err)
 		c.table[u.Job] = record
 	}
-	c.core.Recorded(list, c.now, c.wallMS)
+	c.core.MarkRecordsStored(list, c.now, c.wallMS)
 }
 
 // takeover starts the next leader from the contents of the store.
 func (c *crashBench) takeover() {
 	c.core = New(testBounds, c.core.epoch+1, c.now, c.now)
 	c.core.Configure(testConfig())
-	c.core.TrustBegins()
-	c.core.StoreBegins(true)
+	c.core.TrustStartIntents()
+	c.core.StoreStartIntents(true)
 	c.listWorkers()
 	for _, job := range c.accepted {
 		c.core.AddJob(job, c.table[job.ID], false, c.now, c.wallMS)
@@ -117,7 +117,7 @@
 				c.crashesOf[key.task]++
 				c.crash(id)
 			case c.now.Sub(r.startedAt) >= c.runTime && c.gangIsComplete(key):
-				c.endRun(w, key.task, key.attempt, workload.EndDone)
+				c.endRun(w, key.task, key.attempt, workload.CompletionDone)
 			}
 		}
 	}
@@ -219,7 +219,7 @@
 	c.add(independentJob("crashing", 1))
 	c.advance(time.Second)
 	c.storeDown = true
-	c.core.StoreBegins(false)
+	c.core.StoreStartIntents(false)
 	c.advance(20 * time.Second)
 	assert.Equal(t, c.startsOf[workload.TaskID{Job: "crashing"}], 1)
 	c.add(independentJob("other", 90))
@@ -332,7 +332,7 @@
 		ran   time.Duration
 	}{
 		"another incarnation answers":            {func(b *crashBench) { b.crash("w00") }, LossReplaced, 3 * time.Second},
-		"unresponsive for longer than its lease": {func(b *crashBench) { b.unresponsive["w00"] = true }, LossUnresponsive, testBounds.LongestLease},
+		"unresponsive for longer than its lease": {func(b *crashBench) { b.unresponsive["w00"] = true }, LossUnresponsive, testBounds.MaxLease},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newCrashBench(t, 1, noTask)
@@ -345,7 +345,7 @@
 			for _, a := range b.lostRuns {
 				assert.Equal(t, a.Order.Worker, "w00")
 				assert.Equal(t, a.Lost.Cause, c.cause)
-				assert.Equal(t, a.Lost.Beside, 1)
+				assert.Equal(t, a.Lost.OthersLost, 1)
 				assert.Assert(t, a.Lost.Ran >= c.ran, "ran %v", a.Lost.Ran)
 			}
 		})
@@ -356,10 +356,10 @@
 	for name, meanwhile := range map[string]func(c *crashBench, key runKey, host *fakeWorker){
 		"it runs": func(*crashBench, runKey, *fakeWorker) {},
 		"it ended": func(c *crashBench, key runKey, host *fakeWorker) {
-			c.endRun(host, key.task, key.attempt, workload.EndDone)
+			c.endRun(host, key.task, key.attempt, workload.CompletionDone)
 		},
 		"its lease expired": func(c *crashBench, key runKey, host *fakeWorker) {
-			c.endRun(host, key.task, key.attempt, workload.EndLapsed)
+			c.endRun(host, key.task, key.attempt, workload.CompletionExpired)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -397,11 +397,11 @@
 		}
 	}
 	assert.Equal(t, len(starts), 3)
-	gone := workload.Receipt{Verdict: workload.VerdictGone}
+	gone := workload.OrderResult{Verdict: workload.VerdictOtherIncarnation}
 	poll := Action{Kind: ActPoll, Poll: workload.Poll{Worker: "w00"}}
 	for _, a := range starts {
 		b.core.StartAnswered(a.Order, gone, b.now, b.wallMS)
-		b.core.PollAnswered(poll, workload.Report{Verdict: workload.VerdictGone}, b.now, b.wallMS)
+		b.core.PollAnswered(poll, workload.Report{Verdict: workload.VerdictOtherIncarnation}, b.now, b.wallMS)
 	}
 	assert.Equal(t, len(b.core.jobs["job"].record.Crashed), 0)
 	assert.Equal(t, b.core.jobs["job"].runs, 0)
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -39,7 +39,7 @@
 	// lastCompletion is the number of the last completion received, acknowledgeable that of the
 	// last one that may be acknowledged, and acknowledged that of the last one that was.
 	lastCompletion, acknowledgeable, acknowledged int64
-	unpersisted                                   []unpersistedCompletion
+	unstored                                      []unstoredCompletion
 	// lostAttempts are runs that were lost with the worker and whose outcome is not known yet.
 	lostAttempts []lostAttempt
 	// lastContact is the time of the last answer.
@@ -61,9 +61,9 @@
 	health health
 }
 
-// unpersistedCompletion is a completion that must not be acknowledged before its job's record
+// unstoredCompletion is a completion that must not be acknowledged before its job's record
 // is stored at the given revision.
-type unpersistedCompletion struct {
+type unstoredCompletion struct {
 	number   int64
 	job      *job
 	revision uint64
@@ -83,8 +83,8 @@
 	refusalHoldOff = 300 * time.Millisecond
 )
 
-// Listed processes the platform's complete list of workers.
-func (c *Core) Listed(list []workload.Worker, now time.Time, wallMS int64) {
+// WorkersListed processes the platform's complete list of workers.
+func (c *Core) WorkersListed(list []workload.Worker, now time.Time, wallMS int64) {
 	c.tick(now, wallMS)
 	seen := make(map[string]bool, len(list))
 	for _, listed := range list {
@@ -136,7 +136,7 @@
 		case c.now.Before(w.nextPollAt):
 		case w.wantPoll || !w.synced || c.isSuspect(w):
 			due = append(due, duePoll{w, false})
-		case len(w.unpersisted) > 0:
+		case len(w.unstored) > 0:
 			// Completions are listed again until they are acknowledged, which requires the
 			// store's answer first: a long poll would return immediately.
 			w.nextPollAt = c.now.Add(pollRetryPause)
@@ -166,9 +166,9 @@
 // leaseFor returns by how much a poll extends the lease of the runs on a worker.
 func (c *Core) leaseFor(w *worker) time.Duration {
 	if w.Leaving {
-		return min(leavingWorkerLease, c.bounds.LongestLease)
+		return min(leavingWorkerLease, c.bounds.MaxLease)
 	}
-	return c.bounds.LongestLease
+	return c.bounds.MaxLease
 }
 
 // PollAnswered processes a worker's answer to a poll that was sent as the given action.
@@ -189,7 +189,7 @@
 	case workload.VerdictFenced:
 		c.fenced = true
 		return
-	case workload.VerdictGone:
+	case workload.VerdictOtherIncarnation:
 		c.workerReplaced(w)
 		return
 	default:
@@ -200,12 +200,12 @@
 	if !w.synced {
 		// Earlier epochs may have granted the longest lease until this moment; from now on the
 		// worker rejects them.
-		w.extendLease(w.clockMS + c.bounds.LongestLease.Milliseconds())
+		w.extendLease(w.clockMS + c.bounds.MaxLease.Milliseconds())
 	}
 	c.settleLostAttempts(w, false)
 	w.misses, w.nextPollAt, w.synced = 0, time.Time{}, true
 	w.acknowledged = max(w.acknowledged, sent.Poll.Acknowledged)
-	if report.Unread > 0 {
+	if report.Unparsed > 0 {
 		c.pollBeforeWork(w) // its free capacity is unknown
 	}
 	c.receiveCompletions(w, report.Ended)
@@ -243,7 +243,7 @@
 		case !r.stopping():
 			c.markUnclear(r, "the worker no longer lists it")
 		case r.state == stRunStopped:
-			c.runEnded(r, workload.EndStopped)
+			c.runEnded(r, workload.CompletionStopped)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 	if j == nil || running.Task.Step < 0 || running.Task.Step >= len(j.Steps) {
 		c.pollBeforeWork(w)
 	} else {
-		need = j.Steps[running.Task.Step].Counted()
+		need = j.Steps[running.Task.Step].CountedResources()
 	}
 	if w.unknownRuns == nil {
 		w.unknownRuns = make(map[runKey]workload.Resources)
@@ -316,7 +316,7 @@
 		return nil
 	}
 	r := &run{
-		task: t, worker: w, attempt: running.Attempt, state: stRunRunning, need: t.step.spec.Counted(),
+		task: t, worker: w, attempt: running.Attempt, state: stRunRunning, need: t.step.spec.CountedResources(),
 		since: c.now, settledAfter: c.sequence, percent: running.Percent, initialPercent: running.Percent,
 	}
 	if t.step.spec.Gang {
--- a/internal/dispatch/watch_test.go
+++ b/internal/dispatch/watch_test.go
@@ -17,7 +17,7 @@
 	b.advance(100 * time.Millisecond)
 	for _, w := range b.workers {
 		for key := range w.running {
-			b.endRun(w, key.task, key.attempt, workload.EndDone)
+			b.endRun(w, key.task, key.attempt, workload.CompletionDone)
 		}
 	}
 	starts := b.starts
@@ -30,7 +30,7 @@
 		}
 	}
 	assert.Equal(t, b.starts, starts)
-	ended := b.core.EndedUnpersisted(time.Second)
+	ended := b.core.UnstoredFinalRecords(time.Second)
 	assert.Equal(t, len(ended), 1)
 	assert.Equal(t, ended[0].Job, "ends")
 	assert.Equal(t, ended[0].Final, FinalCompleted)
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -31,7 +31,7 @@
 	}
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	ctx, cancel := context.WithTimeout(r.Context(), settings.Duration(submission.DeadlineMS))
+	ctx, cancel := context.WithTimeout(r.Context(), settings.Milliseconds(submission.DeadlineMS))
 	defer cancel()
 	s.writeRequest(w, s.opts.Requests.Execute(ctx, id, submission))
 }
@@ -96,12 +96,12 @@
 func (s *Server) postJob(w http.ResponseWriter, r *http.Request) {
 	var job api.JobSubmission
 	if err := s.admitJob(w, r, &job); err != nil {
-		s.writeJob(w, jobs.Refused(api.JobAnswer{ID: request.NewID()}, err))
+		s.writeJob(w, jobs.RefusalAnswer(api.JobAnswer{ID: request.NewID()}, err))
 		return
 	}
 	answer, err := s.opts.Jobs.Submit(r.Context(), job)
 	if err != nil {
-		answer = jobs.Refused(answer, err)
+		answer = jobs.RefusalAnswer(answer, err)
 	}
 	s.writeJob(w, answer)
 }
@@ -186,7 +186,7 @@
 	if err != nil || ms < 0 || ms > maxJobWait.Milliseconds() {
 		return 0, api.NewError(api.KindInvalidField, "wait_ms must be 0 to %d", maxJobWait.Milliseconds())
 	}
-	return settings.Duration(ms), nil
+	return settings.Milliseconds(ms), nil
 }
 
 func (s *Server) cancelJob(w http.ResponseWriter, r *http.Request) {
--- a/internal/jobstore/store_test.go
+++ b/internal/jobstore/store_test.go
@@ -24,7 +24,7 @@
 
 func newStore() (*fake.Platform, *jobstore.Tables) {
 	service := fake.New()
-	return service, jobstore.New(platform.NewResolving(service))
+	return service, jobstore.New(platform.NewResolvingTables(service))
 }
 
 func TestAcceptAndEnd(t *testing.T) {
@@ -36,7 +36,7 @@
 	started, err := store.Update(t.Context(), accepted)
 	assert.NilError(t, err)
 	assert.Assert(t, started.Version > accepted.Version)
-	open, err := store.Open(t.Context(), "z1")
+	open, err := store.ListOpen(t.Context(), "z1")
 	assert.NilError(t, err)
 	assert.Equal(t, len(open), 1)
 	assert.Equal(t, open[0].Epoch, int64(7))
@@ -45,7 +45,7 @@
 	started.Phase, started.Outcome = jobstore.PhaseEnded, api.OutcomeDone
 	_, err = store.Update(t.Context(), started)
 	assert.NilError(t, err)
-	open, err = store.Open(t.Context(), "z1")
+	open, err = store.ListOpen(t.Context(), "z1")
 	assert.NilError(t, err)
 	assert.Equal(t, len(open), 0)
 	got, err := store.Get(t.Context(), "j1")
@@ -100,10 +100,10 @@
 		_, _, err := store.Accept(t.Context(), newRecord(fmt.Sprintf("j%03d", i), account, "", int64(i)))
 		assert.NilError(t, err)
 	}
-	open, err := store.Open(t.Context(), "z1")
+	open, err := store.ListOpen(t.Context(), "z1")
 	assert.NilError(t, err)
 	assert.Equal(t, len(open), 620)
-	open, err = store.Open(t.Context(), "z")
+	open, err = store.ListOpen(t.Context(), "z")
 	assert.NilError(t, err)
 	assert.Equal(t, len(open), 0)
 	list, err := store.List(t.Context(), "acme", 300)
@@ -150,7 +150,7 @@
 		kind  api.Kind
 	}{
 		"store down, nothing written":      {fake.Fault{Down: true}, api.KindStoreUnavailable},
-		"all answers lost, result unknown": {fake.Fault{LostAfter: true}, api.KindResultUnknown},
+		"all answers lost, result unknown": {fake.Fault{LoseAnswer: true}, api.KindResultUnknown},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 			service.SetFault(func(fake.Call) fake.Fault { return test.fault })
 			_, _, err := store.Accept(t.Context(), newRecord("j1", "acme", "", 1))
 			assert.Assert(t, api.IsKind(err, test.kind), "%v", err)
-			_, err = store.Open(t.Context(), "z1")
+			_, err = store.ListOpen(t.Context(), "z1")
 			assert.Assert(t, api.IsKind(err, api.KindStoreUnavailable), "%v", err)
 		})
 	}
--- a/internal/lease/store_test.go
+++ b/internal/lease/store_test.go
@@ -70,7 +70,7 @@
 			assert.Assert(t, api.IsKind(err, api.KindStoreUnavailable))
 		},
 		"store clock may differ widely from the local clock": func(t *testing.T, service *fake.Platform, a, b *lease.Store) {
-			service.SetSkew(-time.Hour)
+			service.SetClockSkew(-time.Hour)
 			first := acquire(t, a, "a")
 			time.Sleep(leaseDuration)
 			assert.Equal(t, acquire(t, b, "b").Epoch, first.Epoch+1)
@@ -80,7 +80,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := fake.New()
-				tables := platform.NewResolving(service)
+				tables := platform.NewResolvingTables(service)
 				check(t, service, lease.New(tables, leaseDuration), lease.New(tables, leaseDuration))
 			})
 		})
--- a/internal/measure/gangload/gangload_test.go
+++ b/internal/measure/gangload/gangload_test.go
@@ -47,7 +47,7 @@
 			productRow := simulatePattern(t, "saturation 1", d, &product{})
 			baselineRow := simulatePattern(t, "saturation 1", d, &firstFit{})
 			assert.Assert(t, figureValue(t, productRow, "slowdown p99") < 0.7*figureValue(t, baselineRow, "slowdown p99"))
-			assert.Assert(t, figureValue(t, productRow, "urgent start p99") < reclaim.UrgentStart.Seconds())
+			assert.Assert(t, figureValue(t, productRow, "urgent start p99") < reclaim.UrgentStartLimit.Seconds())
 			assert.Equal(t, figureValue(t, productRow, "unfinished"), 0.0)
 		})
 	}
@@ -73,7 +73,7 @@
 	for _, p := range Patterns() {
 		work := 0.0
 		for _, a := range generate(p, &d, testSeed).arrivals {
-			assert.Assert(t, a.runTime > 0 && a.at >= 0 && a.at <= horizon && a.spec.DeclaredRun > 0)
+			assert.Assert(t, a.runTime > 0 && a.at >= 0 && a.at <= horizon && a.spec.DeclaredRunTime > 0)
 			work += float64(a.spec.Shape.Accelerators()) * a.runTime.Seconds()
 		}
 		offered := work / (float64(d.capacity()) * horizon.Seconds())
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -116,11 +116,11 @@
 	}
 	retry := backoff.Backoff{Base: 2 * f.options.ListInterval, Max: maxListBackoffFactor * f.options.ListInterval}
 	for ctx.Err() == nil {
-		wait := backoff.Spread(f.options.ListInterval, rand.Float64())
+		wait := backoff.Jitter(f.options.ListInterval, rand.Float64())
 		if err := f.readList(ctx); err == nil {
-			retry.Succeeded()
+			retry.Reset()
 		} else {
-			wait = retry.Failed(rand.Float64())
+			wait = retry.RecordFailure(rand.Float64())
 			f.logger.Warn("instance list unavailable", zap.Int("failures", retry.Failures()), zap.Error(err))
 		}
 		select {
@@ -311,11 +311,11 @@
 }
 
 // PeerStates returns the latest state message of each peer that has sent one.
-func (f *Fleet) PeerStates() map[string]HeardState {
+func (f *Fleet) PeerStates() map[string]ReceivedState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, intervals := time.Now(), f.state.intervals()
-	states := make(map[string]HeardState, len(f.state.instances))
+	states := make(map[string]ReceivedState, len(f.state.instances))
 	for id, entry := range f.state.instances {
 		if entry.lastState.State != nil {
 			latest := entry.lastState
--- a/internal/placement/claim.go
+++ b/internal/placement/claim.go
@@ -40,7 +40,7 @@
 // guarantee. It runs after the claims of all accounts, because accelerators that it
 // took from their shapes would have to be reclaimed from it in the next round.
 func (d *decider) borrowUrgent(e *entry) {
-	if !e.job.Urgent || !e.job.Stoppable() || !e.job.MayBorrow || d.overLimit(e) || !d.withinGuarantee(e.account, e.job) {
+	if !e.job.Urgent || !e.job.Preemptible() || !e.job.MayBorrow || d.overLimit(e) || !d.withinGuarantee(e.account, e.job) {
 		return
 	}
 	if parts := d.fit(e, d.free, nil); parts != nil {
@@ -93,14 +93,14 @@
 func claimKey(e *entry) placementKey {
 	return placementKey{
 		account: e.account, avoidingJob: avoidingJob(e.job), shape: e.job.Shape, claim: true, urgent: e.job.Urgent,
-		stoppable: e.job.Stoppable() && e.job.MayBorrow,
+		preemptible: e.job.Preemptible() && e.job.MayBorrow,
 	}
 }
 
 // tryReclaim stops other gangs for a claim if it may, and otherwise records that the
 // claim failed.
 func (d *decider) tryReclaim(e *entry) {
-	if d.off.Reclaim || !d.mayReclaim(e) || !d.reclaimFor(e) {
+	if d.disabled.Reclaim || !d.mayReclaim(e) || !d.reclaimFor(e) {
 		d.failed[claimKey(e)] = true
 	}
 }
@@ -117,7 +117,7 @@
 func (d *decider) withinGuarantee(account int, job *model.Job) bool {
 	inside := d.fixedUse[account] - d.packed.outside[account]
 	if job.Urgent {
-		inside -= d.stoppableByUrgent[account]
+		inside -= d.preemptibleByUrgent[account]
 	}
 	return inside+job.Shape.Accelerators() <= d.guaranteed[account]
 }
@@ -169,7 +169,7 @@
 // vector.
 func (d *decider) partlyUsedWorkerCapacity(e *entry, available []int) []int {
 	used := d.zone.zeroVector()
-	if d.off.Objectives || d.snapshot.Objectives.Fragmentation <= d.snapshot.Objectives.CompletionTime || e.job.Urgent {
+	if d.disabled.Objectives || d.snapshot.Objectives.Fragmentation <= d.snapshot.Objectives.CompletionTime || e.job.Urgent {
 		return used
 	}
 	for w := range used {
@@ -183,7 +183,7 @@
 // canBorrow reports whether a job would start as a borrower on the given accelerators.
 // Urgent jobs do not borrow where they can claim.
 func (d *decider) canBorrow(e *entry, usable []int) bool {
-	return !e.job.Urgent && e.job.Stoppable() && e.job.MayBorrow && d.fit(e, usable, nil) != nil
+	return !e.job.Urgent && e.job.Preemptible() && e.job.MayBorrow && d.fit(e, usable, nil) != nil
 }
 
 // borrowOn places a job as a borrower on the given accelerators and reports whether it
@@ -207,7 +207,7 @@
 // Elsewhere such a job would occupy part of another whole shape of its account for as
 // long as it runs.
 func (d *decider) claimPartlyUsedShapes(e *entry) bool {
-	if (e.job.Stoppable() && !e.job.Urgent) || d.off.Reclaim {
+	if (e.job.Preemptible() && !e.job.Urgent) || d.disabled.Reclaim {
 		return false
 	}
 	parts := d.fit(e, d.packed.partlyUsedCells[e.account], sumVectors(d.free, d.releasing))
@@ -239,7 +239,7 @@
 		}
 		d.held.add(h.account, h.parts, -sign*h.gang.Job.Shape.AcceleratorsPerTask)
 		d.fixedUse[h.account] -= sign * h.gang.Job.Shape.Accelerators()
-		d.stoppableByUrgent[h.account] -= sign * h.gang.Job.Shape.Accelerators()
+		d.preemptibleByUrgent[h.account] -= sign * h.gang.Job.Shape.Accelerators()
 	}
 }
 
@@ -248,7 +248,7 @@
 	if h.stopping {
 		return false
 	}
-	return !h.fixed || (d.mayStopOwn && h.account == e.account && h.stoppableByUrgent())
+	return !h.fixed || (d.mayStopOwn && h.account == e.account && h.preemptibleByUrgent())
 }
 
 // isFree reports whether the job can start on the parts now.
@@ -276,7 +276,7 @@
 			regions = append(regions, d.priceRegion(e, parts))
 		}
 	}
-	if d.off.CheapestReclaim {
+	if d.disabled.CheapestReclaim {
 		return regions
 	}
 	slices.SortStableFunc(regions, func(a, b region) int { return cmp.Compare(a.cost, b.cost) })
@@ -338,7 +338,7 @@
 func (d *decider) ownShapes(account int) []int {
 	usable := slices.Clone(d.packed.cells[account])
 	for i := range d.holders {
-		if h := &d.holders[i]; h.account == account && h.stoppableByUrgent() {
+		if h := &d.holders[i]; h.account == account && h.preemptibleByUrgent() {
 			addParts(usable, h.parts, h.gang.Job.Shape.AcceleratorsPerTask)
 		}
 	}
@@ -400,7 +400,7 @@
 	}
 	d.use[e.account] += e.job.Shape.Accelerators()
 	e.done = true
-	d.plan.Kept = append(d.plan.Kept, Kept{JobID: e.job.ID, Tasks: d.zone.placements(r.parts, e.job.Shape)})
+	d.plan.KeptRegions = append(d.plan.KeptRegions, KeptRegion{JobID: e.job.ID, Tasks: d.zone.placements(r.parts, e.job.Shape)})
 	d.decided("reclaim", e.job, fmt.Sprintf("stop %d gangs", len(r.victims)), "the account claims its guarantee")
 }
 
@@ -412,9 +412,9 @@
 	if h.account >= 0 {
 		d.use[h.account] -= h.gang.Job.Shape.Accelerators()
 	}
-	reclaimed := Reclaim{JobID: h.gang.Job.ID, For: claimant.job.ID, Method: MethodStop, Within: reclaim.StopTimeout}
+	reclaimed := Reclaim{JobID: h.gang.Job.ID, ClaimantID: claimant.job.ID, Method: MethodStop, Timeout: reclaim.StopTimeout}
 	if h.gang.Job.Checkpointable {
-		reclaimed.Method, reclaimed.Within = MethodCheckpoint, reclaim.CheckpointTimeout
+		reclaimed.Method, reclaimed.Timeout = MethodCheckpoint, reclaim.CheckpointTimeout
 	}
 	d.plan.Reclaims = append(d.plan.Reclaims, reclaimed)
 	d.plan.Decisions = append(d.plan.Decisions, api.Decision{
--- a/internal/placement/kept_test.go
+++ b/internal/placement/kept_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, len(s.Gangs), 3)
 	s.Waiting = append(s.Waiting, testJob("claim", "b", 2, 8))
 	plan := Decide(s)
-	assert.Equal(t, len(plan.Kept), 1)
+	assert.Equal(t, len(plan.KeptRegions), 1)
 	return applyPlan(s, plan)
 }
 
@@ -46,7 +46,7 @@
 			s.Waiting = append(s.Waiting, urgent)
 		}, true},
 		"a worker of the region is lost": {func(s *Snapshot) {
-			lost := s.Kept[0].Tasks[0].Worker
+			lost := s.KeptRegions[0].Tasks[0].Worker
 			s.Workers = slices.Clone(s.Workers)
 			for i := range s.Workers {
 				if s.Workers[i].ID == lost {
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := snapshotWithWaitingClaim(t)
 			c.change(&s)
-			kept := s.Kept[0]
+			kept := s.KeptRegions[0]
 			plan := Decide(completeStops(s))
 			at := slices.IndexFunc(plan.Placements, func(p Placement) bool { return p.JobID == kept.JobID })
 			assert.Equal(t, at >= 0 && sameWorkers(plan.Placements[at].Tasks, kept.Tasks), c.want)
@@ -82,13 +82,13 @@
 	large := api.Shape{Tasks: 3, AcceleratorsPerTask: 4, SameRack: true}
 	spread := api.Shape{Tasks: 4, AcceleratorsPerTask: 2}
 	s := testSnapshot(3, 2, guarantee("claims", large, 1), guarantee("scattered", spread, 2), model.ClientAccount{Name: "other"})
-	running := func(account string, shape api.Shape, worker string, stoppable, borrowed bool) {
+	running := func(account string, shape api.Shape, worker string, preemptible, borrowed bool) {
 		job := testJob(fmt.Sprintf("j%d", len(s.Gangs)), account, 1, 1)
-		job.Shape, job.Idempotent, job.Checkpointable = shape, stoppable, stoppable
+		job.Shape, job.Idempotent, job.Checkpointable = shape, preemptible, preemptible
 		task := api.TaskPlacement{Worker: worker, Tasks: shape.Tasks, Accelerators: shape.Accelerators()}
 		s.Gangs = append(s.Gangs, model.Gang{
 			Job: job, State: model.GangRunning, Borrowed: borrowed, StartedAt: testNow,
-			Placements: []api.TaskPlacement{task}, ExpectedEnd: testNow.Add(time.Hour),
+			Placements: []api.TaskPlacement{task}, ExpectedCompletion: testNow.Add(time.Hour),
 		})
 	}
 	one := api.Shape{Tasks: 1, AcceleratorsPerTask: 1}
--- a/internal/placement/recheck.go
+++ b/internal/placement/recheck.go
@@ -12,7 +12,7 @@
 // snapshot that includes the earlier ones. The kind of the error is KindConflict or
 // KindNoCapacity.
 func Recheck(s Snapshot, p Placement) error {
-	d := newDecider(&s, Off{})
+	d := newDecider(&s, Disabled{})
 	job := d.waitingJob(p.JobID)
 	if job == nil {
 		return api.NewError(api.KindConflict, "job %s is not waiting", p.JobID)
@@ -30,7 +30,7 @@
 			return api.NewError(api.KindNoCapacity, "worker %s lacks free accelerators", d.zone.workers[part.worker].ID)
 		}
 	}
-	if p.Borrowed && job.Stoppable() {
+	if p.Borrowed && job.Preemptible() {
 		return nil
 	}
 	if !d.addFixed(account, job, parts, false) {
--- a/internal/placement/zone.go
+++ b/internal/placement/zone.go
@@ -15,7 +15,7 @@
 	racks   []rack
 	// capacity is zero for a worker that takes no new tasks.
 	capacity []int
-	// firstFit takes the first rack and workers that fit; see Off.BestFit.
+	// firstFit takes the first rack and workers that fit; see Disabled.BestFit.
 	firstFit bool
 }
 
@@ -44,7 +44,7 @@
 	for i := range z.workers {
 		w := &z.workers[i]
 		z.index[w.ID] = i
-		if includeUnavailable || w.Takes() {
+		if includeUnavailable || w.AcceptsTasks() {
 			z.capacity[i] = w.Accelerators
 		}
 		if i == 0 || w.Rack != z.workers[i-1].Rack {
--- a/internal/placer/core.go
+++ b/internal/placer/core.go
@@ -79,13 +79,13 @@
 
 // entry is one job in the placer's memory.
 type entry struct {
-	record      jobstore.Record
-	state       chart.State
-	ref         api.GangRef
-	parts       []part
-	reports     map[string]partReport
-	borrowed    bool
-	expectedEnd time.Time
+	record             jobstore.Record
+	state              chart.State
+	ref                api.GangRef
+	parts              []part
+	reports            map[string]partReport
+	borrowed           bool
+	expectedCompletion time.Time
 	// notBefore is the earliest time at which a waiting job may be placed again.
 	notBefore time.Time
 	// mayHaveStarted reports whether any part of the current attempt may have
@@ -183,7 +183,7 @@
 	ended             []string
 	jobsByKey         map[jobKey]*entry
 	workers           map[string]*workerState
-	runs              estimate.Source
+	runTimes          estimate.Source
 	health            *quarantine.Tracker
 	config            *config.Snapshot
 	recorder          *decision.Recorder
@@ -195,7 +195,7 @@
 	planOutdated bool
 	plannedAt    time.Time
 	// keptRegions are the regions that the last plan keeps free for claims.
-	keptRegions []placement.Kept
+	keptRegions []placement.KeptRegion
 }
 
 // newCore adds the charts and empty job tables to a core.
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -21,13 +21,13 @@
 	case *peerpb.Request_Config:
 		return h.handleConfigQuery(body.Config), nil
 	case *peerpb.Request_Job:
-		reply, err := h.jobs.Handle(ctx, body.Job)
+		reply, err := h.jobs.HandleCall(ctx, body.Job)
 		if err != nil {
 			return nil, err
 		}
 		return &peerpb.Response{Body: &peerpb.Response_Job{Job: reply}}, nil
 	case *peerpb.Request_Slots:
-		grants := h.dispatch.HandleSlots(request.GetFrom(), body.Slots)
+		grants := h.dispatch.AnswerSlotDemand(request.GetFrom(), body.Slots)
 		if grants == nil {
 			return nil, api.NewError(api.KindStopping, "instance %s grants no slots any more", h.settings.Instance)
 		}
@@ -41,7 +41,7 @@
 }
 
 func (h peerHandler) handleConfigQuery(query *peerpb.ConfigQuery) *peerpb.Response {
-	number, digest, document := h.config.Highest()
+	number, digest, document := h.config.CurrentDocument()
 	version := &peerpb.ConfigVersion{}
 	if number > query.GetHave() {
 		version = &peerpb.ConfigVersion{Version: number, Digest: digest, Document: config.Pack(document)}
--- a/test/invariants/lease_test.go
+++ b/test/invariants/lease_test.go
@@ -71,7 +71,7 @@
 	for seed := range soakSeeds(20) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 50))
-			tables := platform.NewResolving(fake.New())
+			tables := platform.NewResolvingTables(fake.New())
 			first, second := lease.New(tables, leaseDuration), lease.New(tables, leaseDuration)
 			if _, err := first.Acquire(t.Context(), "z", "a"); err != nil {
 				t.Fatal(err)
@@ -94,7 +94,7 @@
 	var periods []leasePeriod
 	synctest.Test(t, func(t *testing.T) {
 		service := fake.New()
-		service.SetSkew(test.clockSkew)
+		service.SetClockSkew(test.clockSkew)
 		faults := rand.New(rand.NewPCG(seed, 60))
 		service.SetFault(func(fake.Call) fake.Fault { return fake.RandomFault(faults, test.storeFaults) })
 		ctx, cancel := context.WithTimeout(t.Context(), leaseHistoryLength)
@@ -104,7 +104,7 @@
 		for i := range 4 {
 			random := rand.New(rand.NewPCG(seed, 70+uint64(i)))
 			link := &platformLink{Platform: service, node: &faultyNode{}, fault: test.planted}
-			leases := lease.New(platform.NewResolving(link), leaseDuration)
+			leases := lease.New(platform.NewResolvingTables(link), leaseDuration)
 			instances.Go(func() {
 				for ctx.Err() == nil {
 					held, released := useLease(ctx, leases, fmt.Sprintf("i%d", i), test.pauseRate, random)
--- a/test/invariants/request_world_test.go
+++ b/test/invariants/request_world_test.go
@@ -161,7 +161,7 @@
 	})
 	node.executor = &request.Executor{
 		Zone: node.zone, Instance: node.zone, Config: source, Fleet: node, Claims: claims, Backend: node,
-		Recorder: recorder, Dispatcher: dispatcher, Caller: node, PlatformReachable: node.stack.Reachable, MaxAttempts: 1000,
+		Recorder: recorder, Dispatcher: dispatcher, Caller: node, PlatformReachable: node.stack.Reachable, MaxConcurrentAttempts: 1000,
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
 	node.stop = cancel
@@ -201,8 +201,8 @@
 func (n *requestNode) ZoneMembers(string) []string { return []string{n.zone} }
 
 // PeerStates implements request.Fleet.
-func (n *requestNode) PeerStates() map[string]membership.HeardState {
-	states := make(map[string]membership.HeardState)
+func (n *requestNode) PeerStates() map[string]membership.ReceivedState {
+	states := make(map[string]membership.ReceivedState)
 	for i := range requestInstances {
 		if zone := fmt.Sprintf("z%d", i); zone != n.zone {
 			load := int64(100)
@@ -210,7 +210,7 @@
 				load = 5000
 			}
 			state := &peerpb.State{Instance: zone, AvailabilityZone: zone, Incarnation: 1, LoadPermille: load}
-			states[zone] = membership.HeardState{State: state, HeardAt: time.Now(), Fresh: true}
+			states[zone] = membership.ReceivedState{State: state, ReceivedAt: time.Now(), Fresh: true}
 		}
 	}
 	return states
@@ -222,21 +222,21 @@
 	if execute == nil || !n.awaitAlive() {
 		return nil, api.NewError(api.KindNotReady, "no peer")
 	}
-	lostBefore, lostAfter := n.world.drawPeerFault()
+	loseRequest, loseAnswer := n.world.drawPeerFault()
 	errLost := api.NewError(api.KindResultUnknown, "the response was lost")
-	if lostBefore {
+	if loseRequest {
 		return nil, errLost
 	}
 	answer := n.world.executeForwarded(ctx, instance, execute)
 	switch {
-	case answer == nil || lostAfter || !n.awaitAlive() || ctx.Err() != nil:
+	case answer == nil || loseAnswer || !n.awaitAlive() || ctx.Err() != nil:
 		return nil, errLost
 	default:
 		return &peerpb.Response{Body: &peerpb.Response_Execute{Execute: &peerpb.ExecuteReply{Answer: answer}}}, nil
 	}
 }
 
-func (w *requestWorld) drawPeerFault() (lostBefore, lostAfter bool) {
+func (w *requestWorld) drawPeerFault() (loseRequest, loseAnswer bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.networkRandom.Float64() >= w.test.peerFaults {
