--- a/test/docs/comments_test.go
+++ b/test/docs/comments_test.go
@@ -14,13 +14,14 @@
 )
 
 // checkedPackages are the packages whose comments and names must follow the
-// rules below.
+// rules below, except in test files.
 var checkedPackages = []string{
 	"internal/deployment", "internal/dispatch", "internal/emulator", "internal/losses", "internal/workload", "platform",
 }
 
 // commentRules match what comments must not contain: figures of runs, which
-// belong in the commit or on a page; history, dates and issue numbers.
+// belong in the commit or on a page; history, dates, issue numbers and names of
+// measuring tools.
 var commentRules = map[string]*regexp.Regexp{
 	"a figure":         regexp.MustCompile(`\b\d+(\.\d+)? ?(ms|s|%|MB|cores|of a core)(\W|$)`),
 	"history":          regexp.MustCompile(`(?i)\b(used to be|previously|an earlier (rule|version)|before this change)\b`),
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -256,7 +256,8 @@
 }
 
 // TestEverySettingHasAnEffect fails for a setting that no code outside its
-// package reads.
+// package reads. It searches the text for a selector of the field's name, so a
+// field of another type with the same name also counts.
 func TestEverySettingHasAnEffect(t *testing.T) {
 	var code strings.Builder
 	goFiles(t, func(path, text string) {
--- a/test/docs/page_test.go
+++ b/test/docs/page_test.go
@@ -1,6 +1,7 @@
 // Package docs checks the documentation against the code: commands, flags,
-// error kinds, endpoints, settings, rules, metrics and links. The blocks
-// between begin and end markers are generated; UPDATE_DOCS=1 go test
+// error kinds, endpoints, messages, settings, rules, metrics, log lines, decision
+// steps, examples and links. It also checks the wording of comments and names.
+// The blocks between begin and end markers are generated; UPDATE_DOCS=1 go test
 // ./test/docs writes them again.
 package docs
 
@@ -99,7 +100,9 @@
 	return field{name: name, goName: goName, kind: typeName(member.Type), doc: strings.ToUpper(doc[:1]) + doc[1:]}
 }
 
-// replaceGoName replaces the field's Go name in a text with its JSON name.
+// replaceGoName replaces the field's Go name in a text with its JSON name. A
+// name that may also be an ordinary word, such as Account, is replaced only
+// where the text lists it together with other fields.
 func (f field) replaceGoName(text string) string {
 	leading := regexp.MustCompile(`^([A-Z]\w*, )*` + f.goName + `(,| and) `)
 	isMixedCase := regexp.MustCompile(`[a-z][A-Z]|[A-Z]{2}`).MatchString(f.goName)
@@ -109,6 +112,7 @@
 	return regexp.MustCompile("`?\\b"+f.goName+"\\b`?").ReplaceAllString(text, "`"+f.name+"`")
 }
 
+// typeName returns the name of a field's type as the pages show it.
 func typeName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.StarExpr:
@@ -123,6 +127,8 @@
 	return "object"
 }
 
+// plainName returns the name of a declared type in lower case, or "" for the
+// basic types, which typeName names itself.
 func plainName(name string) string {
 	switch name {
 	case "int64", "int", "float64", "bool":
--- a/test/invariants/at_most_once_test.go
+++ b/test/invariants/at_most_once_test.go
@@ -9,8 +9,8 @@
 
 // TestNonIdempotentRunsAtMostOnce sends the same keys to several instances
 // under faults. It checks that no key runs twice, that every answer for a key
-// is that of its single run, and that a request without a key also runs at most
-// once.
+// is that of its single run, and that a request that has no key and is not
+// idempotent also runs at most once.
 func TestNonIdempotentRunsAtMostOnce(t *testing.T) {
 	forEachCase(t, requestCases, 3, func(t *testing.T, test requestCase, seed uint64) []string {
 		return simulateRequests(t, test, seed).atMostOnceViolations()
@@ -73,7 +73,8 @@
 	t.Logf("%v, %d replayed, %d in another zone", outcomes, replayed, spilled)
 }
 
-// atMostOnceViolations returns every violation of at-most-once execution.
+// atMostOnceViolations returns every violation of at-most-once execution, every
+// done request that never ran, and every key with different answers.
 func (w *requestWorld) atMostOnceViolations() []string {
 	var violations []string
 	payloads := make(map[string]string)
--- a/test/invariants/configuration_test.go
+++ b/test/invariants/configuration_test.go
@@ -20,13 +20,14 @@
 	"github.com/corianderbank/corianderbank/internal/platform/fake"
 )
 
-// configCase is a set of faults.
+// configCase is a set of faults for the test of configurations.
 type configCase struct {
 	// storeFaults is the share of store calls that fail.
 	storeFaults float64
-	stale       bool
-	kills       int
-	freezes     int
+	// stale makes some reads of rows return the previous row.
+	stale   bool
+	kills   int
+	freezes int
 	// zonePartitions is the number of times a whole zone is cut off from the platform
 	// and the other zones.
 	zonePartitions int
@@ -41,9 +42,9 @@
 	"an instance is replaced":                    {kills: 1},
 	"instances are replaced repeatedly":          {kills: 8},
 	"an instance freezes":                        {freezes: 1},
-	"instances freeze twice":                     {freezes: 4},
+	"instances freeze repeatedly":                {freezes: 4},
 	"a zone is cut off":                          {zonePartitions: 1},
-	"zones are cut off twice":                    {zonePartitions: 3},
+	"zones are cut off repeatedly":               {zonePartitions: 3},
 	"the platform is down":                       {outages: 1},
 	"the platform is down twice":                 {outages: 2},
 	"replaced while the platform is down":        {outages: 1, kills: 4},
@@ -56,12 +57,12 @@
 // The size of a history and the lengths of its phases.
 const (
 	configZones         = 3
-	configPerZone       = 2
+	configNodesPerZone  = 2
 	configOperators     = 3
-	configProposals     = 6
+	configProposals     = 6 // per operator
 	configFaultTime     = time.Minute
 	configFaultFreeTime = 20 * time.Second
-	configInterval      = 500 * time.Millisecond
+	configPollInterval  = 500 * time.Millisecond
 )
 
 // TestAcceptedConfigurationHolds runs concurrent operators under faults. It
@@ -115,7 +116,8 @@
 	partitionedUntil time.Time
 }
 
-// publication is one call of an operator and its result.
+// publication is one call of an operator and its result. The times call and
+// answer are in nanoseconds since the start of the history.
 type publication struct {
 	operator     int
 	expect       int64
@@ -137,8 +139,8 @@
 		if test.storeFaults > 0 {
 			w.service.SetFault(func(fake.Call) fake.Fault { return fake.RandomFault(faults, test.storeFaults) })
 		}
-		for i := range configZones * configPerZone {
-			w.addNode(w.startNode(i/configPerZone, seed+uint64(i)))
+		for i := range configZones * configNodesPerZone {
+			w.addNode(w.startNode(i/configNodesPerZone, seed+uint64(i)))
 		}
 		for i := range configOperators {
 			operator := rand.New(rand.NewPCG(seed, 20+uint64(i)))
@@ -179,7 +181,7 @@
 	node.manager = config.NewManager(config.Options{Tables: node.stack, Objects: link, Check: config.Check})
 	ctx, cancel := context.WithCancel(w.ctx)
 	node.stop = cancel
-	w.loops.Go(func() { node.manager.Run(ctx, configInterval) })
+	w.loops.Go(func() { node.manager.Run(ctx, configPollInterval) })
 	w.loops.Go(func() { w.gossip(ctx, node) })
 	return node
 }
@@ -196,7 +198,7 @@
 			}
 		}
 		w.observe(node)
-		time.Sleep(configInterval / 5)
+		time.Sleep(configPollInterval / 5)
 	}
 }
 
@@ -312,7 +314,8 @@
 }
 
 // checkFinalState compares the history kept by the store with the answers that
-// operators got and the versions that the nodes have in force.
+// operators got and the versions that the nodes have in force, and checks that
+// the changes of the head are linearizable.
 func (w *configWorld) checkFinalState() {
 	reader := config.NewManager(config.Options{Tables: w.service, Objects: w.service})
 	history, err := reader.History(w.ctx)
@@ -356,7 +359,7 @@
 }
 
 // headModel models the head row: a number that only an accepted proposal
-// increments.
+// increments. Operator -1 stands for the read of the head at the end.
 var headModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, _ any) []any {
--- a/test/invariants/fleet_world_test.go
+++ b/test/invariants/fleet_world_test.go
@@ -58,8 +58,9 @@
 	server      string
 	incarnation int64
 	leaving     bool
-	// after is the time since the server started to leave.
-	after time.Duration
+	// sinceLeaving is the time since the server started to leave, if it is
+	// leaving.
+	sinceLeaving time.Duration
 }
 
 // listVersion is the content of the instance list from a given time on.
@@ -69,7 +70,7 @@
 }
 
 // fleetWorld is the actual state of one history, and the faults between its
-// parts. The fakes of every interface are views of it.
+// parts. The fakes of the platform, the peers and the backend servers all use it.
 type fleetWorld struct {
 	mu         sync.Mutex
 	servers    map[string]*server
@@ -210,7 +211,7 @@
 		<-ctx.Done()
 		return nil, api.NewError(api.KindNotReady, "no connection")
 	}
-	response, err := w.handle(to, message)
+	response, err := w.handlePeerRequest(to, message)
 	time.Sleep(messageDelay)
 	if w.isPartitioned(to, w.from) {
 		<-ctx.Done()
@@ -219,8 +220,8 @@
 	return response, err
 }
 
-// handle is the peer handler of an instance.
-func (w peerCaller) handle(to string, message *peerpb.Request) (*peerpb.Response, error) {
+// handlePeerRequest handles a call at the called instance.
+func (w peerCaller) handlePeerRequest(to string, message *peerpb.Request) (*peerpb.Response, error) {
 	w.mu.Lock()
 	fleet, dispatcher := w.fleets[to], w.dispatchers[to]
 	w.mu.Unlock()
@@ -239,9 +240,10 @@
 // backendClient is the backend server interface of one instance.
 type backendClient struct {
 	*fleetWorld
-	random  *rand.Rand
+	random *rand.Rand
+	// observe receives the state that a server reports with its answer.
 	observe func(id string, incarnation int64, leaving bool)
-	mu      *sync.Mutex
+	mu      *sync.Mutex // guards random
 }
 
 // Execute implements request.Backend. The server records the request as new
@@ -280,7 +282,7 @@
 	}
 	d := dispatch{at: time.Now(), server: id, incarnation: s.incarnation, leaving: s.leaving}
 	if s.leaving {
-		d.after = time.Since(s.leavingSince)
+		d.sinceLeaving = time.Since(s.leavingSince)
 	}
 	w.dispatches = append(w.dispatches, d)
 	w.received[requestID] = true
--- a/test/invariants/gang_check_test.go
+++ b/test/invariants/gang_check_test.go
@@ -120,8 +120,7 @@
 	return violations
 }
 
-// resumed reports whether every attempt but the first resumed from a
-// checkpoint.
+// resumed reports whether at most one attempt started without a checkpoint.
 func resumed(attempts map[int][]standin.TaskStart) bool {
 	fresh := 0
 	for _, starts := range attempts {
--- a/test/invariants/gang_network_test.go
+++ b/test/invariants/gang_network_test.go
@@ -9,7 +9,8 @@
 	"github.com/corianderbank/corianderbank/internal/platform/fake"
 )
 
-// freezableTables delays the store calls of an instance while it is frozen.
+// freezableTables delays the commits and reads of an instance while it is
+// frozen. Scans are not delayed.
 type freezableTables struct {
 	*fake.Platform
 	world    *gangWorld
--- a/test/invariants/gang_test.go
+++ b/test/invariants/gang_test.go
@@ -17,7 +17,8 @@
 	"github.com/corianderbank/corianderbank/internal/platform/fake"
 )
 
-// gangCase is the number of faults of each kind in a history.
+// gangCase is a set of faults. The plain numbers count the faults of one kind in
+// a history.
 type gangCase struct {
 	lossPercent       int
 	workerKills       int
@@ -153,6 +154,7 @@
 	pending  []gangEvent
 }
 
+// gangEvent is an action at a time since the start of the phase with faults.
 type gangEvent struct {
 	at     time.Duration
 	action func()
@@ -215,6 +217,7 @@
 	}
 }
 
+// submit draws a job and submits it until it is accepted, at most 40 times.
 func (h *gangHistory) submit(i int) {
 	h.world.mu.Lock()
 	shape := api.Shape{Tasks: 1 + h.intN(4), AcceleratorsPerTask: 1 << h.intN(4), SameRack: h.intN(2) == 0}
--- a/test/invariants/gang_world_test.go
+++ b/test/invariants/gang_world_test.go
@@ -29,11 +29,11 @@
 
 // The intervals and timeouts of the simulation, as in a deployment.
 const (
-	gangZone        = "nl-west-a"
-	gangPlacerLease = 4 * time.Second
-	gangWorkerLease = 15 * time.Second
-	gangInterval    = 200 * time.Millisecond
-	gangCallTimeout = 2 * time.Second
+	gangZone          = "nl-west-a"
+	gangPlacerLease   = 4 * time.Second
+	gangWorkerLease   = 15 * time.Second
+	gangPlaceInterval = 200 * time.Millisecond
+	gangCallTimeout   = 2 * time.Second
 )
 
 // gangWorld is one availability zone in virtual time: real placers over fake
@@ -74,10 +74,11 @@
 	plantedNone plantedFault = iota
 	// plantedHiddenLoss hides that a worker lost its part of a gang.
 	plantedHiddenLoss
-	// plantedNoStops refuses every stop, so that jobs borrow and are never
+	// plantedNoStops refuses every stop, so that borrowed accelerators are not
 	// reclaimed.
 	plantedNoStops
-	// plantedFalseRefusal reports that a start that took effect was refused.
+	// plantedFalseRefusal reports every failed start as refused, also one that
+	// took effect and whose answer was lost.
 	plantedFalseRefusal
 )
 
@@ -183,7 +184,7 @@
 		Leases: lease.New(tables, gangPlacerLease), Workers: gangNetwork{w, instance},
 		RunTimes: estimate.NewHistory(), Health: quarantine.NewTracker(),
 		Recorder: w.newRecorder(instance), Logger: zap.NewNop(),
-		PlacerLease: gangPlacerLease, WorkerLease: gangWorkerLease, Interval: gangInterval,
+		PlacerLease: gangPlacerLease, WorkerLease: gangWorkerLease, Interval: gangPlaceInterval,
 		MaxJobs: 1000, MayPlace: func() bool { return true },
 	})
 	if !w.registerPlacer(instance, running) {
@@ -196,8 +197,8 @@
 	}()
 }
 
-// registerPlacer makes running the placer of the instance. It returns false if
-// the instance has one: two restarts may end at the same time.
+// registerPlacer records the placer of the instance. It returns false if the
+// instance has one: two restarts may end at the same time.
 func (w *gangWorld) registerPlacer(instance string, running *gangPlacer) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/test/invariants/job_key_test.go
+++ b/test/invariants/job_key_test.go
@@ -12,7 +12,8 @@
 )
 
 // TestKeyedJobIsOneJob submits the same key again while the job runs, after its
-// end, after a change of placers, and when a new job would be refused.
+// end, after a change of placers, and when a new job would be refused. A
+// different job with the same key must be refused.
 func TestKeyedJobIsOneJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newGangWorld(1, 2, 4)
@@ -36,7 +37,7 @@
 		w.startPlacer("i-2")
 		w.killPlacer("i-1")
 		time.Sleep(3 * gangPlacerLease)
-		resubmit("at the next placer, which never held it")
+		resubmit("at the next placer, which did not run the job")
 		w.document.Accounts = []model.ClientAccount{{Name: "acme", MaxJobs: 1}, {Name: "orbit"}}
 		other := job
 		other.IdempotencyKey, other.Payload = "", gangPayload(time.Hour, false)
@@ -45,7 +46,7 @@
 		time.Sleep(20 * time.Second)
 		changed := job
 		changed.DeclaredRunS = 6
-		assert.Equal(t, w.submit(changed), "", "the key of another job")
+		assert.Equal(t, w.submit(changed), "", "a different job with the same key")
 		starts := 0
 		for _, start := range w.starts() {
 			if start.Gang == id {
--- a/test/invariants/lease_test.go
+++ b/test/invariants/lease_test.go
@@ -140,8 +140,9 @@
 	return held, true
 }
 
-// recordPeriod adds a period. Releasing the lease also ends the instance's
-// earlier periods under the same epoch.
+// recordPeriod adds a period, unless the lease expired before the instance could
+// rely on it. Releasing the lease also ends the instance's earlier periods under
+// the same epoch.
 func recordPeriod(periods []leasePeriod, held leasePeriod, released bool) []leasePeriod {
 	for i, earlier := range periods {
 		if released && earlier.instance == held.instance && earlier.epoch == held.epoch && earlier.to.After(held.to) {
@@ -167,7 +168,7 @@
 			case overlapping:
 				violations = append(violations, fmt.Sprintf("%s (epoch %d) and %s (epoch %d) held at the same time", a.instance, a.epoch, b.instance, b.epoch))
 			case (a.epoch > b.epoch) != a.from.After(b.from):
-				violations = append(violations, fmt.Sprintf("epoch %d came after epoch %d", b.epoch, a.epoch))
+				violations = append(violations, fmt.Sprintf("epochs %d and %d were held in the wrong order", b.epoch, a.epoch))
 			}
 		}
 	}
--- a/test/invariants/leaving_test.go
+++ b/test/invariants/leaving_test.go
@@ -22,10 +22,11 @@
 	"github.com/corianderbank/corianderbank/internal/rules"
 )
 
-// leavingBound and leavingBoundPartitioned are the guaranteed bounds: two
-// seconds in general, and five seconds if the instances of a zone are
-// partitioned from each other, because another instance starts to probe a
-// server only three seconds after the server's prober was cut off.
+// leavingBound and leavingBoundPartitioned are the guaranteed bounds on the time
+// for which a leaving server still gets new work: two seconds in general, and
+// five seconds if the instances of a zone are partitioned from each other,
+// because another instance starts to probe a server only three seconds after the
+// server's prober was cut off.
 const (
 	leavingBound            = 2 * time.Second
 	leavingBoundPartitioned = 5 * time.Second
@@ -85,7 +86,7 @@
 	// listOnly uses the instance list alone.
 	listOnly
 	// listOverrides makes a leaving server ready again if the list has it as
-	// live.
+	// live, and probes no server.
 	listOverrides
 	// noPeerReports does not report leaving servers to other instances, and
 	// probes no server.
@@ -121,8 +122,8 @@
 // more than bound after it started to leave.
 func (w *fleetWorld) lateDispatches(bound time.Duration) string {
 	for _, d := range w.dispatches {
-		if d.leaving && d.after > bound {
-			return fmt.Sprintf("%s (incarnation %d) got work %v after it started to leave", d.server, d.incarnation, d.after)
+		if d.leaving && d.sinceLeaving > bound {
+			return fmt.Sprintf("%s (incarnation %d) got work %v after it started to leave", d.server, d.incarnation, d.sinceLeaving)
 		}
 	}
 	return ""
@@ -207,7 +208,8 @@
 	}
 }
 
-// partitionInstance partitions one instance from the others for ten seconds.
+// partitionInstance partitions one instance from the others for ten seconds: in
+// both directions if test.partition is set, otherwise only for its own messages.
 func (w *fleetWorld) partitionInstance(test leavingCase, instances []string, random *rand.Rand) {
 	isolated := instances[random.IntN(len(instances))]
 	time.Sleep(time.Duration(random.IntN(5000)) * time.Millisecond)
@@ -256,7 +258,8 @@
 	return &config.Snapshot{Version: 1, Document: document, Rules: rules.NewSet(list)}
 }
 
-// fleetView is the part of the membership that the dispatcher uses.
+// fleetView is the part of the membership that the dispatcher and the executor
+// use.
 type fleetView interface {
 	request.Fleet
 	membership.View
--- a/test/invariants/reclaim_test.go
+++ b/test/invariants/reclaim_test.go
@@ -27,7 +27,8 @@
 	// tasks is the number of tasks of each borrowing gang; a task uses 8
 	// accelerators.
 	tasks int
-	// storeOutage starts a store outage once the borrowers are accepted.
+	// storeOutage starts a store outage once the borrowers are accepted. fault
+	// must end it.
 	storeOutage bool
 	// fault is injected when all borrowers run, before the claim.
 	fault func(w *gangWorld)
@@ -152,6 +153,7 @@
 	return ""
 }
 
+// busyWorkers counts the running reservations. Each of them fills one worker.
 func (w *gangWorld) busyWorkers() int {
 	busy := 0
 	for _, id := range w.workerIDs {
--- a/test/invariants/request_world_test.go
+++ b/test/invariants/request_world_test.go
@@ -31,7 +31,9 @@
 	// storeFaults and backendFaults are the shares of calls that fail.
 	storeFaults, backendFaults float64
 	kills                      int
-	freezes                    int
+	// freezes is the number of times that an instance freezes, at a random moment:
+	// for instance between the claim and the sending of a request.
+	freezes int
 	// partitions is the number of times that one instance is cut off from the
 	// platform, outages the number of times that all of them are.
 	partitions, outages int
@@ -49,17 +51,17 @@
 	"answers of backend servers are lost":          {backendFaults: 0.4},
 	"an instance is killed":                        {kills: 1},
 	"instances are killed repeatedly":              {kills: 8},
-	"an instance freezes between claim and send":   {freezes: 2},
+	"instances freeze twice":                       {freezes: 2},
 	"instances freeze past every lease":            {freezes: 8},
 	"an instance is cut off from the platform":     {partitions: 1},
-	"instances are cut off twice":                  {partitions: 6},
+	"instances are cut off repeatedly":             {partitions: 6},
 	"the platform is down":                         {outages: 1},
 	"the platform is down twice":                   {outages: 2},
 	"killed while the platform is down":            {kills: 4, outages: 1},
 	"frozen while answers are lost":                {freezes: 4, storeFaults: 0.3, backendFaults: 0.3},
 	"everything at once":                           {storeFaults: 0.2, backendFaults: 0.2, kills: 2, freezes: 2, partitions: 2, outages: 1},
 	"everything at once, at higher rates":          {storeFaults: 0.3, backendFaults: 0.3, kills: 5, freezes: 5, partitions: 4, outages: 2},
-	"lost on both sides and killed repeatedly":     {storeFaults: 0.4, backendFaults: 0.4, kills: 6},
+	"store and server answers lost, many kills":    {storeFaults: 0.4, backendFaults: 0.4, kills: 6},
 	"zones without backend servers":                {spills: true},
 	"answers of other zones are lost":              {spills: true, peerFaults: 0.5},
 	"other zones, kills, freezes and lost answers": {spills: true, peerFaults: 0.3, storeFaults: 0.2, backendFaults: 0.2, kills: 4, freezes: 4},
@@ -92,7 +94,7 @@
 	// runs and runsOfKey count the runs by request id and by key.
 	runs, runsOfKey map[string]int
 	nonce           int
-	// spilled is the number of requests answered by another zone.
+	// spilled is the number of requests that another zone processed.
 	spilled int
 }
 
@@ -286,7 +288,8 @@
 	backendRefusesConnection
 	// backendDeclines: the server answers that it did not run the request.
 	backendDeclines
-	// backendLosesCall: the call is lost, and arrives much later or never.
+	// backendLosesCall: the caller gets no answer, and the call arrives much
+	// later.
 	backendLosesCall
 	// backendLosesAnswer: the request runs, and the answer is lost.
 	backendLosesAnswer
--- a/test/invariants/state_node_test.go
+++ b/test/invariants/state_node_test.go
@@ -109,6 +109,8 @@
 	return result
 }
 
+// withStoredVersions returns tx with the versions of the conflicting rows
+// replaced by those in the store.
 func withStoredVersions(tx api.Tx, conflicts []api.Row) api.Tx {
 	unconditional := api.Tx{WriteID: platform.NewWriteID()}
 	for _, op := range tx.Ops {
--- a/test/invariants/stop_test.go
+++ b/test/invariants/stop_test.go
@@ -83,9 +83,9 @@
 		fault stopFault
 		want  string
 	}{
-		"the listener closes before the balancer detects it": {noLinger, "interrupted a request"},
-		"the process ends with requests in flight":           {noDrain, "interrupted a request"},
-		"the placer lease expires without a release":         {noHandOver, "not handed over in time"},
+		"the listener closes before the balancer detects the stop": {noLinger, "interrupted a request"},
+		"the process ends with requests in flight":                 {noDrain, "interrupted a request"},
+		"the placer lease expires without a release":               {noHandOver, "not handed over in time"},
 	}
 	for name, planted := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -203,8 +203,8 @@
 	return false
 }
 
-// check returns the first answer that is incomplete or contradicts what ran, or
-// "".
+// check returns the first answer that is incomplete, contradicts what ran or has
+// an unknown outcome, or "".
 func (b *balancer) check(w *fleetWorld) string {
 	if len(b.results) == 0 {
 		return "no request was sent"
--- a/test/invariants/stop_world_test.go
+++ b/test/invariants/stop_world_test.go
@@ -120,9 +120,9 @@
 	i.executor = w.newExecutor(ctx, &i.loops, id, i.fleet, seed, noFault)
 	i.placer = newInstancePlacer(id, i.fleet, store)
 	i.loops.Go(func() { i.placer.Run(ctx) })
-	limits := settings.Default()
+	defaults := settings.Default()
 	i.server = entry.New(entry.Options{
-		Settings: &limits, Requests: i.executor, Logger: zap.NewNop(),
+		Settings: &defaults, Requests: i.executor, Logger: zap.NewNop(),
 		Config: config.NewManager(config.Options{Tables: store, Objects: store}),
 		Ready:  func() error { return i.lifecycle.Refusal() },
 	})
--- a/test/invariants/whole_answer_test.go
+++ b/test/invariants/whole_answer_test.go
@@ -224,7 +224,7 @@
 	for caller := range wholeAnswerCallers {
 		callers.Go(func() {
 			for i := range wholeAnswerRequests {
-				violation, isDone := sendWhole(address, fmt.Sprintf("t-%d-%d", caller, i), i%2 == 0, servers)
+				violation, isDone := sendAndCheck(address, fmt.Sprintf("t-%d-%d", caller, i), i%2 == 0, servers)
 				mu.Lock()
 				if violation != "" {
 					violations = append(violations, violation)
@@ -256,10 +256,10 @@
 		Zone: testZone, Instance: "entry-0", Config: fixedConfig{}, Fleet: fleet, Dispatcher: dispatcher, Backend: client,
 		Recorder: recorder, MaxConcurrentAttempts: 100, PlatformReachable: func() bool { return true },
 	}
-	limits := settings.Default()
+	defaults := settings.Default()
 	store := fake.New()
 	server := entry.New(entry.Options{
-		Settings: &limits, Requests: executor, Logger: zap.NewNop(), Ready: func() error { return nil },
+		Settings: &defaults, Requests: executor, Logger: zap.NewNop(), Ready: func() error { return nil },
 		Config: config.NewManager(config.Options{Tables: store, Objects: store}),
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -273,8 +273,8 @@
 	return listener.Addr().String()
 }
 
-// sendWhole sends one request and checks its answer.
-func sendWhole(address, name string, idempotent bool, servers *faultyServers) (violation string, done bool) {
+// sendAndCheck sends one request and checks its answer.
+func sendAndCheck(address, name string, idempotent bool, servers *faultyServers) (violation string, done bool) {
 	payload := json.RawMessage(fmt.Sprintf(`{"token":%q}`, name))
 	body, err := json.Marshal(api.RequestSubmission{Account: "a", Kind: "check", Idempotent: idempotent, Payload: payload})
 	if err != nil {
@@ -293,10 +293,10 @@
 	if err := json.Unmarshal(data, &answer); err != nil {
 		return fmt.Sprintf("%s: answer not complete: %q", name, data), false
 	}
-	return checkWhole(name, idempotent, answer, servers), answer.Outcome == api.OutcomeDone
+	return checkAnswer(name, idempotent, answer, servers), answer.Outcome == api.OutcomeDone
 }
 
-func checkWhole(name string, idempotent bool, answer api.RequestAnswer, servers *faultyServers) string {
+func checkAnswer(name string, idempotent bool, answer api.RequestAnswer, servers *faultyServers) string {
 	servers.mu.Lock()
 	runs := servers.runs[name]
 	servers.mu.Unlock()
@@ -310,7 +310,7 @@
 	case !idempotent && runs > 1:
 		return fmt.Sprintf("%s is not idempotent and ran %d times", name, runs)
 	case answer.Outcome != api.OutcomeDone && answer.ErrorKind == "":
-		return name + " was refused without a kind"
+		return name + " is not done and has no error kind"
 	}
 	return ""
 }
--- a/test/process/cut_test.go
+++ b/test/process/cut_test.go
@@ -12,8 +12,7 @@
 	"github.com/corianderbank/corianderbank/internal/standin/drive"
 )
 
-// requestItem returns item as a burst of requests to a zone that is cut off
-// from the platform.
+// requestItem returns item as a burst of five requests.
 func requestItem(name string, item drive.Item, idempotent bool) drive.Item {
 	item.Name, item.Count = name, 5
 	item.Request = &api.RequestSubmission{Account: "acme", Kind: "check", Idempotent: idempotent, DeadlineMS: 10000}
--- a/test/process/harness_test.go
+++ b/test/process/harness_test.go
@@ -35,8 +35,8 @@
 // getTimeout limits one query of a process, which may be frozen.
 const getTimeout = 5 * time.Second
 
-// logTail is the number of log lines of a process that a failed test prints:
-// the last ones, or those from a crash on.
+// logTail is the maximum number of log lines of a process that a failed test
+// prints: the last ones, or those from a crash on.
 const logTail = 40
 
 // bin is the directory that contains the binaries under test.
@@ -72,9 +72,13 @@
 	name string
 	cmd  *exec.Cmd
 	log  string
+	// done holds the result of the process once it has exited. Every reader puts
+	// the result back for the next one.
 	done chan error
 }
 
+// start runs one of the binaries under test until the test ends or the process
+// is stopped before.
 func start(t *testing.T, name, program string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, log: filepath.Join(t.TempDir(), name+".log"), done: make(chan error, 1)}
@@ -271,8 +275,8 @@
 	}
 }
 
-// placer returns the index of the entry instance that is the zone's placer, or
-// -1.
+// placer returns the index of the first entry instance that reports itself as
+// the zone's placer, or -1.
 func (c *cluster) placer() int {
 	for i, entry := range c.entries {
 		var status api.Status
--- a/test/process/promises_test.go
+++ b/test/process/promises_test.go
@@ -15,7 +15,8 @@
 	"github.com/corianderbank/corianderbank/internal/standin/drive"
 )
 
-// oneAccount is a configuration with one client account that may do everything.
+// oneAccount is a configuration with one client account and one rule, which
+// admits all work with up to two retries.
 const oneAccount = `{"client_accounts": [{"name": "acme"}], "rules": [{"name": "all", "when": {}, "then": {"retries": 2}}]}`
 
 // anyOutcome lists the outcomes allowed for work that faults interrupt.
@@ -77,8 +78,8 @@
 			func(c *cluster) { c.injectFaults(c.backends[0].addr, standin.BackendFaults{}) }, false,
 		},
 	}
-	dimensions := clusterSize{entries: 2, backends: 2, configuration: oneAccount}
-	c := startCluster(t, dimensions)
+	size := clusterSize{entries: 2, backends: 2, configuration: oneAccount}
+	c := startCluster(t, size)
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := c.forSubtest(t) // the cases share the cluster and run one after the other
@@ -91,7 +92,7 @@
 			tc.heal(c)
 			answers := waitAnswers()
 			assertNoViolations(t, drive.Check(answers, c.collectRecords(), drive.Tolerance{MissingAnswers: tc.missingAnswers}))
-			c.waitSettled(dimensions)
+			c.waitSettled(size)
 			repeated := driveAsync(c, input, c.entries...)()
 			assertNoViolations(t, drive.Check(repeated, c.collectRecords(), drive.Tolerance{}))
 			assertNoViolations(t, drive.Check(append(answers, repeated...), c.collectRecords(), drive.Tolerance{MissingAnswers: tc.missingAnswers}))
@@ -148,9 +149,9 @@
 			},
 		},
 	}
-	dimensions := clusterSize{entries: 2, workers: 4, configuration: strings.Replace(oneAccount, `"acme"`,
+	size := clusterSize{entries: 2, workers: 4, configuration: strings.Replace(oneAccount, `"acme"`,
 		`"acme", "guarantees": {"zone-1": [{"tasks": 2, "accelerators_per_task": 8, "same_rack": true, "count": 2}]}`, 1)}
-	c := startCluster(t, dimensions)
+	c := startCluster(t, size)
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := c.forSubtest(t) // the cases share the cluster and run one after the other
@@ -163,7 +164,7 @@
 			tc.heal(c, placer)
 			answers := waitAnswers()
 			assertNoViolations(t, drive.Check(answers, c.collectRecords(), drive.Tolerance{IncompleteGangs: true}))
-			c.waitSettled(dimensions)
+			c.waitSettled(size)
 		})
 	}
 }
@@ -193,6 +194,8 @@
 
 func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	t.Parallel()
+	// Each case returns the instances to stop, and may already have sent them a
+	// stop signal.
 	cases := map[string]func(c *cluster) []*node{
 		"one instance": func(c *cluster) []*node { return c.entries[:1] },
 		"one instance with two stop signals": func(c *cluster) []*node {
@@ -255,6 +258,8 @@
 		Request: &api.RequestSubmission{Account: "acme", Kind: "check", Idempotent: true, DeadlineMS: 10000},
 	}}}
 	leaving := c.backends[0]
+	// The list lags by ten minutes, so that it does not yet show the server as
+	// leaving.
 	c.injectFaults(c.platform, standin.PlatformFaults{ListLagMS: 600_000})
 	c.injectFaults(leaving.addr, standin.BackendFaults{Leave: true})
 	ranOnLeaving := func() int {
