--- a/internal/dispatch/order.go
+++ b/internal/dispatch/order.go
@@ -178,7 +178,7 @@
 // accepted or the occurrence became due.
 func (c *Core) earliestStart(s *step) time.Time {
 	j := s.job
-	if j.Repeats == 0 {
+	if j.OccurrenceCount == 0 {
 		return j.acceptedAt
 	}
 	due := j.FirstDueMS + int64(s.occurrence)*j.IntervalMS
@@ -205,7 +205,7 @@
 // ready reports whether a step may start: it is due and its preceding steps are done.
 func (c *Core) ready(s *step) bool {
 	j := s.job
-	if j.Repeats > 0 && c.earliestStart(s).After(c.now) {
+	if j.OccurrenceCount > 0 && c.earliestStart(s).After(c.now) {
 		return false
 	}
 	first := s.occurrence * len(j.Steps)
--- a/internal/dispatch/place_test.go
+++ b/internal/dispatch/place_test.go
@@ -148,7 +148,7 @@
 func TestOccurrencesStartWhenDueAndMayOverlap(t *testing.T) {
 	b := newBench(t, 4, false)
 	job := singleJob("timed", "batch", "other", 1, 1)
-	job.Repeats, job.FirstDueMS, job.IntervalMS = 3, b.wallMS+1000, 1000
+	job.OccurrenceCount, job.FirstDueMS, job.IntervalMS = 3, b.wallMS+1000, 1000
 	b.add(job)
 	b.advance(900 * time.Millisecond)
 	assert.Equal(t, b.starts, 0)
--- a/internal/workload/check.go
+++ b/internal/workload/check.go
@@ -20,8 +20,8 @@
 		return fmt.Errorf("spec has %d bytes, at most %d are allowed", len(j.Spec), maxSpecBytes)
 	case len(j.Steps) == 0 || len(j.Steps) > maxSteps:
 		return fmt.Errorf("%d steps, 1 to %d are allowed", len(j.Steps), maxSteps)
-	case j.Repeats < 0 || j.Repeats > maxOccurrences || j.IntervalMS < 0 || j.FirstDueMS < 0:
-		return fmt.Errorf("%d occurrences each %d ms from %d ms on: out of range", j.Repeats, j.IntervalMS, j.FirstDueMS)
+	case j.OccurrenceCount < 0 || j.OccurrenceCount > maxOccurrences || j.IntervalMS < 0 || j.FirstDueMS < 0:
+		return fmt.Errorf("%d occurrences each %d ms from %d ms on: out of range", j.OccurrenceCount, j.IntervalMS, j.FirstDueMS)
 	}
 	tasks := 0
 	for i := range j.Steps {
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -116,8 +116,8 @@
 	AcceptedMS int64  `json:"accepted_ms"`
 	Spec       string `json:"spec,omitempty"`
 	Steps      []Step `json:"steps"`
-	// Repeats is the number of occurrences. Zero means one, due immediately.
-	Repeats int `json:"times,omitempty"`
+	// OccurrenceCount is the number of occurrences. Zero means one, due immediately.
+	OccurrenceCount int `json:"times,omitempty"`
 	// FirstDueMS is the due time of the first occurrence, in milliseconds since 1970.
 	FirstDueMS int64 `json:"first_ms,omitempty"`
 	// IntervalMS is the interval between occurrences.
@@ -125,7 +125,7 @@
 }
 
 // Occurrences returns the number of times that the steps run, at least 1.
-func (j *Job) Occurrences() int { return max(j.Repeats, 1) }
+func (j *Job) Occurrences() int { return max(j.OccurrenceCount, 1) }
 
 // TaskID identifies one task of one occurrence of a job.
 type TaskID struct {
