--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -32,7 +32,7 @@
 		return errorOfResponse(response)
 	}
 	if err := json.Unmarshal(response.Body(), result); err != nil {
-		return api.NewError(api.KindAnswerNotWhole, "the response of %s is incomplete or invalid: %v", inv.addr, err)
+		return api.NewError(api.KindAnswerNotWhole, "the answer of %s is not whole: %v", inv.addr, err)
 	}
 	return nil
 }
